--- a/tests/policy/streams.py
+++ b/tests/policy/streams.py
@@ -8,7 +8,8 @@
 import hashlib
 import heapq
 import random
-from collections.abc import Iterator
+import re
+from collections.abc import Callable, Iterator
 from dataclasses import fields
 from pathlib import Path
 
@@ -16,6 +17,7 @@
 from ironrail.policy.balance import Router
 
 FILE = Path(__file__).with_name("decisions.txt")  # a seed and its digest a line
+VALUES_FILE = Path(__file__).with_name("decision_values.txt")  # the same of values alone, without names
 SEEDS = range(24)
 LENGTH, QUIET = 14.0, 6.0  # seconds of requests, and those after which all is answered
 PLACES = (1, 10, 40, 200)  # routers
@@ -161,13 +163,45 @@
     )
 
 
-def digest(seed: int, make: type[Router] = Router) -> str:
+# what each action is called in `value_digest`, whatever the class that stands for it is called
+ACTION_CODES: dict[type, int] = {
+    api.Send: 1,
+    api.Refuse: 2,
+    api.Fail: 3,
+    api.Cancel: 4,
+    api.CloseIdle: 5,
+    api.SetTimer: 6,
+    api.Subscribe: 7,
+    api.Log: 8,
+}
+
+
+def value_of(value: object) -> str:
+    """A field's value, without the names of types; of a text for staff only its numbers."""
+    return f"{value:.9g}" if isinstance(value, float) else str(value)
+
+
+def values(action: api.Action) -> str:
+    """The code of an action and the values of its fields, in order."""
+    if isinstance(action, api.Log):
+        return f"{ACTION_CODES[api.Log]} {re.findall('[0-9]+', action.text)}"
+    given = [value_of(getattr(action, field.name)) for field in fields(action)]
+    return " ".join([str(ACTION_CODES[type(action)]), *given])
+
+
+def digest(seed: int, make: type[Router] = Router, form: Callable[[api.Action], str] = written) -> str:
     """Of all that a router answers in the world of a seed, in order."""
     text = hashlib.sha256()
     for _, _, actions in World(seed, make).steps():
-        text.update("".join(f"{written(action)}\n" for action in actions).encode() + b".\n")
+        text.update("".join(f"{form(action)}\n" for action in actions).encode() + b".\n")
     return text.hexdigest()[:32]
 
 
+def value_digest(seed: int, make: type[Router] = Router) -> str:
+    """A digest that a renaming of types and fields leaves as it is."""
+    return digest(seed, make, values)
+
+
 if __name__ == "__main__":
     FILE.write_text("".join(f"{seed} {digest(seed)}\n" for seed in SEEDS))
+    VALUES_FILE.write_text("".join(f"{seed} {value_digest(seed)}\n" for seed in SEEDS))
--- a/tests/policy/test_decisions.py
+++ b/tests/policy/test_decisions.py
@@ -7,15 +7,21 @@
 
 import pytest
 
-from tests.policy.streams import FILE, SEEDS, digest
+from tests.policy.streams import FILE, SEEDS, VALUES_FILE, digest, value_digest
 
 KNOWN = dict(line.split() for line in FILE.read_text().splitlines())
+KNOWN_VALUES = dict(line.split() for line in VALUES_FILE.read_text().splitlines())
 
 
 def test_a_digest_is_known_for_each_seed() -> None:
-    assert list(KNOWN) == [str(seed) for seed in SEEDS]
+    assert list(KNOWN) == list(KNOWN_VALUES) == [str(seed) for seed in SEEDS]
 
 
 @pytest.mark.parametrize("seed", SEEDS)
 def test_the_same_events_get_the_same_actions(seed: int) -> None:
     assert digest(seed) == KNOWN[str(seed)], "renew on purpose: python -m tests.policy.streams"
+
+
+@pytest.mark.parametrize("seed", SEEDS)
+def test_the_same_events_get_the_same_values_whatever_types_are_called(seed: int) -> None:
+    assert value_digest(seed) == KNOWN_VALUES[str(seed)], "renew on purpose: python -m tests.policy.streams"
--- /dev/null
+++ b/tests/test_stored_forms.py
@@ -0,0 +1,99 @@
+"""Stored data and datagrams of the release before the renaming are read and written byte for byte the same.
+
+`stored_forms.json` was written by that release: a voter's record as a file and as bytes, the messages of the
+register, datagrams between two routers, reports of latency, and lines of the access log. All values are hex.
+"""
+
+from __future__ import annotations
+
+import json
+from pathlib import Path
+
+import pytest
+
+from ironrail.access.keep import Ended, Keeper, Line
+from ironrail.net.store import FolderStore
+from ironrail.peers.accord import messages as m
+from ironrail.peers.faces import Heard, Topic
+from ironrail.peers.latency import reports as latency_reports
+from tests.wire_tier import datagrams, meet, wire
+
+FORMS = Path(__file__).with_name("stored_forms.json")
+
+OLD = m.Ref(3, bytes(range(16)), (0, 1, 2))
+NEW = m.Ref(4, bytes(range(16, 32)), (0, 1, 3))
+STATE = m.State(m.EPOCH + 7, OLD, NEW, tried=4, by=(2, 1_796_020_200_000), left=(0, 1, 4))
+BALLOT = m.Ballot(m.EPOCH, 9, 2, 1_796_020_200_000)
+RECORD = m.Vouched(BALLOT, m.Ballot(m.EPOCH, 8, 1, 5), STATE)
+SEEN = ((0, 11), (1, 12))
+MESSAGES: dict[str, m.Message] = {
+    "prepare": m.Prepare(BALLOT, (0, 1, 2)),
+    "promise": m.Promise(BALLOT, RECORD, 6, SEEN, (5,), (2, 4, "no such class")),
+    "outvoted": m.Outvoted(BALLOT, BALLOT),
+    "accept": m.Accept(BALLOT, STATE),
+    "accepted": m.Accepted(BALLOT, SEEN),
+    "blocked": m.Blocked(BALLOT),
+    "decided": m.Decided(STATE),
+    "recover": m.Recover(77, (0, 1)),
+    "report": m.Report(77, True, SEEN, RECORD, STATE),
+    "offer": m.Offer(STATE),
+    "founded": m.Founded(STATE, SEEN),
+    "ask": m.Ask(5, m.Note(6, (3,)), m.Note(7, (3, 4)), 7, (1, 4, "too few"), 3),
+    "answer": m.Answer(5, True, False, 1, STATE, 2.5),
+    "want": m.Want(bytes(16)),
+    "document": m.Document(b"a document"),
+    "where": m.Where(9),
+}
+REPORTS = [
+    latency_reports.Report(1, 1_796_020_200, 2, 300, 0x012345, 1.25),
+    latency_reports.Report(1, 1_796_020_200, 0, 7, 0x020102, 0.0),
+]
+LINES = [
+    Line(1_796_020_200.125, 0.25, "read", "daily", b"page:7", 7, False, Ended.SERVED, "", 0.0, False),
+    Line(1_796_020_201.5, 1.5, "pay", "", b"\xff\x00k", 0, True, Ended.REFUSED, "again-1", 0.002, True),
+]
+SECRET = b"0123456789abcdef"
+
+
+def written() -> dict[str, str]:
+    """All forms as this release writes them."""
+    first, second = wire(0), wire(1)
+    told = meet(0.0, first, second)
+    body = datagrams(first, b"a body of some length" * 30)
+    forms = {f"message {name}": m.encode(message) for name, message in MESSAGES.items()}
+    forms |= {f"datagram {number}": datagram for number, datagram in enumerate([*told, *body])}
+    forms["record"] = m.msgspec.msgpack.encode(RECORD)
+    forms["latency"] = latency_reports.encode(REPORTS)[0]
+    forms["access log"] = Keeper(1.0, SECRET, False).write(LINES)
+    forms["access log, hashed"] = Keeper(1.0, SECRET, True).write(LINES)
+    return {name: form.hex() for name, form in forms.items()}
+
+
+KNOWN: dict[str, str] = json.loads(FORMS.read_text()) if FORMS.exists() else {}
+
+
+def test_every_form_is_written_as_before() -> None:
+    assert written() == {name: form for name, form in KNOWN.items() if name != "record file"}
+
+
+@pytest.mark.parametrize("name", MESSAGES)
+def test_a_message_of_the_release_before_is_read(name: str) -> None:
+    assert m.decode(bytes.fromhex(KNOWN[f"message {name}"])) == MESSAGES[name]
+
+
+def test_a_record_of_the_release_before_is_read(tmp_path: Path) -> None:
+    (tmp_path / "voter").write_bytes(bytes.fromhex(KNOWN["record file"]))
+    kept = FolderStore(tmp_path).read("voter")
+    assert kept is not None and m.read_record(kept) == RECORD
+
+
+def test_datagrams_of_the_release_before_are_opened() -> None:
+    first, second = wire(0), wire(1)
+    meet(0.0, first, second)
+    bodies = [bytes.fromhex(form) for name, form in KNOWN.items() if name.startswith("datagram ")]
+    opened = [item for datagram in bodies for item in second.open(0.0, 0, datagram)]
+    assert opened == [(Topic.ACCORD, Heard(0, first.start, b"a body of some length" * 30))]
+
+
+def test_reports_of_latency_of_the_release_before_are_read() -> None:
+    assert latency_reports.decode(bytes.fromhex(KNOWN["latency"]), 3, 3) == REPORTS
