--- a/ironrail/diagnostics/daemon.py
+++ b/ironrail/diagnostics/daemon.py
@@ -86,6 +86,6 @@
             "read_late": round(summary.read_late, 3),
             "age": round(summary.age, 3),
             "attempts": [attempt.text() for attempt in summary.attempts],
-            "unlogged": self._requests.take_suppressed(),
+            "suppressed": self._requests.take_suppressed(),
         }
         log.warning(event, extra=fields)
--- a/ironrail/diagnostics/reasons.py
+++ b/ironrail/diagnostics/reasons.py
@@ -79,5 +79,5 @@
 
     ANSWERED = "answered"
     FAILED = "failed"
-    SILENT = "silent"  # a watch that said nothing when its wait was over
-    SPOILT = "spoilt"  # an answer that broke off or can't be read
+    WATCH_TIMED_OUT = "silent"
+    MALFORMED = "spoilt"  # broke off, or can't be read
--- a/ironrail/net/discovery/endpoint_list.py
+++ b/ironrail/net/discovery/endpoint_list.py
@@ -1,101 +1,135 @@
-"""Lists of servers in discovery's form."""
+"""Parser of endpoint lists in discovery's form."""
 
 from __future__ import annotations
 
 import math
+from dataclasses import dataclass
 from typing import Any
 
-from ironrail.errors import InputError
+from ironrail.net.discovery.errors import EndpointListError
+from ironrail.net.discovery.timeouts import MILLISECONDS_PER_SECOND
 from ironrail.net.system import REAL, Address, System
 from ironrail.policy.endpoints import Endpoint, EndpointListKind, EndpointState
 from ironrail.policy.events import EndpointListUpdate
 
-STATES = {
+ENDPOINT_STATES = {
     "in_service": EndpointState.READY,
     "terminating": EndpointState.DRAINING,
     "terminated": EndpointState.REMOVED,
 }
+MAX_PORT = 65535
+# The policy takes a start time of 0 for a server that started long ago.
+MIN_STARTED_AT_SECONDS = 1e-3
 
 
-class EndpointListError(InputError):
-    """A list that can't be used: nothing of it is taken, and the one before stands."""
+@dataclass(frozen=True, slots=True)
+class EndpointListMessage:
+    """A parsed response of discovery."""
 
-    advice = "look at what discovery answers to `GET /api/targets` at the configured address"
+    version: int
+    update: EndpointListUpdate
+    addresses: dict[str, Address]  # by endpoint name
+
+
+@dataclass(frozen=True, slots=True)
+class _StartTime:
+    """One start of a server on two clocks."""
+
+    started_ms: float  # Unix time in milliseconds, as discovery reports it
+    started_at: float  # seconds on the monotonic clock
 
 
 class EndpointListReader:
-    """Reads lists in discovery's form."""
+    """Parses endpoint lists and converts start times to the monotonic clock."""
 
     def __init__(self, system: System = REAL) -> None:
         self._system = system
-        self._since: dict[
-            str, tuple[float, float]
-        ] = {}  # of each server: as told, and on our clock
+        self._start_times: dict[str, _StartTime] = {}  # by endpoint name
 
     def read(
-        self, message: Any, kind: EndpointListKind | None = None, least: float = -math.inf
-    ) -> tuple[int, EndpointListUpdate, dict[str, Address]]:
-        """The version, the news for the module and the addresses; all of it or nothing.
-
-        Changes must lead to the version `least` or a later one: earlier ones, and any where the whole list
-        was asked for, fit no list that is held. A whole list may have any version: where discovery has lost
-        its own it numbers anew, and what it says is all there is.
+        self,
+        message: Any,
+        kind: EndpointListKind | None = None,
+        min_delta_version: float = -math.inf,
+    ) -> EndpointListMessage:
+        """Parse one message as a whole.
+
+        A full list may have any version: a discovery that lost its own starts numbering again.
+
+        Args:
+            message: The decoded JSON document.
+            kind: Kind of the update; None takes it from the message.
+            min_delta_version: Lowest version of a delta; infinity rejects every delta.
+
+        Raises:
+            EndpointListError: The message can't be used; nothing of it was taken.
         """
         try:
             if kind is None:
-                kind = EndpointListKind.FULL if message["full"] else EndpointListKind.DELTA
-            rows = [(self._entry(row), read_address(row["addr"])) for row in message["servers"]]
+                kind = _kind_of(message)
+            rows = [(self._endpoint(row), read_address(row["addr"])) for row in message["servers"]]
             version = int(message["version"])
-            if kind is EndpointListKind.DELTA and version < least:
-                raise ValueError(f"changes that lead to version {version}")
-        except (KeyError, TypeError, ValueError, AttributeError) as e:
-            raise EndpointListError(f"malformed list: {e!r}") from e
-        entries = tuple(entry for entry, _ in rows)
-        # guards memory against all the servers there ever were
-        gone = {entry.name for entry in entries if entry.state is EndpointState.REMOVED}
+        except (KeyError, TypeError, ValueError, AttributeError) as error:
+            raise EndpointListError(f"malformed list: {error!r}") from error
+        if kind is EndpointListKind.DELTA and version < min_delta_version:
+            raise EndpointListError(f"delta to version {version} doesn't apply to the current list")
+        endpoints = tuple(endpoint for endpoint, _ in rows)
+        self._forget_removed(kind, endpoints)
+        addresses = {endpoint.name: address for endpoint, address in rows}
+        return EndpointListMessage(version, EndpointListUpdate(kind, endpoints), addresses)
+
+    def _forget_removed(self, kind: EndpointListKind, endpoints: tuple[Endpoint, ...]) -> None:
+        """Drop start times of servers that are no longer listed; bounds memory."""
+        removed = {
+            endpoint.name for endpoint in endpoints if endpoint.state is EndpointState.REMOVED
+        }
         if kind is not EndpointListKind.DELTA:
-            gone |= self._since.keys() - {entry.name for entry in entries}
-        for name in gone & self._since.keys():
-            del self._since[name]
-        return (
-            version,
-            EndpointListUpdate(kind, entries),
-            {entry.name: address for entry, address in rows},
-        )
+            removed |= self._start_times.keys() - {endpoint.name for endpoint in endpoints}
+        for name in removed & self._start_times.keys():
+            del self._start_times[name]
 
-    def _entry(self, row: dict[str, Any]) -> Endpoint:
+    def _endpoint(self, row: dict[str, Any]) -> Endpoint:
         name = row["id"]
         if not isinstance(name, str) or not name:
             raise ValueError("id must be text")
         return Endpoint(
             name=name,
-            state=STATES[row["state"]],
+            state=ENDPOINT_STATES[row["state"]],
             kind=str(row.get("kind") or ""),
             zone=str(row.get("zone") or ""),
             cell=int(row.get("cell") or 0),
             weight=max(0.0, float(row.get("weight") or 0.0)),
-            started_at=self._started(name, float(row.get("started_ms") or 0.0)),
+            started_at=self._started_at(name, float(row.get("started_ms") or 0.0)),
         )
 
-    def _started(self, name: str, started_ms: float) -> float:
-        """Unix time on the module's clock; the same start gives the same time, or it would seem a new one."""
+    def _started_at(self, name: str, started_ms: float) -> float:
+        """Convert a start time to the monotonic clock, in seconds; 0 if it is unknown.
+
+        The same start always gives the same result: a step of the wall clock is no restart.
+        """
         if started_ms <= 0:
             return 0.0
-        told, since = self._since.get(name, (0.0, 0.0))
-        if told != started_ms:
-            age = (
-                self._system.wall() - started_ms / 1000
-            )  # read first: a hold-up between the two reads
-            since = max(
-                1e-3, self._system.now() - age
-            )  # then makes it seem younger, which is the careful side
-            self._since[name] = started_ms, since
-        return since
+        known = self._start_times.get(name)
+        if known is not None and known.started_ms == started_ms:
+            return known.started_at
+        # A pause between both clock reads makes the server look younger, which is safe.
+        age = self._system.wall() - started_ms / MILLISECONDS_PER_SECOND
+        started_at = max(MIN_STARTED_AT_SECONDS, self._system.now() - age)
+        self._start_times[name] = _StartTime(started_ms, started_at)
+        return started_at
+
+
+def _kind_of(message: Any) -> EndpointListKind:
+    return EndpointListKind.FULL if message["full"] else EndpointListKind.DELTA
 
 
 def read_address(text: str) -> Address:
-    """`host:port` as a pair."""
+    """Parse `host:port`.
+
+    Raises:
+        ValueError: The text has no host, or no port from 1 to 65535.
+    """
     host, _, port = text.rpartition(":")
-    if not host or not 0 < int(port) < 65536:
+    if not host or not 0 < int(port) <= MAX_PORT:
         raise ValueError(f"bad address {text!r}")
     return host.strip("[]"), int(port)
--- a/ironrail/net/discovery/hedged_call.py
+++ b/ironrail/net/discovery/hedged_call.py
@@ -1,83 +1,96 @@
-"""A call to discovery's agent that is begun anew, on a new connection, while those before it are unanswered.
+"""Hedged call to discovery's agent: sends a request again while earlier ones are unanswered.
 
-An agent on the router's own machine answers at once. One call that gets lost, or whose answer stops short,
-must not hide what the agent tells from then on; one that is only slow must not be given up for ever. So calls
-overlap: the first to be answered wins. While an answer is coming in none is begun besides: a long list on a
-slow machine would only come later for it.
+One lost request must not hide the agent's changes, and a slow one must not be given up, so
+requests overlap and the first response wins. While a response is arriving no other request starts:
+a long list on a slow machine would only arrive later for it.
 """
 
 from __future__ import annotations
 
 import asyncio
 from collections.abc import Callable
+from dataclasses import dataclass
 from typing import Any
 
 from ironrail.net.discovery.http_client import DiscoveryClient
 
-MOST_CALLS_OUT = 6  # at once: beyond that the oldest is given up
+MAX_CONCURRENT_CALLS = 6  # beyond that the oldest is cancelled
+
+
+@dataclass(frozen=True, slots=True)
+class HedgedResponse:
+    """The first response, and the client that received it, whose connection stays open."""
+
+    client: DiscoveryClient
+    document: Any
 
 
 class HedgedCall:
-    """Makes one call after another until one of them is answered."""
+    """Starts one request after another until one of them is answered."""
 
     def __init__(
         self,
         make_client: Callable[[], DiscoveryClient],
         interval: float,
-        patience: float,
-        failed: Callable[[BaseException], object],
+        first_byte_timeout: float,
+        on_failure: Callable[[BaseException], object],
     ) -> None:
-        """`interval`: seconds between the beginnings of two calls; `patience`: for one to be answered.
+        """Configure the call.
 
-        `failed` is told of each call that fails.
+        Args:
+            make_client: Makes the client of one request.
+            interval: Seconds between the starts of two requests.
+            first_byte_timeout: Seconds for one request until its response begins.
+            on_failure: Called with the error of each request that fails.
         """
         self._make_client = make_client
         self._interval = interval
-        self._patience = patience
-        self._failed = failed
-        self._out: dict[asyncio.Task[Any], DiscoveryClient] = {}
-        self._changed = asyncio.Event()  # a call has ended, or the next one is due
+        self._first_byte_timeout = first_byte_timeout
+        self._on_failure = on_failure
+        self._in_flight: dict[asyncio.Task[Any], DiscoveryClient] = {}
+        self._changed = asyncio.Event()  # a request has ended, or the next one is due
         self._next_is_due = False
 
-    async def answer(self, target: str) -> tuple[DiscoveryClient, Any]:
-        """The first answer and the client that got it, whose connection stays open."""
+    async def get(self, target: str) -> HedgedResponse:
+        """Return the first response to `GET target`; retries until there is one."""
         try:
             while True:
-                if not self._comes_in():
-                    self._begin(target)
+                if not self._is_receiving():
+                    self._start_request(target)
                 answered = await self._first_answered()
                 if answered is not None:
-                    return self._out.pop(answered), answered.result()
+                    return HedgedResponse(self._in_flight.pop(answered), answered.result())
         finally:
-            self._give_up(list(self._out))
+            self._cancel(list(self._in_flight))
 
-    def _comes_in(self) -> bool:
-        """Whether some of an answer has come in the latter half of the interval."""
+    def _is_receiving(self) -> bool:
+        """Return whether bytes of a response arrived in the latter half of the interval."""
         since = asyncio.get_running_loop().time() - self._interval / 2
-        return any(client.heard_at > since for client in self._out.values())
+        return any(client.last_received_at > since for client in self._in_flight.values())
 
-    def _begin(self, target: str) -> None:
-        if len(self._out) >= MOST_CALLS_OUT:
-            self._give_up([next(iter(self._out))])
+    def _start_request(self, target: str) -> None:
+        if len(self._in_flight) >= MAX_CONCURRENT_CALLS:
+            self._cancel([next(iter(self._in_flight))])
         client = self._make_client()
-        task = asyncio.get_running_loop().create_task(client.get(target, self._patience))
+        request = client.get(target, self._first_byte_timeout)
+        task = asyncio.get_running_loop().create_task(request)
         task.add_done_callback(lambda _: self._changed.set())
-        self._out[task] = client
+        self._in_flight[task] = client
 
     async def _first_answered(self) -> asyncio.Task[Any] | None:
-        """A call that is answered before the next one is due; None if there is none."""
+        """Return a request that is answered before the next one is due; None if there is none."""
         self._next_is_due = False
         timer = asyncio.get_running_loop().call_later(self._interval, self._note_due)
         try:
             while not self._next_is_due:
                 await self._changed.wait()
                 self._changed.clear()
-                for task in [task for task in self._out if task.done()]:
+                for task in [task for task in self._in_flight if task.done()]:
                     error = task.exception()
                     if error is None:
                         return task
-                    del self._out[task]
-                    self._failed(error)
+                    del self._in_flight[task]
+                    self._on_failure(error)
             return None
         finally:
             timer.cancel()
@@ -86,18 +99,16 @@
         self._next_is_due = True
         self._changed.set()
 
-    def _give_up(self, tasks: list[asyncio.Task[Any]]) -> None:
+    def _cancel(self, tasks: list[asyncio.Task[Any]]) -> None:
         for task in tasks:
-            del self._out[task]
-            if (
-                task.get_loop().is_closed()
-            ):  # it is collected behind the loop's end, and can't be told
+            del self._in_flight[task]
+            if task.get_loop().is_closed():  # garbage collection after the loop's end
                 continue
-            task.add_done_callback(_retrieve)
+            task.add_done_callback(_retrieve_exception)
             task.cancel()
 
 
-def _retrieve(task: asyncio.Task[Any]) -> None:
-    """Nobody waits for its outcome."""
+def _retrieve_exception(task: asyncio.Task[Any]) -> None:
+    """Mark the outcome of a cancelled request as seen, so that asyncio doesn't log it."""
     if not task.cancelled():
         task.exception()
--- /dev/null
+++ b/ironrail/net/lifecycle/assembly.py
@@ -0,0 +1,77 @@
+"""Builds the parts of a router from its configuration."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from dataclasses import replace
+from typing import TYPE_CHECKING
+
+from ironrail.connections.downstream.descriptor_budget import share_descriptors
+from ironrail.connections.downstream.memory_budget import MemoryBudget
+from ironrail.connections.downstream.session_manager import ClientSessionManager
+from ironrail.diagnostics.counters import ReasonCounter
+from ironrail.net.config import Config
+from ironrail.net.discovery.endpoint_list import EndpointListReader
+from ironrail.net.discovery.factory import make_endpoint_watcher
+from ironrail.net.discovery.watcher import EndpointWatcher
+from ironrail.net.dispatch.dispatcher import RequestDispatcher
+from ironrail.net.downstream.client_listener import ClientListener
+from ironrail.net.system import System
+from ironrail.operator_file import Operator
+
+if TYPE_CHECKING:
+    from ironrail.net.access_log_writer import AccessLogRecorder
+
+# A router's memory without large values, with some reserve.
+BASE_MEMORY_BYTES = 36 * 1024**2
+# One value of the largest size fits.
+MIN_VALUE_MEMORY_BYTES = 5 * 1024**2
+
+
+def make_access_log(config: Config, operator: Operator, system: System) -> AccessLogRecorder | None:
+    """Return the access log, or None if the operator's file has none."""
+    if operator.access_log is None:
+        return None
+    # imported late: a router without an access log has no threads
+    from ironrail.net.access_log_writer import AccessLogRecorder  # noqa: PLC0415
+
+    path = operator.access_log.path.replace("{index}", str(config.settings.router_index))
+    return AccessLogRecorder(replace(operator.access_log, path=path), system)
+
+
+def make_value_memory(config: Config) -> MemoryBudget:
+    """Return the memory for large values: half of what the limit leaves."""
+    available = (config.memory - BASE_MEMORY_BYTES) // 2
+    return MemoryBudget(max(MIN_VALUE_MEMORY_BYTES, available))
+
+
+def make_watcher(
+    config: Config, reader: EndpointListReader, call_results: ReasonCounter
+) -> EndpointWatcher:
+    """Return the watcher of the endpoint list."""
+    settings = config.settings
+    return make_endpoint_watcher(
+        config.discovery,
+        reader,
+        settings.polls_endpoint_list,
+        settings.router_index,
+        call_results,
+    )
+
+
+def make_client_listener(
+    config: Config,
+    dispatcher: RequestDispatcher,
+    can_serve: Callable[[], bool],
+    system: System,
+) -> ClientListener:
+    """Return the listener for clients, with its share of the file descriptors."""
+    descriptors = share_descriptors(config.sockets)
+    return ClientListener(
+        dispatcher,
+        can_serve,
+        ClientSessionManager(descriptors.clients, descriptors.kept),
+        system,
+        lingering=descriptors.lingering,
+        accepts=descriptors.accepts,
+    )
--- a/ironrail/net/lifecycle/graceful_shutdown.py
+++ b/ironrail/net/lifecycle/graceful_shutdown.py
@@ -1,4 +1,4 @@
-"""How a router ends once it is told to: until when it takes what, and by when all it holds is answered."""
+"""Graceful shutdown: the phases between SIGTERM and the exit of a router."""
 
 from __future__ import annotations
 
@@ -13,70 +13,102 @@
 if TYPE_CHECKING:
     from ironrail.net.downstream.client_listener import ClientListener
 
-# The protocol's: SIGKILL comes no sooner after SIGTERM than the longest deadline, but at most so many seconds
-LONGEST_WAIT = 3.0
-GRACE = 0.7  # and so many more
-# seconds before that by which all has its answer: the signal may be noticed late, and answers take their time
-MARGIN = 0.15
-LAST_BYTES = 0.1  # seconds of that for clients to take what is written, and to close first
-# seconds in which clients still connect: 0.4 by the protocol, and some to spare
-LAST_CONNECTIONS = 0.45
-LAST_REST = 0.55  # seconds after that in which a connection that rests may still be used
-# seconds after SIGTERM in which a command may end, where nobody else serves meanwhile
-LAST_HALVES = 1.5
-LOOK = 0.1  # seconds between looks at those that are still there
-LAST_LOOK = 0.01  # the same once all that is held is being answered
+# SIGKILL follows SIGTERM by the longest client timeout, at most this, plus the grace below.
+MAX_CLIENT_TIMEOUT_SECONDS = 3.0
+KILL_GRACE_SECONDS = 0.7
+# The signal may be noticed late, and answers take time on the wire.
+KILL_MARGIN_SECONDS = 0.15
+# For clients to read the last answers, and to close first.
+FLUSH_SECONDS = 0.1
+# The platform routes new clients to this process for 0.4 s after SIGTERM.
+ACCEPT_SECONDS = 0.45
+# After the listener is closed, how long an idle connection may still be used.
+MAX_IDLE_SECONDS = 0.55
+# How long a command may take to arrive, if no other process serves the address.
+MAX_PARTIAL_COMMAND_SECONDS = 1.5
+POLL_INTERVAL_SECONDS = 0.1
+MIN_POLL_INTERVAL_SECONDS = 0.01  # once all pending requests are being answered
 
 log = logging.getLogger(__name__)
 
 
 @dataclass(frozen=True, slots=True)
 class ShutdownSchedule:
-    """The steps of an end, in seconds after SIGTERM, each no sooner than the one before."""
+    """The phases of a shutdown, in seconds after SIGTERM; none is before the one above it."""
 
-    connections: float  # until then clients still connect
-    rest: float  # until then a connection that rests may still be used
-    halves: float  # until then a command may end, where nobody else serves meanwhile
-    answers: float  # then all that is held has its answer
-    end: float  # then the process ends, whoever is still there
+    accept_until: float  # new connections are accepted
+    idle_close_at: float  # idle connections are closed
+    partial_command_deadline: float  # incomplete commands are dropped, if no other process serves
+    response_deadline: float  # pending requests get their final answer
+    exit_at: float  # the process exits, whatever connections are left
 
 
 def shutdown_schedule(settings: Settings) -> ShutdownSchedule:
-    """As long as deadlines are: where all are short, SIGKILL comes sooner, and the steps shrink."""
+    """Return the schedule for these settings; short client timeouts shorten all phases."""
     longest = max(known.client_timeout for known in settings.classes.values())
-    answers = min(LONGEST_WAIT, longest) + GRACE - MARGIN
-    rest = LAST_CONNECTIONS + min(LAST_REST, (answers - LAST_CONNECTIONS) / 2)
-    halves = min(LAST_HALVES, (rest + answers) / 2)
-    return ShutdownSchedule(LAST_CONNECTIONS, rest, halves, answers, answers + LAST_BYTES)
+    kill_at = min(MAX_CLIENT_TIMEOUT_SECONDS, longest) + KILL_GRACE_SECONDS
+    response_deadline = kill_at - KILL_MARGIN_SECONDS
+    idle_seconds = min(MAX_IDLE_SECONDS, (response_deadline - ACCEPT_SECONDS) / 2)
+    idle_close_at = ACCEPT_SECONDS + idle_seconds
+    return ShutdownSchedule(
+        accept_until=ACCEPT_SECONDS,
+        idle_close_at=idle_close_at,
+        partial_command_deadline=min(
+            MAX_PARTIAL_COMMAND_SECONDS,
+            (idle_close_at + response_deadline) / 2,
+        ),
+        response_deadline=response_deadline,
+        exit_at=response_deadline + FLUSH_SECONDS,
+    )
 
 
-async def shut_down_gracefully(
-    clients: ClientListener,
-    settings: Settings,
-    now: Callable[[], float],
-    served: Callable[[], bool],
-    told_at: float | None = None,
-) -> None:
-    """Take what still comes, answer all that is held, and return once the last has gone or time is up.
-
-    What is closed unread has never run, as its client may ask for it again elsewhere.
+@dataclass(frozen=True, slots=True)
+class GracefulShutdown:
+    """One shutdown: accepts late clients, answers all pending requests, closes all connections.
 
-    `served`: whether another process listens at the address, asked once ours no longer does. `told_at`: when
-    SIGTERM may have come at the earliest, where the process was held up and noticed it later.
+    A command that is closed unread has never run, so its client may send it to another router.
     """
-    began, steps = now() if told_at is None else told_at, shutdown_schedule(settings)
-    await asyncio.sleep(began + steps.connections - now())
-    clients.stop_listening()
-    alone = not served()
-    await asyncio.sleep(began + steps.rest - now())
-    drained = asyncio.create_task(clients.drained())
-    while not drained.done() and (left := began + steps.answers - now()) > 0:
-        clients.end_waiting(alone and now() - began >= steps.halves)
-        await asyncio.wait([drained], timeout=max(LAST_LOOK, min(LOOK, left)))
-    if not drained.done():
-        log.warning("clients_stay_to_the_last")
-        clients.end_all()
-    while not drained.done() and now() - began < steps.end:
-        clients.end_waiting(hurry=True)
-        await asyncio.wait([drained], timeout=LAST_LOOK)
-    drained.cancel()
+
+    clients: ClientListener
+    schedule: ShutdownSchedule
+    now: Callable[[], float]  # seconds on the monotonic clock
+    started_at: float  # when SIGTERM may have arrived at the earliest
+
+    async def run(self, is_served_by_other: Callable[[], bool]) -> None:
+        """Return once all connections are closed, or at `exit_at`.
+
+        `is_served_by_other` tells whether another process listens at the address; it is called
+        once this process does not.
+        """
+        await self._sleep_until(self.schedule.accept_until)
+        self.clients.stop_listening()
+        serves_alone = not is_served_by_other()
+        await self._sleep_until(self.schedule.idle_close_at)
+        drained = asyncio.create_task(self.clients.drained())
+        await self._wait_for_responses(drained, serves_alone)
+        if not drained.done():
+            log.warning("shutdown_deadline_reached")
+            self.clients.end_all()
+        await self._wait_for_flush(drained)
+        drained.cancel()
+
+    def _elapsed(self) -> float:
+        return self.now() - self.started_at
+
+    async def _sleep_until(self, phase: float) -> None:
+        await asyncio.sleep(self.started_at + phase - self.now())
+
+    async def _wait_for_responses(self, drained: asyncio.Task[None], serves_alone: bool) -> None:
+        """Close connections as their requests are answered, until `response_deadline`."""
+        deadline = self.started_at + self.schedule.response_deadline
+        while not drained.done() and (left := deadline - self.now()) > 0:
+            partial_commands_expired = self._elapsed() >= self.schedule.partial_command_deadline
+            self.clients.end_waiting(serves_alone and partial_commands_expired)
+            timeout = max(MIN_POLL_INTERVAL_SECONDS, min(POLL_INTERVAL_SECONDS, left))
+            await asyncio.wait([drained], timeout=timeout)
+
+    async def _wait_for_flush(self, drained: asyncio.Task[None]) -> None:
+        """Let clients read the last responses, until `exit_at`."""
+        while not drained.done() and self._elapsed() < self.schedule.exit_at:
+            self.clients.end_waiting(hurry=True)
+            await asyncio.wait([drained], timeout=MIN_POLL_INTERVAL_SECONDS)
--- a/ironrail/net/lifecycle/loop_monitor.py
+++ b/ironrail/net/lifecycle/loop_monitor.py
@@ -1,4 +1,4 @@
-"""The heartbeat of the event loop: tells others how long what they read may have waited."""
+"""Heartbeat of the event loop: detects hold-ups, and since when input may have waited."""
 
 from __future__ import annotations
 
@@ -13,21 +13,28 @@
 
 
 class LoopMonitor:
-    """Runs the heartbeat on the current event loop and logs hold-ups."""
+    """Runs the heartbeat on the current event loop and logs hold-ups.
+
+    Attributes:
+        detector: Counts the hold-ups and keeps the latest.
+    """
 
     def __init__(self, system: System) -> None:
         self._system = system
         self._loop = asyncio.get_running_loop()
-        self._sampler = LogSampler(per_second=1)
+        self._log_sampler = LogSampler(per_second=1)
         self.detector = HoldUpDetector(system.now())
         self._schedule()
 
     def earliest_arrival(self) -> float:
-        """The earliest moment, on the system's clock, at which something that is read now may have come."""
+        """Return when data that is read now may have arrived at the earliest.
+
+        Seconds on the system's clock.
+        """
         return self.detector.earliest_arrival(self._system.now())
 
     def earliest_event(self) -> float:
-        """The same of a signal, or of the first bytes on a connection that was just accepted."""
+        """Return the same for a signal, or for the first bytes on a new connection."""
         return self.detector.earliest_event(self._system.now())
 
     def _schedule(self) -> None:
@@ -37,16 +44,16 @@
         now = self._system.now()
         hold_up = self.detector.beat(now)
         if hold_up is not None:
-            self._report(hold_up)
-            # Timers run before sockets are read, and what is scheduled here runs before that read too: the
-            # turn after it is the first by which everything has been read.
+            self._log_hold_up(hold_up)
+            # Timers and the callbacks they schedule run before sockets are read: only in the turn
+            # after next has everything been read.
             self._loop.call_soon(self._loop.call_soon, self.detector.caught_up, hold_up)
         self._schedule()
 
-    def _report(self, hold_up: HoldUp) -> None:
-        if self._sampler.admits(hold_up.until):
+    def _log_hold_up(self, hold_up: HoldUp) -> None:
+        if self._log_sampler.admits(hold_up.until):
             fields = {
                 "seconds": round(hold_up.seconds, 3),
-                "unlogged": self._sampler.take_suppressed(),
+                "suppressed": self._log_sampler.take_suppressed(),
             }
             log.warning("event_loop_held_up", extra=fields)
--- /dev/null
+++ b/ironrail/net/lifecycle/reload.py
@@ -0,0 +1,56 @@
+"""Reload of the configuration at SIGHUP: applies a new discovery address and nothing else."""
+
+from __future__ import annotations
+
+import logging
+import os
+from collections.abc import Callable
+from dataclasses import replace
+
+from ironrail.net.config import Config, read_config
+from ironrail.net.system import Address
+
+log = logging.getLogger(__name__)
+
+
+def read_current_config() -> Config:
+    """Read the configuration that the environment names."""
+    return read_config(dict(os.environ))
+
+
+class ConfigReloader:
+    """Holds the configuration in force and applies the part that may change while the router runs.
+
+    Attributes:
+        config: The configuration in force.
+    """
+
+    def __init__(
+        self,
+        config: Config,
+        read: Callable[[], Config],
+        relocate_discovery: Callable[[Address], None],
+    ) -> None:
+        """Start from `config`; `read` returns the latest one."""
+        self.config = config
+        self._read = read
+        self._relocate_discovery = relocate_discovery
+
+    def reload(self) -> None:
+        """Read the configuration again; an unusable one changes nothing."""
+        try:
+            latest = self._read()
+        except Exception as error:  # whatever the file holds, the router goes on
+            log.error("reload_rejected", extra={"error": str(error)})  # noqa: TRY400
+            return
+        log.info(
+            "discovery_address_changed",
+            extra={"address": "{}:{}".format(*latest.discovery)},
+        )
+        updated = replace(self.config, discovery=latest.discovery)
+        # each start has its own seed and cached list
+        if replace(latest, seed=updated.seed, known=updated.known) != updated:
+            log.warning("restart_required")
+        if updated != self.config:
+            self.config = updated
+            self._relocate_discovery(updated.discovery)
--- a/ironrail/rehearsal/experiments/worker.py
+++ b/ironrail/rehearsal/experiments/worker.py
@@ -13,12 +13,12 @@
 
 def play(world: dict[str, Any], seed: int, operator: str) -> dict[str, Any]:
     """One run, as the fields of an outcome."""
-    from ironrail.net.lifecycle.node import NO_FILE  # noqa: PLC0415 - errors of the tree are a run's, not the worker's
+    from ironrail.net.lifecycle.node import NO_OPERATOR_FILE  # noqa: PLC0415 - errors of the tree are a run's, not the worker's
     from ironrail.operator_reader import read_operator  # noqa: PLC0415
     from ironrail.rehearsal.scenario.model import Scenario  # noqa: PLC0415
     from ironrail.rehearsal.virtual.play import play_virtual  # noqa: PLC0415
 
-    settings = read_operator(operator) if operator else NO_FILE
+    settings = read_operator(operator) if operator else NO_OPERATOR_FILE
     played = play_virtual(Scenario.model_validate(world), seed, operator=settings)
     result = played.result
     return {
--- a/ironrail/rehearsal/virtual/cuts.py
+++ b/ironrail/rehearsal/virtual/cuts.py
@@ -103,7 +103,7 @@
         self._ground.network.note("cut", f"{router.name} {self._cut.task} {self._cut.how}")
         match self._cut.how:
             case CutKind.MOVES if router.node is not None:
-                router.node._discovery.leave()  # as soon after a SIGHUP
+                router.node._endpoint_watcher.relist()  # as soon after a SIGHUP
             case CutKind.TIME_UP:
                 for limit in self._limits(task):
                     limit.reschedule(self._loop.time())
--- a/ironrail/rehearsal/virtual/play.py
+++ b/ironrail/rehearsal/virtual/play.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, field
 
 from ironrail.logs import formatter
-from ironrail.net.lifecycle.node import NO_FILE
+from ironrail.net.lifecycle.node import NO_OPERATOR_FILE
 from ironrail.operator_file import Operator
 from ironrail.rehearsal.load.schedule import Planned
 from ironrail.rehearsal.losses.lay import lay
@@ -64,7 +64,7 @@
     scenario: Scenario,
     seed: int,
     *,
-    operator: Operator = NO_FILE,
+    operator: Operator = NO_OPERATOR_FILE,
     progress: Progress = lambda at, text: None,
     kept_lines: int = 0,
     schedule: list[Planned] | None = None,
@@ -107,7 +107,7 @@
     return Virtual(result, faults, lines, seconds, events, awaits, ground.decided)
 
 
-ALARMS = ('"module_failed"', '"request_lost_sight_of"', '"list_call_broken"')  # events of its log
+ALARMS = ('"module_failed"', '"request_lost_sight_of"', '"endpoint_list_call_crashed"')  # events of its log
 
 
 def _alarms(log: bytes) -> list[str]:
--- a/tests/access_log/test_access.py
+++ b/tests/access_log/test_access.py
@@ -155,8 +155,8 @@
         await until(lambda: len(rows_of(path)) == 1)
         if name == "r1":
             path.rename(tmp_path / "moved.jsonl")
-            assert world.node._access is not None
-            world.node._access.reopen()
+            assert world.node._access_log is not None
+            world.node._access_log.reopen()
     assert len(rows_of(tmp_path / "moved.jsonl")) == 1
 
 
@@ -188,7 +188,7 @@
 
 @scenario
 async def test_without_the_file_no_log_and_no_thread() -> None:
-    assert (await World().start()).node._access is None
+    assert (await World().start()).node._access_log is None
 
 
 @pytest.mark.sockets
--- a/tests/diagnostics/test_hold_up.py
+++ b/tests/diagnostics/test_hold_up.py
@@ -61,5 +61,5 @@
 
 def test_each_reason_is_counted_by_itself() -> None:
     counter = ReasonCounter("list_call", ListCallResult)
-    counter.add(ListCallResult.SILENT)
+    counter.add(ListCallResult.WATCH_TIMED_OUT)
     assert dict(counter.items())["list_call.silent"] == 1 == counter.total()
--- a/tests/diagnostics/test_request_log.py
+++ b/tests/diagnostics/test_request_log.py
@@ -48,5 +48,5 @@
     client.send(b"nonsense\r\n" * 8)
     await until(lambda: diagnostics.client_closes[ClientCloseReason.BAD_COMMANDS] == 1)
     await world.tell(world.cache.row("c", state="terminating"))
-    [*_, record] = [r for r in caplog.records if r.message == "servers_changed"]
+    [*_, record] = [r for r in caplog.records if r.message == "endpoint_list_changed"]
     assert (record.__dict__["version"], record.__dict__["draining_servers"]) == (2, ["c"])
--- a/tests/mutants/ignores_list.py
+++ b/tests/mutants/ignores_list.py
@@ -6,11 +6,13 @@
 
 from ironrail.net.discovery.watcher import EndpointWatcher
 
+from tests.mutants import replace_method
+
 RULE = "rule drains"
 
 
 def break_it() -> None:
-    def deaf(self: EndpointWatcher, message: Any, least: float) -> int:
-        return int(message["version"])
+    def deaf(self: EndpointWatcher, document: Any, min_delta_version: float) -> int:
+        return int(document["version"])
 
-    EndpointWatcher._take = deaf  # type: ignore[method-assign]
+    replace_method(EndpointWatcher, "_take", deaf)
--- a/tests/mutants/ignores_sigterm.py
+++ b/tests/mutants/ignores_sigterm.py
@@ -6,6 +6,8 @@
 
 from ironrail.net.lifecycle.node import Node
 
+from tests.mutants import replace_method
+
 RULE = "seconds to stop"
 
 
@@ -13,4 +15,4 @@
     async def stay(self: Node) -> None:
         await asyncio.Event().wait()
 
-    Node.stop = stay  # type: ignore[method-assign]
+    replace_method(Node, "stop", stay)
--- a/tests/mutants/keeps_silent_watch.py
+++ b/tests/mutants/keeps_silent_watch.py
@@ -14,7 +14,7 @@
 def break_it() -> None:
     get = DiscoveryClient.get
 
-    async def wait(self: DiscoveryClient, target: str, timeout: float, *others: Any) -> Any:
-        return await get(self, target, FOR_GOOD if "index=" in target else timeout, *others)
+    async def wait(self: DiscoveryClient, target: str, first_byte_timeout: float) -> Any:
+        return await get(self, target, FOR_GOOD if "index=" in target else first_byte_timeout)
 
     DiscoveryClient.get = wait  # type: ignore[method-assign]
--- a/tests/mutants/sends_to_drained.py
+++ b/tests/mutants/sends_to_drained.py
@@ -9,4 +9,4 @@
 
 
 def break_it() -> None:
-    endpoint_list.STATES["terminating"] = EndpointState.READY
+    endpoint_list.ENDPOINT_STATES["terminating"] = EndpointState.READY
--- a/tests/peers/__init__.py
+++ b/tests/peers/__init__.py
@@ -12,7 +12,7 @@
 import orjson
 import uvloop
 from ironrail.net.config import Config
-from ironrail.net.lifecycle.node import NO_FILE, Node
+from ironrail.net.lifecycle.node import NO_OPERATOR_FILE, Node
 from ironrail.operator_file import Operator
 from ironrail.policy.settings import Idempotency, IdempotencyScope, RequestClass, Settings
 from ironrail.rehearsal.standins.http import RequestReader
@@ -198,7 +198,7 @@
 class World:
     """A router with one cache, an origin and discovery round it."""
 
-    def __init__(self, sockets: int = 1024, operator: Operator = NO_FILE, **changes: Any) -> None:
+    def __init__(self, sockets: int = 1024, operator: Operator = NO_OPERATOR_FILE, **changes: Any) -> None:
         self.sockets, self.operator = sockets, operator
         self.settings = replace(SETTINGS, **changes)
         self.cache, self.origin, self.discovery = Peer(), Peer(read_http), Peer(read_http)
@@ -209,7 +209,8 @@
             await peer.start()
         self.node = Node(self.config(), self.operator)
         if not self.settings.polls_endpoint_list:
-            self.node._discovery._wait = WATCH_WAIT
+            watcher = self.node._endpoint_watcher
+            watcher._watch_timing = replace(watcher._watch_timing, wait=WATCH_WAIT)
         self.address = self.node.start()
         (await self.discovery.next()).respond_list(1, *self.rows())
         self.watch = await self.discovery.next()  # its coming tells that the list was taken
--- a/tests/readers_router.py
+++ b/tests/readers_router.py
@@ -46,8 +46,8 @@
 
     @property
     def readers(self) -> driver.Readers:
-        assert self.node.together is not None and self.node.together.readers is not None
-        return self.node.together.readers
+        assert self.node.peer_runtime is not None and self.node.peer_runtime.readers is not None
+        return self.node.peer_runtime.readers
 
     def connections(self) -> list[ClientConnection]:
         return self.node._clients.all()
--- a/tests/rehearsal/virtual/test_list_moves.py
+++ b/tests/rehearsal/virtual/test_list_moves.py
@@ -39,7 +39,7 @@
     assert not played.result.broken and not played.faults
     assert played.result.service.whole.share > 0.99
     for log in played.result.logs.values():
-        assert log.count('"discovery_told"') == 1
+        assert log.count('"discovery_address_changed"') == 1
 
 
 def test_a_router_that_stays_where_the_list_was_breaks_the_rule_on_drains(
@@ -49,7 +49,7 @@
 
     def deaf(self: Node, config: object, *others: object) -> None:
         reread(self, config, *others)  # type: ignore[arg-type]
-        self._reread = lambda: replace(self._config)
+        self._reloader._read = lambda: replace(self._reloader.config)
 
     monkeypatch.setattr(Node, "__init__", deaf)
     # the old place says nothing any more: what it would have told counts as told some seconds later
--- a/tests/test_hedged_call.py
+++ b/tests/test_hedged_call.py
@@ -4,8 +4,9 @@
 
 import asyncio
 
-from ironrail.net.discovery.hedged_call import MOST_CALLS_OUT, HedgedCall
+from ironrail.net.discovery.hedged_call import MAX_CONCURRENT_CALLS, HedgedCall
 from ironrail.net.discovery.http_client import DiscoveryClient
+from ironrail.net.discovery.timeouts import Timeout
 
 from tests.peers import LOCAL, Peer, read_http, scenario
 
@@ -15,25 +16,26 @@
 
 
 def call_to(peer: Peer, failures: list[BaseException]) -> HedgedCall:
-    return HedgedCall(lambda: DiscoveryClient((LOCAL, peer.port), 1.0), INTERVAL, 5.0, failures.append)
+    timeout = Timeout(connect=1.0, first_byte=5.0, rest=1.0)
+    return HedgedCall(lambda: DiscoveryClient((LOCAL, peer.port), timeout), INTERVAL, 5.0, failures.append)
 
 
 @scenario
 async def test_a_call_that_is_lost_is_overtaken_and_a_slow_one_is_still_heard() -> None:
     peer = await Peer(read_http).start()
-    answer = asyncio.create_task(call_to(peer, []).answer("/x"))
+    answer = asyncio.create_task(call_to(peer, []).get("/x"))
     first = await peer.next()
     await peer.next()
     first.respond(BODY)
-    client, message = await answer
-    assert message == {"version": 1}
-    client.close()
+    response = await answer
+    assert response.document == {"version": 1}
+    response.client.close()
 
 
 @scenario
 async def test_no_other_call_is_begun_while_an_answer_comes_in() -> None:
     peer = await Peer(read_http).start()
-    answer = asyncio.create_task(call_to(peer, []).answer("/x"))
+    answer = asyncio.create_task(call_to(peer, []).get("/x"))
     call = await peer.next()
     call.reply(HEAD % len(BODY))
     for at in range(0, len(BODY), 10):  # half a second, in which five calls would have been due
@@ -46,7 +48,7 @@
 @scenario
 async def test_an_answer_that_stops_short_is_overtaken() -> None:
     peer = await Peer(read_http).start()
-    answer = asyncio.create_task(call_to(peer, []).answer("/x"))
+    answer = asyncio.create_task(call_to(peer, []).get("/x"))
     (await peer.next()).reply(HEAD % len(BODY) + BODY[:5])
     (await peer.next()).respond(BODY)
     await answer
@@ -56,14 +58,14 @@
 async def test_calls_out_are_bounded_and_all_end_with_the_answer() -> None:
     peer = await Peer(read_http).start()
     call = call_to(peer, [])
-    answer = asyncio.create_task(call.answer("/x"))
-    for _ in range(MOST_CALLS_OUT + 2):
+    answer = asyncio.create_task(call.get("/x"))
+    for _ in range(MAX_CONCURRENT_CALLS + 2):
         last = await peer.next()
-        assert len(call._out) <= MOST_CALLS_OUT
+        assert len(call._in_flight) <= MAX_CONCURRENT_CALLS
     last.respond(BODY)
-    client, _ = await answer
-    assert not call._out
-    for _ in range(MOST_CALLS_OUT + 1):
+    client = (await answer).client
+    assert not call._in_flight
+    for _ in range(MAX_CONCURRENT_CALLS + 1):
         await peer.ended.acquire()
     client.close()
 
@@ -73,7 +75,7 @@
     peer, failures = await Peer(read_http).start(), list[BaseException]()
     loop = asyncio.get_running_loop()
     began = loop.time()
-    answer = asyncio.create_task(call_to(peer, failures).answer("/x"))
+    answer = asyncio.create_task(call_to(peer, failures).get("/x"))
     (await peer.next()).reset()
     (await peer.next()).respond(BODY)
     await answer
--- a/tests/test_node_lists.py
+++ b/tests/test_node_lists.py
@@ -7,7 +7,7 @@
 
 import orjson
 import pytest
-from ironrail.net.discovery import endpoint_list, http_client, watcher
+from ironrail.net.discovery import endpoint_list, timeouts
 from ironrail.policy import discovery_freshness
 
 from tests import peers
@@ -86,13 +86,13 @@
     reader, now = endpoint_list.EndpointListReader(), time.time()
     row = {"id": "c", "addr": "127.0.0.1:9", "state": "in_service", "started_ms": (now - 60) * 1000}
     message = {"version": 1, "full": True, "servers": [row]}
-    _, first, _ = reader.read(message)
+    first = reader.read(message).update
     monkeypatch.setattr(time, "time", lambda: now - 5)
-    _, second, _ = reader.read(message)
+    second = reader.read(message).update
     assert first == second
     assert abs(time.monotonic() - 60 - first.endpoints[0].started_at) < 1
     row["started_ms"] = now * 1000
-    _, third, _ = reader.read(message)
+    third = reader.read(message).update
     assert third.endpoints[0].started_at > first.endpoints[0].started_at
 
 
@@ -102,7 +102,7 @@
         row = {"id": str(n), "addr": "127.0.0.1:9", "started_ms": 1000.0}
         for state in ("in_service", "terminated"):
             reader.read({"version": n, "full": False, "servers": [{**row, "state": state}]})
-    assert not reader._since
+    assert not reader._start_times
 
 
 @scenario
@@ -129,7 +129,7 @@
 
 @scenario
 async def test_a_hung_watch_is_given_up_and_the_last_list_stands(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(watcher, "AGENT_PATIENCE", 0.1)
+    monkeypatch.setattr(timeouts, "AGENT_WATCH_GRACE_SECONDS", 0.1)
     monkeypatch.setattr(peers, "WATCH_WAIT", 0.1)
     world = await World().start()
     assert world.watch.head == b"GET /api/targets?index=1&wait=100"
@@ -160,7 +160,7 @@
     how: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """What it holds counts as told within seconds: it was waited for as long as for a watch."""
-    monkeypatch.setattr(http_client, "REST_PATIENCE", 0.05)
+    monkeypatch.setattr(timeouts, "RESPONSE_REST_TIMEOUT_SECONDS", 0.05)
     # calls are minutes apart after one that failed, but not after one that was spoilt
     world = World(
         polls_endpoint_list=True,
@@ -189,8 +189,8 @@
 async def test_a_call_that_nothing_answers_is_given_up_in_time_for_another(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    assert watcher.ASKED_PATIENCE + 2.0 <= 6.0  # when what it has to tell counts as told
-    monkeypatch.setattr(watcher, "ASKED_PATIENCE", 0.05)
+    assert timeouts.SERVICE_FIRST_BYTE_TIMEOUT_SECONDS + 2.0 <= 6.0  # when what it has to tell counts as told
+    monkeypatch.setattr(timeouts, "SERVICE_FIRST_BYTE_TIMEOUT_SECONDS", 0.05)
     world = await World(polls_endpoint_list=True, overload_window=0.05).start()
     world.watch.respond(b"", 503)
     assert (await world.discovery.next()).head == b"GET /api/targets"  # and nothing comes
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -8,8 +8,7 @@
 
 import pytest
 from ironrail.admin.callers import MOST_CALLERS
-from ironrail.net.lifecycle import graceful_shutdown
-from ironrail.net.lifecycle import node as node_module
+from ironrail.net.lifecycle import graceful_shutdown, handover
 from ironrail.net.lifecycle.node import Node
 
 from tests.peers import LOCAL, Client, World, connect, scenario
@@ -22,7 +21,7 @@
         return replace(super().config(), operator=(LOCAL, 0))
 
     async def ask(self, path: str, node: Node | None = None) -> tuple[int, str]:
-        caller = await connect((node or self.node).door_address)
+        caller = await connect((node or self.node).admin_pages.address)
         caller.send(f"GET /-/{path} HTTP/1.1\r\nHost: x\r\n\r\n".encode())
         head, _, body = (await caller.reader.read()).partition(b"\r\n\r\n")
         return int(head.split()[1]), body.decode()
@@ -64,7 +63,7 @@
 @scenario
 async def test_callers_that_stay_and_say_nothing_do_not_shut_the_door() -> None:
     world = await Operated().start()
-    silent = [await connect(world.node.door_address) for _ in range(2 * MOST_CALLERS)]
+    silent = [await connect(world.node.admin_pages.address) for _ in range(2 * MOST_CALLERS)]
     for caller in silent[::2]:
         caller.send(b"GET /-/rea")
     assert (await world.ask("ready"))[0] == 200
@@ -94,7 +93,7 @@
 async def test_the_second_process_does_with_the_known_list_while_there_is_no_other(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(node_module, "LIST_WAIT", 0.05)
+    monkeypatch.setattr(handover, "ENDPOINT_LIST_TIMEOUT_SECONDS", 0.05)
     world = await Operated().start()
     known = {"version": 0, "full": True, "servers": world.rows()}
     second = Node(replace(world.config(), listen=world.address, known=known))
@@ -107,8 +106,8 @@
 async def test_the_process_that_ends_serves_all_who_came_before_its_listener_closed(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(graceful_shutdown, "LAST_CONNECTIONS", 0.01)
-    monkeypatch.setattr(graceful_shutdown, "LAST_REST", 1.5)
+    monkeypatch.setattr(graceful_shutdown, "ACCEPT_SECONDS", 0.01)
+    monkeypatch.setattr(graceful_shutdown, "MAX_IDLE_SECONDS", 1.5)
     world = await Operated().start()
     used, resting = await world.client(), await world.client()
     for client in (used, resting):
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -215,7 +215,7 @@
     path.unlink() if text is None else path.write_text(text)
     process.send_signal(signal.SIGHUP)
     assert process.stderr is not None
-    while b'"configuration_stays"' not in (line := await process.stderr.readline()):
+    while b'"reload_rejected"' not in (line := await process.stderr.readline()):
         assert b"discovery" not in line
     error = json.loads(line)["error"]  # one line: file, field and mistake
     assert str(path) in error and mistake in error
--- a/tests/test_readers.py
+++ b/tests/test_readers.py
@@ -199,4 +199,4 @@
     while not world.node._clients.all():
         await asyncio.sleep(0.01)
     (connection,) = world.node._clients.all()
-    assert connection.reader is None and world.node.together is None
+    assert connection.reader is None and world.node.peer_runtime is None
--- a/tests/test_restart.py
+++ b/tests/test_restart.py
@@ -106,7 +106,7 @@
         await asyncio.sleep(0.1)  # a client's own pace
     client.get("last", wait=8000)
     assert (await client.line()).startswith(b"SERVER_ERROR ")
-    assert shutdown_schedule(settings(9.0)).end < 3.7  # SIGKILL may come then
+    assert shutdown_schedule(settings(9.0)).exit_at < 3.7  # SIGKILL may come then
     assert time.monotonic() - began < 4.5  # and a busy machine besides
     for n in range(sent):
         assert await client.value(f"r{n}") == b"v"
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -28,8 +28,9 @@
 def test_all_is_answered_before_the_platform_may_kill_whatever_the_deadlines(longest: float) -> None:
     steps = of(0.0, longest, min(longest, 0.4))
     killed = min(3.0, longest) + 0.7
-    assert 0.4 < steps.connections < steps.rest < steps.halves < steps.answers < steps.end < killed
-    assert killed - steps.answers <= 0.2  # and no request is given up sooner than it needs to be
+    assert 0.4 < steps.accept_until < steps.idle_close_at < steps.partial_command_deadline
+    assert steps.partial_command_deadline < steps.response_deadline < steps.exit_at < killed
+    assert killed - steps.response_deadline <= 0.2  # and no request is given up sooner than it needs to be
 
 
 def test_where_deadlines_are_long_the_end_is_as_late_as_it_may_be() -> None:
@@ -128,7 +129,8 @@
         await until(lambda: not connection.place.open)
         n += 1
     ending = asyncio.ensure_future(world.node.stop())
-    await asyncio.sleep(of(9.0).rest + 2 * graceful_shutdown.LOOK)  # resting ones were shut since
+    poll_interval = graceful_shutdown.POLL_INTERVAL_SECONDS
+    await asyncio.sleep(of(9.0).idle_close_at + 2 * poll_interval)  # idle ones are closed since
     client.writer.transport.resume_reading()  # type: ignore[attr-defined]
     for i in range(n):
         assert await client.value(str(i)) == b"x" * 65536
@@ -154,10 +156,10 @@
     loop = asyncio.get_running_loop()
     monkeypatch.setattr(loop.__class__, "add_signal_handler", lambda *_: None, raising=False)
     second.start()
-    assert second._late is not None and not second._listening
-    await asyncio.wait_for(second.stop(), graceful_shutdown.LAST_CONNECTIONS / 2)
+    assert second._handover._task is not None and not second._is_listening
+    await asyncio.wait_for(second.stop(), graceful_shutdown.ACCEPT_SECONDS / 2)
     await asyncio.sleep(0)
-    assert second._late.cancelled() and not second._listening
+    assert second._handover._task.cancelled() and not second._is_listening
 
 
 @scenario
@@ -165,20 +167,20 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """It went on without a listener: a process that nobody could reach."""
-    monkeypatch.setattr("ironrail.net.lifecycle.node.LIST_WAIT", 0.05)
+    monkeypatch.setattr("ironrail.net.lifecycle.handover.ENDPOINT_LIST_TIMEOUT_SECONDS", 0.05)
     world = await World().start()
     with socket.create_server((LOCAL, 0)) as taken:  # by who does not share
         node = Node(replace(world.config(), listen=taken.getsockname()[:2]))
         with pytest.raises(OSError, match="use"):
             await asyncio.wait_for(node.serve(), 5.0)
-    node._discovery.stop()
+    node._endpoint_watcher.stop()
 
 
 @scenario
 async def test_told_to_read_its_configuration_while_it_ends_it_begins_nothing_anew() -> None:
     world = await World().start()
-    world.node._reread = lambda: replace(world.config(), discovery=(LOCAL, 9))
-    task = world.node._discovery._task
+    world.node._reloader._read = lambda: replace(world.config(), discovery=(LOCAL, 9))
+    task = world.node._endpoint_watcher._task
     world.node._clients.drain()
     world.node.reload()
-    assert world.node._discovery._task is task and world.node._config.discovery[1] != 9
+    assert world.node._endpoint_watcher._task is task and world.node._reloader.config.discovery[1] != 9
--- a/tests/test_signals.py
+++ b/tests/test_signals.py
@@ -68,7 +68,7 @@
     assert process.stderr is not None
     told = await process.stderr.read()
     assert await process.wait() == 0
-    assert b"Traceback" not in told and b"discovery_told" not in told
+    assert b"Traceback" not in told and b"discovery_address_changed" not in told
     signals.cancel()
 
 
--- a/tests/test_silent_list.py
+++ b/tests/test_silent_list.py
@@ -11,9 +11,7 @@
 
 import orjson
 import pytest
-from ironrail.net.discovery import watcher
-from ironrail.net.discovery.endpoint_list import EndpointListReader
-from ironrail.net.discovery.watcher import EndpointWatcher
+from ironrail.net.discovery import timeouts
 from ironrail.policy import discovery_freshness
 
 from tests.peers import LOCAL, Peer, World, connect, read_http, scenario
@@ -44,8 +42,8 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """2 s after its wait all that it missed counts as told: by then a second call is out, in its place."""
-    monkeypatch.setattr(watcher, "WAIT", 0.2)
-    monkeypatch.setattr(watcher, "WAIT_SPREAD", 0.0)
+    monkeypatch.setattr(timeouts, "SERVICE_WATCH_WAIT_SECONDS", 0.2)
+    monkeypatch.setattr(timeouts, "SERVICE_WATCH_WAIT_SPREAD_SECONDS", 0.0)
     monkeypatch.setattr(discovery_freshness, "SPREAD", 0.0)  # of the first call
     world = await World(
         polls_endpoint_list=True,
@@ -73,7 +71,7 @@
     """Of 200 routers whose watches began at one moment no more than 13 in any second; 20 s on average."""
 
     async def waits() -> list[float]:
-        return [EndpointWatcher((LOCAL, 9), EndpointListReader(), True, n)._wait for n in range(200)]
+        return [timeouts.service_watch_timing(n).wait for n in range(200)]
 
     drawn = asyncio.run(waits())
     ends = Counter(int(wait) for wait in drawn)
--- a/tests/test_told_in_time.py
+++ b/tests/test_told_in_time.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass, field
 
 import pytest
-from ironrail.net.discovery import http_client, watcher
+from ironrail.net.discovery import timeouts
 from ironrail.policy.discovery_freshness import CROWD, MOST_PAUSE, UNTOLD, UNTOLD_MOVED, DiscoveryFreshness
 from ironrail.policy.endpoints import EndpointListKind
 from ironrail.policy.events import AttemptStatus, EndpointListUpdate
@@ -27,15 +27,15 @@
 def test_two_calls_fit_in_where_few_ask() -> None:
     """One that was out and lost when discovery could be reached again, a pause, and one that is answered."""
     answered = CROWD / 2.6  # behind all others, at the pace that was measured
-    assert watcher.ASKED_PATIENCE + MOST_PAUSE + min(answered, 1.5) <= TOLD
-    assert http_client.CONNECT_PATIENCE <= watcher.ASKED_PATIENCE
+    assert timeouts.SERVICE_FIRST_BYTE_TIMEOUT_SECONDS + MOST_PAUSE + min(answered, 1.5) <= TOLD
+    assert timeouts.SERVICE_CONNECT_TIMEOUT_SECONDS <= timeouts.SERVICE_FIRST_BYTE_TIMEOUT_SECONDS
     assert UNTOLD <= TOLD - 1.0 and UNTOLD_MOVED <= 4.0 - 1.0
 
 
 def test_two_calls_fit_in_at_an_agent() -> None:
     """What an agent has counts as told at once: within the grace of a drain, less a hold-up."""
-    silent = watcher.AGENT_WAIT + watcher.AGENT_PATIENCE
-    lost = watcher.AGENT_CALL_INTERVAL  # a call that hangs, is spoilt or finds no connection
+    silent = timeouts.AGENT_WATCH_WAIT_SECONDS + timeouts.AGENT_WATCH_GRACE_SECONDS
+    lost = timeouts.AGENT_CALL_INTERVAL_SECONDS  # a call that hangs, is spoilt or finds no connection
     assert silent + lost <= GRACE - HELD_UP
     assert 3 * lost <= GRACE - HELD_UP
 
@@ -68,7 +68,7 @@
         while due and due[0][0] < until:
             at, n = heapq.heappop(due)
             self.calls.append(at)
-            ends, listed = at + (watcher.ASKED_PATIENCE if self.hangs else 0.002), False
+            ends, listed = at + (timeouts.SERVICE_FIRST_BYTE_TIMEOUT_SECONDS if self.hangs else 0.002), False
             if at >= self.lasts:
                 ends, listed = service.call(at)
             for look in (at, ends - 1e-6):
--- a/tests/test_told_of_changes.py
+++ b/tests/test_told_of_changes.py
@@ -8,7 +8,7 @@
 
 import orjson
 import pytest
-from ironrail.net.discovery import watcher
+from ironrail.net.discovery import timeouts
 from ironrail.policy.endpoints import EndpointState
 
 from tests.peers import Peer, World, scenario, until
@@ -35,7 +35,7 @@
 async def test_a_watch_that_is_reset_is_opened_anew_at_once() -> None:
     async with followed() as (peer, _, told):
         watch = await listed(peer, told)
-        await asyncio.sleep(watcher.AGENT_CALL_INTERVAL)  # from the begin of what failed: it is over by then
+        await asyncio.sleep(timeouts.AGENT_CALL_INTERVAL_SECONDS)  # since the failed call began
         watch.reset()
         began = time.monotonic()
         await listed(peer, told, 2, DRAINS)
@@ -45,7 +45,7 @@
 @scenario
 async def test_a_watch_that_has_no_connection_yet_watches_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
     """Its connect hung for as long as a watch may wait, half a minute where all ask one service."""
-    monkeypatch.setattr(watcher, "CONNECT_PATIENCE", 0.05)
+    monkeypatch.setattr(timeouts, "SERVICE_CONNECT_TIMEOUT_SECONDS", 0.05)
     connects_come_up(monkeypatch, True, False)
     async with followed(on_request=True) as (peer, _, told):
         call = await peer.next()
@@ -73,19 +73,19 @@
 
 @scenario
 async def test_a_call_that_fails_tells_since_when_news_may_be_missed(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(watcher, "ASKED_PATIENCE", 0.2)
+    monkeypatch.setattr(timeouts, "SERVICE_FIRST_BYTE_TIMEOUT_SECONDS", 0.2)
     async with followed(on_request=True) as (peer, follows, told):
         await asyncio.sleep(0.1)
         (await peer.next()).respond(b"", 503)  # nothing is known since the start
         news = await told.next()
         assert news.kind is FAILED and news.uncertain_for is not None and news.uncertain_for > 0.09
-        follows.ask()
+        follows.poll()
         watch = await listed(peer, told)
         await asyncio.sleep(0.1)
         watch.respond(b"", 503)  # it may have waited for its turn all the time
         news = await told.next()
         assert news.kind is FAILED and news.uncertain_for is not None and news.uncertain_for > 0.09
-        follows.ask()
+        follows.poll()
         watch = await listed(peer, told)
         await asyncio.sleep(0.3)
         watch.reset()  # till then it watched
--- a/tests/told.py
+++ b/tests/told.py
@@ -11,6 +11,7 @@
 import orjson
 import pytest
 from ironrail.net.discovery.endpoint_list import EndpointListReader
+from ironrail.net.discovery.factory import make_endpoint_watcher
 from ironrail.net.discovery.watcher import EndpointWatcher
 from ironrail.net.system import Address
 from ironrail.policy.endpoints import EndpointListKind, EndpointState
@@ -53,9 +54,9 @@
 async def followed(on_request: bool = False) -> AsyncIterator[tuple[Peer, EndpointWatcher, Told]]:
     """Somebody who tells, and a router's end that is told."""
     peer, told = await Peer(read_http).start(), Told()
-    follows = EndpointWatcher((LOCAL, peer.port), EndpointListReader(), on_request)
+    follows = make_endpoint_watcher((LOCAL, peer.port), EndpointListReader(), on_request)
     follows.start(told)
-    follows.ask()
+    follows.poll()
     yield peer, follows, told
     follows.stop()
 
