--- a/ironrail/rehearsal/ground.py
+++ b/ironrail/rehearsal/ground.py
@@ -9,6 +9,7 @@
 import signal
 import time
 from collections.abc import Callable
+from functools import partial
 from pathlib import Path
 from typing import Any, Protocol
 
@@ -20,6 +21,9 @@
 YES_PATIENCE = 6.0  # seconds from its start until a process that is to take over says yes
 READY_PAUSE = 0.02
 READY_CALL = b"GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n"
+# second bytes of the loopback addresses that are used: 127.63.x.y by stand-ins, from 127.64.x.y on by routers
+STAND_INS_NETWORK = 63
+FIRST_ROUTER_NETWORK = 64
 
 
 class Router(Protocol):
@@ -76,6 +80,16 @@
         """Names the events of the run, where they can be named."""
 
 
+def _own_address(network: int) -> str:
+    """A loopback address of this process alone, so that runs beside each other never share a port.
+
+    A stand-in that is down releases its port; no other run must be given it, as routers of this one go on
+    connecting to it.
+    """
+    pid = os.getpid()
+    return f"127.{network}.{(pid >> 8) & 255}.{max(1, pid & 255)}"
+
+
 class RealGround:
     """The machine."""
 
@@ -83,15 +97,13 @@
 
     @property
     def listen(self) -> Listen:
-        return SocketListening
+        return partial(SocketListening, host=_own_address(STAND_INS_NETWORK))
 
     def __init__(self, command: tuple[str, ...]) -> None:
         self._command = command
 
     def address_of(self, number: int) -> str:
-        """An address of this process alone, so that runs beside each other never share a port."""
-        pid = os.getpid()
-        return f"127.{64 + number}.{(pid >> 8) & 255}.{max(1, pid & 255)}"
+        return _own_address(FIRST_ROUTER_NETWORK + number)
 
     def make_router(
         self, name: str, config: dict[str, Any], folder: Path, facts: RouterFacts, on_exit: OnExit
--- a/ironrail/rehearsal/standins/listening.py
+++ b/ironrail/rehearsal/standins/listening.py
@@ -45,14 +45,15 @@
     tried again by the system 1 s later.
     """
 
-    def __init__(self, port: int, accepted: Accepted) -> None:
+    def __init__(self, port: int, accepted: Accepted, host: str = LOCAL) -> None:
         self._loop = asyncio.get_running_loop()
         self._accepted = accepted
-        self._socket = socket.create_server((LOCAL, port), backlog=BACKLOG)
+        self._host = host
+        self._socket = socket.create_server((host, port), backlog=BACKLOG)
         self._socket.setblocking(False)
         self._open = True
         self.port: int = self._socket.getsockname()[1]
-        self.address = f"{LOCAL}:{self.port}"
+        self.address = f"{host}:{self.port}"
         self._fillers: list[socket.socket] = []
         self._silent = self._paused = False  # it hangs because it was told to, or as connects are to be late
         self._turn: asyncio.TimerHandle | None = None
@@ -94,7 +95,7 @@
         for _ in range(FILLERS):
             filler = socket.socket()
             filler.setblocking(False)
-            filler.connect_ex((LOCAL, self.port))
+            filler.connect_ex((self._host, self.port))
             self._fillers.append(filler)
 
     def _go_on(self) -> None:
--- /dev/null
+++ b/tests/rehearsal/test_ports.py
@@ -0,0 +1,42 @@
+"""Runs beside each other never share a port, also while a stand-in of one of them is down."""
+
+from __future__ import annotations
+
+import asyncio
+import socket
+
+import pytest
+from ironrail.rehearsal.ground import FIRST_ROUTER_NETWORK, RealGround
+from ironrail.rehearsal.standins.listening import LOCAL
+
+from tests.peers import scenario
+
+
+def host_of(address: str) -> str:
+    return address.rpartition(":")[0]
+
+
+@scenario
+async def test_the_port_of_a_stand_in_that_is_down_is_not_given_to_another_run(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    ground = RealGround(("false",))
+    stand_in = ground.listen(0, lambda connection, late: None)
+    port, host = stand_in.port, host_of(stand_in.address)
+    stand_in.close()
+    monkeypatch.setattr("os.getpid", lambda: 77)  # another run
+    other = RealGround(("false",)).listen(port, lambda connection, late: None)
+    assert other.port == port and host_of(other.address) != host
+    with pytest.raises(ConnectionRefusedError):
+        await asyncio.open_connection(host, port)
+    other.close()
+
+
+@scenario
+async def test_stand_ins_and_routers_of_one_run_have_different_addresses() -> None:
+    ground = RealGround(("false",))
+    stand_in = ground.listen(0, lambda connection, late: None)
+    assert host_of(stand_in.address) not in (LOCAL, ground.address_of(0), ground.address_of(1))
+    assert ground.address_of(0).split(".")[1] == str(FIRST_ROUTER_NETWORK)
+    with socket.create_connection((host_of(stand_in.address), stand_in.port)):
+        stand_in.close()
