--- a/benchmarks/recorded_throughput.py
+++ b/benchmarks/recorded_throughput.py
@@ -95,14 +95,14 @@
 
 def whole(path: Path) -> int:
     """An import from the file to a trace."""
-    from ironrail.access_log.names import Hasher  # noqa: PLC0415
+    from ironrail.access_log.pseudonyms import Pseudonymizer  # noqa: PLC0415
     from ironrail.recorded.formats import compile_format  # noqa: PLC0415
     from ironrail.recorded.importing import Importer  # noqa: PLC0415
     from ironrail.recorded.mapping import Mapper, Mapping  # noqa: PLC0415
     from ironrail.recorded.trace import write_trace  # noqa: PLC0415
     from ironrail.rehearsal.scenario.reader import parse  # noqa: PLC0415
 
-    mapper = Mapper(parse(Mapping, RULES, "rules"), Hasher(b"0123456789abcdef"))
+    mapper = Mapper(parse(Mapping, RULES, "rules"), Pseudonymizer(b"0123456789abcdef"))
     importer = Importer([compile_format("combined")], mapper, window=30.0, within=5.0)
     return write_trace(path.with_suffix(".trace"), importer.entries([path]))
 
--- a/benchmarks/trace_replay.py
+++ b/benchmarks/trace_replay.py
@@ -14,7 +14,7 @@
 import tempfile
 from pathlib import Path
 
-from ironrail.access_log.names import Hasher
+from ironrail.access_log.pseudonyms import Pseudonymizer
 from ironrail.recorded.entry import Entry
 from ironrail.recorded.formats import compile_format
 from ironrail.recorded.importing import Importer
@@ -73,7 +73,7 @@
 
 
 def imported(*files: Path) -> list[Entry]:
-    mapper = Mapper(parse(Mapping, RULES, "rules"), Hasher(b"0123456789abcdef"))
+    mapper = Mapper(parse(Mapping, RULES, "rules"), Pseudonymizer(b"0123456789abcdef"))
     return list(Importer([compile_format(FORMAT)], mapper, window=30.0, within=5.0).entries(files))
 
 
--- a/ironrail/access_log/__init__.py
+++ b/ironrail/access_log/__init__.py
@@ -1,1 +1,1 @@
-"""The daemon's own access log: what is kept of a request, which ones, and how much. No files, no clocks."""
+"""The daemon's access log without files or clocks: record form, sampling and rotation limit."""
--- a/ironrail/admin/__init__.py
+++ b/ironrail/admin/__init__.py
@@ -1,1 +1,1 @@
-"""The operators' door: what is asked there, who may ask, and the figures. No sockets and no clock."""
+"""Admin endpoint without sockets: HTTP calls, connection limits and metrics."""
--- a/ironrail/diagnostics/__init__.py
+++ b/ironrail/diagnostics/__init__.py
@@ -1,1 +1,1 @@
-"""What the daemon counts and logs of itself, and the invariants it checks at run time. Pure."""
+"""Counters, hold-up detection and invariant checks of one router."""
--- a/ironrail/diagnostics/counters.py
+++ b/ironrail/diagnostics/counters.py
@@ -1,18 +1,18 @@
-"""Counts of events by reason, and a bound on how often one kind of event is logged."""
+"""Counters of events by reason, and rate limits for log events."""
 
 from __future__ import annotations
 
 from collections.abc import Iterator
 from enum import StrEnum
 
-LOGGED_PER_SECOND = 4  # lines of one event; what is beyond is only counted
+MAX_LOGGED_PER_SECOND = 4  # lines of one event
 
 
 class ReasonCounter:
-    """Counts since the start, one for each member of a reason; bounded by the enum."""
+    """Counts events since the start, by the members of an enum."""
 
     def __init__(self, name: str, reasons: type[StrEnum]) -> None:
-        """`name` is the prefix in the metrics."""
+        """Use `name` as the prefix in the metrics."""
         self.name = name
         self._counts = dict.fromkeys(reasons, 0)
 
@@ -24,26 +24,30 @@
         return self._counts[reason]
 
     def total(self) -> int:
-        """All events, whatever their reason."""
+        """Return the number of events of all reasons."""
         return sum(self._counts.values())
 
     def items(self) -> Iterator[tuple[str, int]]:
-        """Names and values for the metrics."""
+        """Yield names and values for the metrics."""
         for reason, count in self._counts.items():
             yield f"{self.name}.{reason.value}", count
 
 
 class LogSampler:
-    """Bounds the log: a few lines of an event each second, with the number that was left out before."""
+    """Limits an event to a few log lines a second, and counts the suppressed ones.
 
-    def __init__(self, per_second: int = LOGGED_PER_SECOND) -> None:
+    Attributes:
+        suppressed: Lines that were not logged since the last `take_suppressed`.
+    """
+
+    def __init__(self, per_second: int = MAX_LOGGED_PER_SECOND) -> None:
         self._per_second = per_second
         self._second = -1
         self._logged = 0
         self.suppressed = 0
 
     def admits(self, now: float) -> bool:
-        """Whether one more line may be logged at `now` (seconds, a clock that only advances)."""
+        """Return whether a line may be logged at `now` (seconds, monotonic clock)."""
         second = int(now)
         if second != self._second:
             self._second = second
@@ -55,6 +59,7 @@
         return True
 
     def take_suppressed(self) -> int:
-        """The number of lines left out since the last call."""
-        suppressed, self.suppressed = self.suppressed, 0
+        """Return the number of lines suppressed since the last call."""
+        suppressed = self.suppressed
+        self.suppressed = 0
         return suppressed
--- a/ironrail/diagnostics/daemon.py
+++ b/ironrail/diagnostics/daemon.py
@@ -1,4 +1,4 @@
-"""All counters of one router besides its answers, and the log lines about single requests that went wrong."""
+"""Counters of one router by reason, and log lines about single requests that went wrong."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from ironrail.diagnostics.reasons import (
     ClientCloseReason,
     ListCallResult,
-    RefusalReason,
+    RejectionReason,
     RetryReason,
 )
 
@@ -20,72 +20,79 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptSummary:
-    """One attempt of a request, as the log tells of it."""
+    """One attempt of a request, for the log."""
 
     server: str
-    sent_after: float  # seconds since the request was taken
-    outcome: str  # a status, or `open`
+    sent_after: float  # seconds after the request was received
+    outcome: str  # a status, or `open` while it is in flight
 
     def text(self) -> str:
-        """For a field of the log."""
+        """Return the attempt as a field of the log."""
         return f"{self.server} +{self.sent_after:.3f} {self.outcome}"
 
 
 @dataclass(frozen=True, slots=True)
 class RequestSummary:
-    """A request that got its answer late or not at all."""
+    """A request that was answered late or not at all."""
 
     request: str
     request_class: str
-    patience: float  # seconds that its client waits
-    read_late: float  # seconds at most for which it had waited unread
-    age: float  # seconds since it may have come
+    client_timeout: float  # seconds until its client gives up
+    read_late: float  # seconds at most for which it waited unread
+    age: float  # seconds since it may have arrived
     attempts: tuple[AttemptSummary, ...]
 
 
 class DaemonDiagnostics:
-    """What operators need to explain an ended request, attempt or connection."""
+    """Counts why requests, attempts and connections ended, and logs requests that went wrong.
+
+    Attributes:
+        invariants: Checks the invariants of requests.
+        late_answers: Requests answered after their deadline.
+        unanswered: Requests whose client disconnected at its deadline, without an answer.
+        held_up: Times that the process did not run.
+    """
 
     def __init__(self) -> None:
-        self.refusals = ReasonCounter("refused", RefusalReason)
+        self.rejections = ReasonCounter("refused", RejectionReason)
         self.retries = ReasonCounter("retried", RetryReason)
         self.client_closes = ReasonCounter("client_closed", ClientCloseReason)
         self.list_calls = ReasonCounter("list_call", ListCallResult)
-        self.guard = InvariantGuard()
+        self.invariants = InvariantGuard()
         self.late_answers = 0
-        self.unanswered = 0  # the client waited its time and left
-        self.held_up = 0  # times that the process did not run
-        self._requests = LogSampler()
+        self.unanswered = 0
+        self.held_up = 0
+        self._request_log = LogSampler()
 
     def answered_late(self, now: float, summary: RequestSummary) -> None:
-        """A request's answer was written after its deadline."""
+        """Count and log a request that was answered after its deadline."""
         self.late_answers += 1
         self._log_request(now, "request_answered_late", summary)
 
     def left_unanswered(self, now: float, summary: RequestSummary) -> None:
-        """A client that had waited its time left before its answer was written."""
+        """Count and log a request whose client gave up before the answer was written."""
         self.unanswered += 1
         self._log_request(now, "request_left_unanswered", summary)
 
     def counts(self) -> Iterator[tuple[str, int]]:
-        """Names and values for the metrics."""
-        for counter in (self.refusals, self.retries, self.client_closes, self.list_calls):
+        """Yield names and values for the metrics."""
+        for counter in (self.rejections, self.retries, self.client_closes, self.list_calls):
             yield from counter.items()
-        yield from self.guard.violations.items()
+        yield from self.invariants.violations.items()
         yield "answered_late", self.late_answers
         yield "left_unanswered", self.unanswered
         yield "held_up", self.held_up
 
     def _log_request(self, now: float, event: str, summary: RequestSummary) -> None:
-        if not self._requests.admits(now):
+        if not self._request_log.admits(now):
             return
         fields = {
             "request": summary.request,
             "class": summary.request_class,
-            "patience": round(summary.patience, 3),
+            "client_timeout": round(summary.client_timeout, 3),
             "read_late": round(summary.read_late, 3),
             "age": round(summary.age, 3),
             "attempts": [attempt.text() for attempt in summary.attempts],
-            "suppressed": self._requests.take_suppressed(),
+            "suppressed": self._request_log.take_suppressed(),
         }
         log.warning(event, extra=fields)
--- a/ironrail/diagnostics/reasons.py
+++ b/ironrail/diagnostics/reasons.py
@@ -1,4 +1,4 @@
-"""Why requests, attempts and connections came to their end: for the metrics and the log."""
+"""Reasons why requests, attempts and connections ended, for the metrics and the log."""
 
 from __future__ import annotations
 
@@ -7,20 +7,20 @@
 from ironrail.policy.events import AttemptStatus
 
 
-class RefusalReason(StrEnum):
-    """Why a request got an answer other than a value or a receipt."""
+class RejectionReason(StrEnum):
+    """Why a request got no value and no receipt."""
 
-    NOT_SENT = "not_sent"  # no server was chosen: shed, over its limit, or no server usable
-    TIME_UP = "time_up"  # its deadline came first
-    ATTEMPT_FAILED = "attempt_failed"  # an attempt failed, and no further one was allowed
-    SHUTDOWN = "shutdown"  # the router ends
+    NOT_SENT = "not_sent"  # shed, over its limit, or no server was usable
+    DEADLINE_EXCEEDED = "time_up"  # its deadline passed
+    ATTEMPT_FAILED = "attempt_failed"  # an attempt failed, and no retry was allowed
+    SHUTDOWN = "shutdown"  # the router exits
 
 
 class RetryReason(StrEnum):
-    """Why a further attempt of a request was sent."""
+    """Why a request was retried or hedged."""
 
     MISS = "miss"  # a cache lacks the key
-    OVERDUE = "overdue"  # the previous attempt is still unanswered (hedged request)
+    OVERDUE = "overdue"  # the previous attempt is still unanswered: a hedged request
     BUSY = "busy"
     CONNECT_FAILED = "connect_failed"
     TIMEOUT = "timeout"
@@ -40,7 +40,7 @@
 
 
 def retry_reason(previous: AttemptStatus | None) -> RetryReason:
-    """Why an attempt follows one with this outcome; None where that is still out."""
+    """Return why an attempt follows one with this outcome, None for one in flight."""
     if previous is None:
         return RetryReason.OVERDUE
     return _RETRY_REASONS.get(previous, RetryReason.OTHER)
@@ -50,28 +50,32 @@
     """Why the router ended a client's connection."""
 
     IDLE = "idle"
-    UNREAD = "unread"  # the client takes no answers
-    PARTIAL_COMMAND = "partial_command"  # a command never came whole
+    UNREAD = "unread"  # the client reads no responses
+    PARTIAL_COMMAND = "partial_command"  # a command stayed incomplete
     BAD_COMMANDS = "bad_commands"
     EVICTED = "evicted"  # another client needed the descriptor
     SHUTDOWN = "shutdown"
-    MIGRATED = "migrated"  # its client belongs to another router
+    MIGRATED = "migrated"  # its client was steered to another router
 
 
 class Violation(StrEnum):
-    """An invariant that would have been broken."""
+    """An invariant that a prevented step would have broken."""
 
     STARTED_TWICE = "started_twice"  # a request with the id of one that is in flight
-    STARTED_AFTER_END = "started_after_end"  # once the router has given its last answers
-    SENT_AFTER_END = "sent_after_end"  # the request has its answer, or its client has gone
+    STARTED_AFTER_END = "started_after_end"  # after shutdown
+    SENT_AFTER_END = "sent_after_end"  # the request is answered, or its client disconnected
     SENT_AFTER_DEADLINE = "sent_after_deadline"
     SENT_TO_DRAINED = "sent_to_drained"
-    REPEATED_UNSAFE = "repeated_unsafe"  # though an earlier attempt may have run
-    REPEATED_AFTER_WINDOW = "repeated_after_window"
-    SECOND_COPY = "second_copy"  # while the first is out, where the settings forbid it
-    REFUSED_UNSAFE = "refused_unsafe"  # promised to have had no effect, though it may have run
+    RETRIED_UNSAFE = "repeated_unsafe"  # though an earlier attempt may have run
+    RETRIED_AFTER_WINDOW = "repeated_after_window"
+    HEDGED_WITHOUT_PERMISSION = (
+        "second_copy"  # while the first is in flight, where hedging is not allowed
+    )
+    REJECTED_UNSAFE = "refused_unsafe"  # answered as without effect, though it may have run
     ANSWERED_TWICE = "answered_twice"
-    CLOSED_OWING = "closed_owing"  # a client's connection, with an answer still owed
+    CLOSED_WITH_PENDING_REQUESTS = (
+        "closed_owing"  # a client's connection with an unanswered request
+    )
 
 
 class ListCallResult(StrEnum):
--- a/ironrail/net/access_log_writer.py
+++ b/ironrail/net/access_log_writer.py
@@ -1,4 +1,4 @@
-"""Writes the access log, off the path of requests: a thread of its own has the file."""
+"""Writes the access log: a thread of its own owns the file, so that no disk delays a request."""
 
 from __future__ import annotations
 
@@ -11,138 +11,155 @@
 from io import FileIO
 from pathlib import Path
 
-from ironrail.access_log.keep import Keeper, Line, RequestOutcome, Room
+from ironrail.access_log.record import AccessRecord, RecordBuffer, RequestOutcome, RotationLimit
 from ironrail.net.protocol.meta_codec import Command, read_figure
 from ironrail.net.system import REAL, System
 from ironrail.operator_file import AccessLog, OperatorError
 
 log = logging.getLogger(__name__)
 
-FLUSH = 0.5  # seconds between writes: what a killed process loses
-CHUNK = 500  # lines turned into text at once: longer would hold up the loop, which shares the interpreter
-# seconds for what is left at the end: a disk that hangs must not keep a router from ending
-LAST_FLUSH = 0.5
-OLD = ".1"  # behind the name of the file that was full
+FLUSH_INTERVAL_SECONDS = 0.5
+# Encoded at once: longer batches would hold up the event loop, which shares the interpreter.
+MAX_BATCH_RECORDS = 500
+# A hanging disk must not keep a router from exiting.
+FINAL_FLUSH_TIMEOUT_SECONDS = 0.5
+ROTATED_SUFFIX = ".1"
+MEGABYTE_BYTES = 1024**2
+MICROSECONDS_PER_SECOND = 1e6
 
 
-class Writer:
-    """The file. Used from one thread at a time."""
+class AccessLogFile:
+    """The rotating log file. Used from one thread at a time."""
 
-    def __init__(self, path: Path, most: int) -> None:
-        """Open it; OperatorError if that can't be done."""
+    def __init__(self, path: Path, max_bytes: int) -> None:
+        """Open the file.
+
+        Raises:
+            OperatorError: The file can't be opened.
+        """
         self._path = path
-        self._room = Room(most)
+        self._limit = RotationLimit(max_bytes)
         self._file: FileIO | None = None
         try:
-            self._open()
-        except OSError as e:
-            raise OperatorError(f"access_log.path: {path}: {e.strerror or e}") from e
+            self.reopen()
+        except OSError as error:
+            reason = error.strerror or error
+            raise OperatorError(f"access_log.path: {path}: {reason}") from error
 
-    def _open(self) -> None:
-        """Guards against having no file at all: where there can be no new one the old one stays."""
-        old, self._file = self._file, self._path.open("ab", buffering=0)
-        if old is not None:
-            old.close()
-        self._room.held = os.fstat(self._file.fileno()).st_size
+    def reopen(self) -> None:
+        """Open the path anew, after the file was moved away; keep the old file if that fails."""
+        previous = self._file
+        self._file = self._path.open("ab", buffering=0)
+        if previous is not None:
+            previous.close()
+        self._limit.file_bytes = os.fstat(self._file.fileno()).st_size
 
     def write(self, data: bytes) -> None:
+        """Append complete lines; start a new file first if they don't fit.
+
+        Raises:
+            OSError: The lines are lost.
+        """
         assert self._file is not None
-        held = self._room.held
-        if not self._room.takes(len(data)):
-            try:
-                os.replace(self._path, self._path.with_name(self._path.name + OLD))
-                self._open()
-            except OSError:  # these lines are lost, and shorter ones may still fit
-                self._room.held = held
-                raise
-            self._room.held = len(data)
+        if self._limit.must_rotate(len(data)):
+            os.replace(self._path, self._path.with_name(self._path.name + ROTATED_SUFFIX))
+            self.reopen()
+        self._limit.add(len(data))
         self._file.write(data)
 
-    def reopen(self) -> None:
-        """Whoever rotates files has moved this one away."""
-        self._open()
-
     def close(self) -> None:
+        """Close the file."""
         if self._file is not None:
             self._file.close()
 
 
 class AccessLogRecorder:
-    """Takes note of each request that ends, and has it written down soon."""
+    """Records completed requests and writes them in the background."""
 
-    def __init__(self, conf: AccessLog, system: System = REAL) -> None:
-        self._keeper = Keeper(conf.sample, conf.secret(), conf.hash_keys)
-        self._writer = Writer(Path(conf.path), conf.most_mb * 1024**2)
+    def __init__(self, settings: AccessLog, system: System = REAL) -> None:
+        self._buffer = RecordBuffer(settings.sample, settings.secret(), settings.hash_keys)
+        max_bytes = settings.most_mb * MEGABYTE_BYTES
+        self._file = AccessLogFile(Path(settings.path), max_bytes)
         self._system = system
         self._thread = ThreadPoolExecutor(1, "access-log")
         self._task: asyncio.Task[None] | None = None
         self._stopping = asyncio.Event()
-        self._lost = 0  # lines dropped, of which the log has been told
+        self._dropped_logged = 0  # of the buffer's dropped records
 
     def start(self) -> None:
+        """Write buffered records from now on."""
         self._task = asyncio.create_task(self._run())
 
-    def note(self, command: Command, took: float, ended: RequestOutcome, size: int) -> None:
-        """A request has ended, so many seconds after it was taken."""
+    def note(
+        self, command: Command, duration: float, outcome: RequestOutcome, value_bytes: int
+    ) -> None:
+        """Record a completed request, if it is sampled.
+
+        Args:
+            command: The request.
+            duration: Seconds since it was received.
+            outcome: How it ended.
+            value_bytes: Size of the value in its response; 0 if there is none.
+        """
         fields = command.fields
-        idempotency = fields.get("k", "")
-        if not self._keeper.keeps(idempotency.encode() or command.request_id):
+        idempotency_key = fields.get("k", "")
+        if not self._buffer.samples(idempotency_key.encode() or command.request_id):
             return
         hint = read_figure(fields, "h")
-        self._keeper.add(
-            Line(
-                self._system.wall() - took,
-                took,
-                fields["c"],
-                fields.get("t", ""),
-                command.key,
-                size or len(command.value or b""),
-                command.write,
-                ended,
-                idempotency,
-                0.0 if hint is None else hint / 1e6,
-                fields.get("r") == "1",
-            )
+        record = AccessRecord(
+            started_at=self._system.wall() - duration,
+            duration=duration,
+            request_class=fields["c"],
+            tenant=fields.get("t", ""),
+            key=command.key,
+            value_bytes=value_bytes or len(command.value or b""),
+            is_write=command.write,
+            outcome=outcome,
+            idempotency_key=idempotency_key,
+            expected_seconds=0.0 if hint is None else hint / MICROSECONDS_PER_SECOND,
+            is_retry=fields.get("r") == "1",
         )
+        self._buffer.add(record)
 
     def reopen(self) -> None:
-        """The file has been moved: begin a new one of the same name."""
-        self._thread.submit(self._guarded, self._writer.reopen)
+        """Open the file anew, after it was moved away."""
+        self._thread.submit(_log_errors, self._file.reopen)
 
     async def _run(self) -> None:
         while not self._stopping.is_set():
             with contextlib.suppress(TimeoutError):
-                async with asyncio.timeout(FLUSH):
+                async with asyncio.timeout(FLUSH_INTERVAL_SECONDS):
                     await self._stopping.wait()
             await self._flush()
 
     async def _flush(self) -> None:
-        lines = self._keeper.take()
-        for begin in range(0, len(lines), CHUNK):
-            chunk = lines[begin : begin + CHUNK]
-            await asyncio.wrap_future(self._thread.submit(self._guarded, self._write, chunk))
-        if self._keeper.dropped > self._lost:
-            log.warning("access_lines_dropped", extra={"lines": self._keeper.dropped - self._lost})
-            self._lost = self._keeper.dropped
-
-    def _write(self, lines: list[Line]) -> None:
-        self._writer.write(self._keeper.write(lines))
-
-    @staticmethod
-    def _guarded(act: Callable[..., None], *what: object) -> None:
-        """Guards service against a disk that is full or gone: the lines are lost, and the log says so."""
-        try:
-            act(*what)
-        except OSError as e:
-            log.warning("access_log_fails", extra={"error": str(e)})
+        records = self._buffer.take()
+        for start in range(0, len(records), MAX_BATCH_RECORDS):
+            batch = records[start : start + MAX_BATCH_RECORDS]
+            await asyncio.wrap_future(self._thread.submit(_log_errors, self._write, batch))
+        dropped = self._buffer.dropped - self._dropped_logged
+        if dropped > 0:
+            log.warning("access_log_lines_dropped", extra={"lines": dropped})
+            self._dropped_logged = self._buffer.dropped
+
+    def _write(self, records: list[AccessRecord]) -> None:
+        self._file.write(self._buffer.encode(records))
 
     async def stop(self) -> None:
-        """Write what is left, unless the disk holds it up."""
+        """Write what is buffered, for `FINAL_FLUSH_TIMEOUT_SECONDS` at most."""
         self._stopping.set()
         if self._task is not None:
-            done, _ = await asyncio.wait([self._task], timeout=LAST_FLUSH)
+            done, _ = await asyncio.wait([self._task], timeout=FINAL_FLUSH_TIMEOUT_SECONDS)
             if not done:
-                log.warning("access_log_is_held_up")
+                log.warning("access_log_flush_timed_out")
                 return
         self._thread.shutdown()
-        self._writer.close()
+        self._file.close()
+
+
+def _log_errors(action: Callable[..., None], *arguments: object) -> None:
+    """Run in the writer's thread; a disk that is full or gone costs lines, and no more."""
+    try:
+        action(*arguments)
+    except OSError as error:
+        log.warning("access_log_write_failed", extra={"error": str(error)})
--- a/ironrail/net/admin_server.py
+++ b/ironrail/net/admin_server.py
@@ -1,4 +1,4 @@
-"""The operators' door on sockets: one call a connection. What is answered is decided in `ironrail/admin/`."""
+"""Admin endpoint on sockets: one HTTP call a connection, with the limits of `ironrail.admin`."""
 
 from __future__ import annotations
 
@@ -8,106 +8,124 @@
 from collections.abc import Mapping
 from typing import cast
 
-from ironrail.admin.callers import Caller, Callers
-from ironrail.admin.calls import Call, Page, Post
+from ironrail.admin.connection_limit import AdminConnection, ConnectionLimit
+from ironrail.admin.http_call import Handler, HttpCall, PostHandler
 from ironrail.net.listener import Acceptor
 from ironrail.net.system import REAL, Address, System
 
-SWEEP = 0.25  # seconds between looks at those that wait
+EXPIRY_CHECK_INTERVAL_SECONDS = 0.25
 
 
-class CallerConnection(asyncio.Protocol):
-    """One caller."""
+class AdminConnectionProtocol(asyncio.Protocol):
+    """The asyncio protocol of one connection."""
 
     transport: asyncio.Transport
 
-    def __init__(self, door: AdminServer, caller: Caller) -> None:
-        self._door, self._caller = door, caller
-        self._call = Call(door.pages, door.posts)
+    def __init__(self, server: AdminServer, connection: AdminConnection) -> None:
+        self._server = server
+        self._connection = connection
+        self._call = HttpCall(server.pages, server.posts)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Register the connection, unless it was evicted meanwhile."""
         self.transport = cast(asyncio.Transport, transport)  # uvloop's is no subclass
-        if not self._door.opened(self._caller, self):
+        if not self._server.opened(self._connection, self):
             self.transport.abort()
 
     def data_received(self, data: bytes) -> None:
-        self._answer(self._call.receive(data))
+        """Parse a part of the request."""
+        self._respond(self._call.receive(data))
 
     def eof_received(self) -> None:
-        self._answer(self._call.receive(b""))  # it is closed once that is written
+        """Answer an incomplete request; asyncio closes the connection once that is written."""
+        self._respond(self._call.receive(b""))
 
-    def _answer(self, answer: bytes | None) -> None:
-        if answer is not None:
-            self.transport.write(answer)
+    def _respond(self, response: bytes | None) -> None:
+        if response is not None:
+            self.transport.write(response)
             self.transport.write_eof()
-            self._door.answered(self._caller)
+            self._server.answered(self._connection)
 
-    def overdue(self) -> None:
-        """Its time is up."""
-        if self._caller.answered:
+    def expire(self) -> None:
+        """Answer that the request timed out, or abort if a response was already sent."""
+        if self._connection.answered:
             self.transport.abort()
         else:
-            self._answer(self._call.too_late())
+            self._respond(self._call.request_timeout())
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self._door.gone(self._caller)
+        """Unregister the connection."""
+        self._server.closed(self._connection)
 
 
 class AdminServer:
-    """The listener for operators, and all that stand there."""
+    """Listens for admin calls and closes connections that exceed their limits.
+
+    Attributes:
+        pages: Handlers of GET and HEAD, by path.
+        posts: Handlers of POST, by path.
+    """
 
     def __init__(
         self,
-        pages: Mapping[str, Page],
+        pages: Mapping[str, Handler],
         system: System = REAL,
-        posts: Mapping[str, Post] | None = None,
+        posts: Mapping[str, PostHandler] | None = None,
     ) -> None:
-        self.pages, self.posts, self._system = pages, posts or {}, system
-        self._callers = Callers()
-        self._connections: dict[Caller, CallerConnection] = {}
-        self._opening: dict[Caller, asyncio.Task[None]] = {}
+        self.pages = pages
+        self.posts = posts or {}
+        self._system = system
+        self._limit = ConnectionLimit()
+        self._protocols: dict[AdminConnection, AdminConnectionProtocol] = {}
+        self._opening: dict[AdminConnection, asyncio.Task[None]] = {}
         self._loop = asyncio.get_running_loop()
 
     def listen(self, address: Address) -> Address:
-        """Take calls from now on; answers with the address listened on."""
-        self._acceptor = Acceptor(self._system, address, self._taken)
-        self._loop.call_later(SWEEP, self._sweep)
+        """Accept connections from now on; return the address listened on."""
+        self._acceptor = Acceptor(self._system, address, self._accepted)
+        self._loop.call_later(EXPIRY_CHECK_INTERVAL_SECONDS, self._close_expired)
         return self._acceptor.address
 
-    def _taken(self, connection: socket.socket) -> None:
-        caller, out = self._callers.arrived(self._system.now())
-        if out is not None and (gone := self._connections.pop(out, None)) is not None:
-            gone.transport.abort()
-        self._opening[caller] = self._loop.create_task(self._adopt(caller, connection))
+    def _accepted(self, accepted: socket.socket) -> None:
+        admission = self._limit.admit(self._system.now())
+        if admission.evicted is not None:
+            evicted = self._protocols.pop(admission.evicted, None)
+            if evicted is not None:
+                evicted.transport.abort()
+        connection = admission.connection
+        self._opening[connection] = self._loop.create_task(self._open(connection, accepted))
 
-    async def _adopt(self, caller: Caller, connection: socket.socket) -> None:
+    async def _open(self, connection: AdminConnection, accepted: socket.socket) -> None:
         try:
             await self._loop.connect_accepted_socket(
-                lambda: CallerConnection(self, caller), connection
+                lambda: AdminConnectionProtocol(self, connection), accepted
             )
-        except OSError:  # it has ended already
-            self._callers.gone(caller)
+        except OSError:  # the client has closed it already
+            self._limit.remove(connection)
             with contextlib.suppress(OSError):
-                connection.close()
+                accepted.close()
         finally:
-            del self._opening[caller]
+            del self._opening[connection]
 
-    def opened(self, caller: Caller, connection: CallerConnection) -> bool:
-        """A connection has come up; whether its caller may still stand here."""
-        if caller not in self._callers:
+    def opened(self, connection: AdminConnection, protocol: AdminConnectionProtocol) -> bool:
+        """Register a connection that has opened; return False if it was evicted meanwhile."""
+        if connection not in self._limit:
             return False
-        self._connections[caller] = connection
+        self._protocols[connection] = protocol
         return True
 
-    def answered(self, caller: Caller) -> None:
-        self._callers.answered(self._system.now(), caller)
-
-    def gone(self, caller: Caller) -> None:
-        self._callers.gone(caller)
-        self._connections.pop(caller, None)
-
-    def _sweep(self) -> None:
-        for caller in self._callers.overdue(self._system.now()):
-            if (connection := self._connections.get(caller)) is not None:
-                connection.overdue()
-        self._loop.call_later(SWEEP, self._sweep)
+    def answered(self, connection: AdminConnection) -> None:
+        """Note that a connection has its response."""
+        self._limit.answered(self._system.now(), connection)
+
+    def closed(self, connection: AdminConnection) -> None:
+        """Unregister a closed connection."""
+        self._limit.remove(connection)
+        self._protocols.pop(connection, None)
+
+    def _close_expired(self) -> None:
+        for connection in self._limit.expired(self._system.now()):
+            protocol = self._protocols.get(connection)
+            if protocol is not None:
+                protocol.expire()
+        self._loop.call_later(EXPIRY_CHECK_INTERVAL_SECONDS, self._close_expired)
--- a/ironrail/net/dispatch/dispatcher.py
+++ b/ironrail/net/dispatch/dispatcher.py
@@ -5,7 +5,7 @@
 import logging
 from collections.abc import Callable
 
-from ironrail.access_log.keep import RequestOutcome
+from ironrail.access_log.record import RequestOutcome
 from ironrail.connections.downstream.memory_budget import MemoryBudget
 from ironrail.diagnostics.daemon import DaemonDiagnostics
 from ironrail.diagnostics.reasons import retry_reason
@@ -84,7 +84,7 @@
     def metrics(self) -> bytes:
         """All that operators may ask for, in the form of statsd."""
         self.diagnostics.held_up = self.monitor.detector.count
-        return self.figures.lines(self.gauges(), self.diagnostics.counts())
+        return self.figures.render(self.gauges(), self.diagnostics.counts())
 
     def take(
         self, command: Command, answer: Answer, passage: ResponseStream | None = None
@@ -113,7 +113,7 @@
         ):
             answer(b"CLIENT_ERROR id in use\r\n")
             return None
-        if not self.diagnostics.guard.may_start(
+        if not self.diagnostics.invariants.may_start(
             self._now(), name, name in self._held, self._ending
         ):
             answer(meta_codec.write_busy(None))
@@ -159,9 +159,11 @@
             self._withdraw(held)
             if self._now() >= held.deadline:
                 self.diagnostics.left_unanswered(self._now(), self._summary(held))
-            held.ended(self._now(), RequestOutcome.LEFT)
+            held.ended(self._now(), RequestOutcome.CLIENT_DISCONNECTED)
             if self._note is not None:
-                self._note(held.command, self._now() - held.taken_at, RequestOutcome.LEFT, 0)
+                self._note(
+                    held.command, self._now() - held.taken_at, RequestOutcome.CLIENT_DISCONNECTED, 0
+                )
             if held.streaming is not None:
                 self._give_up(name, held.streaming.number, AttemptStatus.CANCELLED)
             self._feed(ClientDisconnected(name))
--- a/ironrail/net/dispatch/pending_request.py
+++ b/ironrail/net/dispatch/pending_request.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass, field
 from typing import Protocol
 
-from ironrail.access_log.keep import RequestOutcome
+from ironrail.access_log.record import RequestOutcome
 from ironrail.net.protocol.meta_codec import Command
 from ironrail.net.upstream.connection import Attempt
 
--- a/ironrail/net/dispatch/response_tracker.py
+++ b/ironrail/net/dispatch/response_tracker.py
@@ -5,12 +5,12 @@
 import logging
 from collections.abc import Callable
 
-from ironrail.access_log.keep import RequestOutcome
-from ironrail.admin.figures import Figures
+from ironrail.access_log.record import RequestOutcome
+from ironrail.admin.metrics import RequestMetrics
 from ironrail.connections.downstream.memory_budget import MemoryBudget
 from ironrail.diagnostics.daemon import AttemptSummary, DaemonDiagnostics, RequestSummary
 from ironrail.diagnostics.invariants import EarlierAttempt, Sending
-from ironrail.diagnostics.reasons import RefusalReason
+from ironrail.diagnostics.reasons import RejectionReason
 from ironrail.net.dispatch.pending_request import InFlightRequest
 from ironrail.net.dispatch.policy_driver import PolicyDriver
 from ironrail.net.protocol import meta_codec
@@ -64,7 +64,7 @@
         super().__init__(router, system, returned)
         self._note = note
         self.room = room or MemoryBudget(MOST_ROOM)
-        self.figures = Figures(router.settings.classes)
+        self.figures = RequestMetrics(router.settings.classes)
         self.diagnostics = diagnostics or DaemonDiagnostics()
         self._ending = False
         self._held: dict[str, InFlightRequest] = {}
@@ -117,7 +117,7 @@
 
     def _finish(self, held: InFlightRequest, answer: bytes, counts: dict[str, int]) -> None:
         """Give the one final answer of a request."""
-        if not self.diagnostics.guard.may_answer(
+        if not self.diagnostics.invariants.may_answer(
             self._now(), held.request, held.request in self._held
         ):
             return
@@ -128,7 +128,7 @@
         """A request ends: it is counted, and owed nothing more."""
         counts[held.command.fields["c"]] += 1
         if counts is not self.figures.success:
-            self.diagnostics.refusals.add(self._refusal_reason(held))
+            self.diagnostics.rejections.add(self._refusal_reason(held))
         if self._now() > held.deadline + LATE_SECONDS:
             self.diagnostics.answered_late(self._now(), self._summary(held))
         del self._held[held.request]
@@ -141,7 +141,7 @@
         ended = (
             RequestOutcome.SERVED
             if served
-            else RequestOutcome.REFUSED
+            else RequestOutcome.REJECTED
             if refused
             else RequestOutcome.FAILED
         )
@@ -156,12 +156,12 @@
 
     # What the log and the metrics tell
 
-    def _refusal_reason(self, held: InFlightRequest) -> RefusalReason:
+    def _refusal_reason(self, held: InFlightRequest) -> RejectionReason:
         if self._ending:
-            return RefusalReason.SHUTDOWN
+            return RejectionReason.SHUTDOWN
         if self._now() >= held.deadline:
-            return RefusalReason.TIME_UP
-        return RefusalReason.ATTEMPT_FAILED if held.attempts else RefusalReason.NOT_SENT
+            return RejectionReason.DEADLINE_EXCEEDED
+        return RejectionReason.ATTEMPT_FAILED if held.attempts else RejectionReason.NOT_SENT
 
     def _summary(self, held: InFlightRequest) -> RequestSummary:
         attempts = tuple(
@@ -183,7 +183,7 @@
         """The last look before an attempt is written."""
         held = self._held.get(attempt.request)
         request_class = self._router.settings.classes[attempt.command.fields["c"]]
-        guard = self.diagnostics.guard
+        guard = self.diagnostics.invariants
         known = guard.violations.total()
         allowed = guard.may_send(
             Sending(
@@ -208,7 +208,7 @@
         """Answer that the request had no effect, where that is sure."""
         effect = self._router.settings.classes[held.command.fields["c"]].idempotency
         written = _written(held, len(held.attempts))
-        if self.diagnostics.guard.may_refuse(self._now(), held.request, effect, written):
+        if self.diagnostics.invariants.may_reject(self._now(), held.request, effect, written):
             self._finish(held, meta_codec.write_busy(retry_after), self.figures.busy)
         else:
             self._finish(held, meta_codec.FAILED, self.figures.failure)
--- a/ironrail/net/downstream/client_connection.py
+++ b/ironrail/net/downstream/client_connection.py
@@ -204,7 +204,7 @@
             return
         diagnostics = self._clients.host.diagnostics
         if reason is not None:
-            if not diagnostics.guard.may_close(self._clients.system.now(), self._owed()):
+            if not diagnostics.invariants.may_close(self._clients.system.now(), self._owed()):
                 return
             diagnostics.client_closes.add(reason)
         self.place.ending = True
--- a/ironrail/net/lifecycle/admin_pages.py
+++ b/ironrail/net/lifecycle/admin_pages.py
@@ -6,7 +6,7 @@
 from http import HTTPStatus
 from typing import TYPE_CHECKING
 
-from ironrail.admin.calls import Answer, Page, Post
+from ironrail.admin.http_call import Handler, PostHandler, Response
 from ironrail.net.admin_server import AdminServer
 from ironrail.net.dispatch.dispatcher import RequestDispatcher
 from ironrail.net.downstream.client_listener import ClientListener
@@ -38,19 +38,19 @@
 
     def listen(self, address: Address, system: System, peer_runtime: PeerRuntime | None) -> None:
         """Accept calls at `address`, also for the pages of `peer_runtime`."""
-        pages: dict[str, Page] = {"/-/ready": self._ready, "/-/metrics": self._metrics}
-        posts: dict[str, Post] = {}
+        pages: dict[str, Handler] = {"/-/ready": self._ready, "/-/metrics": self._metrics}
+        posts: dict[str, PostHandler] = {}
         if peer_runtime is not None:
             pages |= peer_runtime.pages()
             posts = peer_runtime.posts()
         self._server = AdminServer(pages, system, posts)
         self.address = self._server.listen(address)
 
-    def _ready(self) -> Answer:
+    def _ready(self) -> Response:
         if self._is_listening() and self._clients.can_serve():
-            return Answer(HTTPStatus.OK, b"ready\n")
+            return Response(HTTPStatus.OK, b"ready\n")
         reason = b"stopping\n" if self._clients.places.draining else b"not ready\n"
-        return Answer(HTTPStatus.SERVICE_UNAVAILABLE, reason)
+        return Response(HTTPStatus.SERVICE_UNAVAILABLE, reason)
 
-    def _metrics(self) -> Answer:
-        return Answer(HTTPStatus.OK, self._dispatcher.metrics())
+    def _metrics(self) -> Response:
+        return Response(HTTPStatus.OK, self._dispatcher.metrics())
--- a/ironrail/net/lifecycle/node.py
+++ b/ironrail/net/lifecycle/node.py
@@ -124,7 +124,7 @@
         return self._host.can_serve() and (self.peer_runtime is None or self.peer_runtime.ready())
 
     def _attempt_written(self) -> None:
-        self._host.figures.wrote()
+        self._host.figures.attempt_written()
 
     def _link_observer(self, zone: str) -> LinkObserver | None:
         return self.peer_runtime.watch(zone) if self.peer_runtime is not None else None
--- a/ironrail/net/peers/admin_documents.py
+++ b/ironrail/net/peers/admin_documents.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from ironrail.admin.calls import Answer
+from ironrail.admin.http_call import Response
 from ironrail.errors import InputError
 from ironrail.peers.consensus import policy as p
 from ironrail.peers.consensus.errors import VotersError
@@ -59,6 +59,6 @@
     return {name: msgspec.to_builtins(row) for name, row in said.items() if row or name == "version"}
 
 
-def line(status: int, text: str) -> Answer:
+def line(status: int, text: str) -> Response:
     """What is said in a line, cut where it is long."""
-    return Answer(status, text[:MOST_TOLD].encode() + b"\n")
+    return Response(status, text[:MOST_TOLD].encode() + b"\n")
--- a/ironrail/net/peers/link_evidence.py
+++ b/ironrail/net/peers/link_evidence.py
@@ -7,7 +7,7 @@
 from collections import deque
 from typing import TYPE_CHECKING
 
-from ironrail.access_log.keep import RequestOutcome
+from ironrail.access_log.record import RequestOutcome
 from ironrail.net.system import System
 from ironrail.peers.steering.regions import Regions
 from ironrail.peers.steering.room import RegionsRoom
@@ -56,7 +56,7 @@
 
     def ended(self, one: One, request_class: str, seconds: float, ended: RequestOutcome) -> None:
         """A request's end. Of one that was not served only that counts: a refusal is quick."""
-        served, early = ended is RequestOutcome.SERVED, ended is RequestOutcome.LEFT
+        served, early = ended is RequestOutcome.SERVED, ended is RequestOutcome.CLIENT_DISCONNECTED
         in_time = served and seconds + one.rtt <= self._classes[request_class].latency_objective
         took = seconds if served or early else math.inf
         self._room.served(self._system.now(), one.region, request_class, took, in_time, early)
--- a/ironrail/net/peers/policies.py
+++ b/ironrail/net/peers/policies.py
@@ -17,7 +17,7 @@
 import msgspec
 import orjson
 
-from ironrail.admin.calls import Answer
+from ironrail.admin.http_call import Response
 from ironrail.errors import InputError, RefusedError
 from ironrail.net.peers import admin_documents
 from ironrail.net.peers.record_store import Keeper, RecordError, Store
@@ -178,9 +178,9 @@
 
     # The operators' door
 
-    def page(self) -> Answer:
+    def page(self) -> Response:
         """What is in force here, as JSON."""
-        return Answer(
+        return Response(
             200, orjson.dumps(self._told(), option=orjson.OPT_INDENT_2 | orjson.OPT_NON_STR_KEYS) + b"\n"
         )
 
@@ -208,7 +208,7 @@
     def _state(ticket: Ticket) -> str:
         return "under way" if ticket.open else "in force" if ticket.in_force else "refused"
 
-    def propose(self, body: bytes) -> Answer:
+    def propose(self, body: bytes) -> Response:
         """A policy as TOML: 202 once it is under way, 409 where it can't be now, 400 where it is none.
 
         With `voters` beside it these take the place of those in force; with `version` and `voters` alone the
@@ -225,7 +225,7 @@
         self._go_on()
         return admin_documents.line(202, f"version {self.ticket.ref.version} is under way: ask for its state")
 
-    def found(self, body: bytes) -> Answer:
+    def found(self, body: bytes) -> Response:
         """By hand, the first time or where the voters' memory is lost: a policy with `epoch` beside it."""
         try:
             table = admin_documents.table(body)
--- a/ironrail/net/peers/readers.py
+++ b/ironrail/net/peers/readers.py
@@ -13,7 +13,7 @@
 import msgspec
 import orjson
 
-from ironrail.admin.calls import Answer, Page
+from ironrail.admin.http_call import Handler, Response
 from ironrail.errors import InputError, IronrailError, RefusedError
 from ironrail.net.peers.link_evidence import Evidence, One
 from ironrail.operator_file import Operator
@@ -225,10 +225,10 @@
 
     # The operators' door
 
-    def pages(self) -> dict[str, Page]:
+    def pages(self) -> dict[str, Handler]:
         return {"/-/regions": self._page}
 
-    def _page(self) -> Answer:
+    def _page(self) -> Response:
         """Rows in force and what is known, as JSON; 503 where there are no rows."""
         now = self._system.now()
         self._follow(now)
@@ -250,4 +250,4 @@
         if self._refused is not None:
             told["refused"] = {"type": type(self._refused).__name__, "told": self._refused.told()}
         told["let_go"] = self.let_go
-        return Answer(200 if error is None else 503, orjson.dumps(told, option=orjson.OPT_INDENT_2) + b"\n")
+        return Response(200 if error is None else 503, orjson.dumps(told, option=orjson.OPT_INDENT_2) + b"\n")
--- a/ironrail/net/peers/runtime.py
+++ b/ironrail/net/peers/runtime.py
@@ -10,7 +10,7 @@
 
 import orjson
 
-from ironrail.admin.calls import Answer, Page, Post
+from ironrail.admin.http_call import Handler, PostHandler, Response
 from ironrail.net.config import Config, ConfigError
 from ironrail.net.peers.node_identity import NodeIdentity
 from ironrail.net.peers.policies import Place, Policies
@@ -39,7 +39,7 @@
     def settled(self) -> None:
         """Called after each event at the peers' end: hand over what the room has for whoever decides."""
 
-    def pages(self) -> dict[str, Page]:
+    def pages(self) -> dict[str, Handler]:
         """For the operators' door."""
 
     def close(self) -> None:
@@ -136,22 +136,22 @@
         if self.policies is not None:
             self.policies.check(now)
 
-    def pages(self) -> dict[str, Page]:
+    def pages(self) -> dict[str, Handler]:
         """For the operators' door."""
-        pages: dict[str, Page] = {"/-/peers": self._figures}
+        pages: dict[str, Handler] = {"/-/peers": self._figures}
         if self.policies is not None:
             pages["/-/policy"] = self.policies.page
         for part in self.parts:
             pages |= part.pages()
         return pages
 
-    def posts(self) -> dict[str, Post]:
+    def posts(self) -> dict[str, PostHandler]:
         if self.policies is None:
             return {}
         return {"/-/policy": self.policies.propose, "/-/policy/found": self.policies.found}
 
-    def _figures(self) -> Answer:
-        return Answer(200, orjson.dumps(self.peering.figures(), option=orjson.OPT_INDENT_2) + b"\n")
+    def _figures(self) -> Response:
+        return Response(200, orjson.dumps(self.peering.figures(), option=orjson.OPT_INDENT_2) + b"\n")
 
     def _settled(self) -> None:
         if self.policies is not None:
--- a/ironrail/net/peers/zone_latency.py
+++ b/ironrail/net/peers/zone_latency.py
@@ -7,7 +7,7 @@
 
 import orjson
 
-from ironrail.admin.calls import Answer, Page
+from ironrail.admin.http_call import Handler, Response
 from ironrail.net.peers.node_identity import NodeIdentity
 from ironrail.peers.zone_latency.echoes import Echoing
 from ironrail.peers.zone_latency.facts import HallsSeen
@@ -83,10 +83,10 @@
             )
         )
 
-    def pages(self) -> dict[str, Page]:
+    def pages(self) -> dict[str, Handler]:
         return {"/-/halls": self._page}
 
-    def _page(self) -> Answer:
+    def _page(self) -> Response:
         """What is decided by, as JSON; figures that nobody knows are null."""
         now = self._system.now()
         links = [
@@ -102,7 +102,7 @@
             for link in self._seen.links
         ]
         told = {"hall": self._seen.hall, "version": self._seen.version, "links": links}
-        return Answer(200, orjson.dumps(told, option=orjson.OPT_INDENT_2) + b"\n")
+        return Response(200, orjson.dumps(told, option=orjson.OPT_INDENT_2) + b"\n")
 
     def close(self) -> None:
         """Nothing is held."""
--- a/ironrail/operator_file.py
+++ b/ironrail/operator_file.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass, field
 from pathlib import Path
 
-from ironrail.access_log.names import LEAST_SECRET, MOST_SECRET
+from ironrail.access_log.pseudonyms import MAX_SECRET_BYTES, MIN_SECRET_BYTES
 from ironrail.connections.upstream.socket_budget import places_each
 from ironrail.errors import InputError
 
@@ -101,6 +101,6 @@
         secret = Path(path).read_bytes().strip()
     except OSError as e:
         raise OperatorError(e.strerror or str(e), path) from e
-    if not LEAST_SECRET <= len(secret) <= MOST_SECRET:
-        raise OperatorError(f"must hold {LEAST_SECRET} to {MOST_SECRET} bytes", path)
+    if not MIN_SECRET_BYTES <= len(secret) <= MAX_SECRET_BYTES:
+        raise OperatorError(f"must hold {MIN_SECRET_BYTES} to {MAX_SECRET_BYTES} bytes", path)
     return secret
--- a/ironrail/recorded/mapping.py
+++ b/ironrail/recorded/mapping.py
@@ -15,7 +15,7 @@
 
 from pydantic import BaseModel, ConfigDict, Field, PrivateAttr, field_validator, model_validator
 
-from ironrail.access_log.names import Hasher
+from ironrail.access_log.pseudonyms import Pseudonymizer
 from ironrail.recorded.entry import LONGEST_KEY, LONGEST_NAME, Entry, Malformed, Raw
 from ironrail.recorded.formats import SECRET
 from ironrail.rehearsal.scenario.model import NAME
@@ -134,7 +134,7 @@
 class Mapper:
     """Applies the rules, and counts what none fits."""
 
-    def __init__(self, mapping: Mapping, hasher: Hasher) -> None:
+    def __init__(self, mapping: Mapping, hasher: Pseudonymizer) -> None:
         self._rules, self._hash = mapping.rules, hasher
         self.unmapped: Counter[str] = Counter()
 
--- a/ironrail/recorded/options.py
+++ b/ironrail/recorded/options.py
@@ -12,7 +12,7 @@
 
 import click
 
-from ironrail.access_log.names import Hasher
+from ironrail.access_log.pseudonyms import Pseudonymizer
 from ironrail.recorded.formats import FormatError
 from ironrail.recorded.sources import SourceError
 from ironrail.recorded.trace import TraceError
@@ -67,10 +67,10 @@
     return datetime.fromtimestamp(at, UTC).isoformat(timespec="milliseconds")
 
 
-def hasher_of(file: Path | None) -> Hasher:
+def hasher_of(file: Path | None) -> Pseudonymizer:
     if file is None:
-        return Hasher(os.urandom(32))
+        return Pseudonymizer(os.urandom(32))
     try:
-        return Hasher(file.read_bytes().strip())
+        return Pseudonymizer(file.read_bytes().strip())
     except ValueError as e:
         raise TraceError(f"{file}: {e}") from e
--- a/ironrail/rehearsal/links/tierrouter.py
+++ b/ironrail/rehearsal/links/tierrouter.py
@@ -10,7 +10,7 @@
 from types import SimpleNamespace
 from typing import Any, Protocol
 
-from ironrail.admin.calls import Answer
+from ironrail.admin.http_call import Response
 from ironrail.net.config import config_of_table
 from ironrail.net.peers import transport as transport_module
 from ironrail.net.peers.policies import Policies
@@ -139,15 +139,15 @@
         assert self.together is not None and self.together.policies is not None
         return self.together.policies
 
-    def propose(self, version: int) -> Answer:
+    def propose(self, version: int) -> Response:
         """Ask it for a change, as an operator would."""
         return self._called(self.policies.propose, f"version = {version}\nrates = {{ daily = {version} }}\n")
 
-    def found(self, epoch: int = 1, version: int = 1) -> Answer:
+    def found(self, epoch: int = 1, version: int = 1) -> Response:
         """The first policy, by hand."""
         return self._called(self.policies.found, f"epoch = {epoch}\nversion = {version}\n")
 
-    def _called(self, call: Callable[[bytes], Answer], text: str) -> Answer:
+    def _called(self, call: Callable[[bytes], Response], text: str) -> Response:
         assert self.process is not None
         return self.process.context.run(call, text.encode())
 
--- a/ironrail/rehearsal/virtual/invariants.py
+++ b/ironrail/rehearsal/virtual/invariants.py
@@ -35,7 +35,7 @@
 def _of_node(node: Node) -> Iterator[tuple[str, str]]:
     host, clients = node._host, node._clients
     policy = host._router
-    yield from _of_guard(host.diagnostics.guard)
+    yield from _of_guard(host.diagnostics.invariants)
     if host._held:
         yield "held", f"{len(host._held)} requests still held by the host: {list(host._held)[:3]}"
     room = host.room
--- a/tests/access_log/test_access.py
+++ b/tests/access_log/test_access.py
@@ -12,8 +12,8 @@
 import pytest
 from hypothesis import given
 from hypothesis import strategies as st
-from ironrail.access_log.keep import Keeper, Line, RequestOutcome, Room
-from ironrail.net.access_log_writer import Writer
+from ironrail.access_log.record import AccessRecord, RecordBuffer, RequestOutcome, RotationLimit
+from ironrail.net.access_log_writer import AccessLogFile
 from ironrail.operator_file import AccessLog, Operator, OperatorError
 from ironrail.operator_reader import read_operator
 from ironrail.recorded.importing import FOLDED
@@ -30,50 +30,59 @@
 SECRET = b"0123456789abcdef"
 
 
-def line(number: int = 0, **fields: Any) -> Line:
-    given = {"at": 1_796_020_200.0 + number, "took": 0.25, "kind": "read", "title": "daily", "key": b"k"}
+def line(number: int = 0, **fields: Any) -> AccessRecord:
+    given = {
+        "started_at": 1_796_020_200.0 + number,
+        "duration": 0.25,
+        "request_class": "read",
+        "tenant": "daily",
+        "key": b"k",
+    }
     given |= {
-        "size": 7,
-        "write": False,
-        "ended": RequestOutcome.SERVED,
-        "idempotency": "",
-        "hint": 0.0,
-        "again": False,
+        "value_bytes": 7,
+        "is_write": False,
+        "outcome": RequestOutcome.SERVED,
+        "idempotency_key": "",
+        "expected_seconds": 0.0,
+        "is_retry": False,
     }
-    return Line(**{**given, "hint": 0.0, "again": False, **fields})
+    return AccessRecord(**{**given, **fields})
 
 
 def test_what_waits_is_bounded_and_what_is_dropped_is_counted() -> None:
-    keeper = Keeper(1.0, SECRET, False, most=3)
+    keeper = RecordBuffer(1.0, SECRET, False, max_records=3)
     for number in range(5):
         keeper.add(line(number))
-    assert [one.at for one in keeper.take()] == [1_796_020_200.0 + n for n in range(3)]
+    assert [one.started_at for one in keeper.take()] == [1_796_020_200.0 + n for n in range(3)]
     assert keeper.dropped == 2 and keeper.take() == []
 
 
 @given(st.floats(0.01, 1.0), st.lists(st.binary(min_size=1, max_size=16), min_size=1))
 def test_a_sample_keeps_the_repeats_of_a_key_together(sample: float, names: list[bytes]) -> None:
-    one, other = Keeper(sample, SECRET, False), Keeper(sample, b"another secret  ", True)
-    assert [one.keeps(name) for name in names] == [other.keeps(name) for name in names]
+    one, other = RecordBuffer(sample, SECRET, False), RecordBuffer(sample, b"another secret  ", True)
+    assert [one.samples(name) for name in names] == [other.samples(name) for name in names]
 
 
 def test_a_sample_is_the_share_that_was_asked_for() -> None:
-    keeper = Keeper(0.25, SECRET, False)
-    assert 2300 < sum(keeper.keeps(b"%d" % n) for n in range(10_000)) < 2700
+    keeper = RecordBuffer(0.25, SECRET, False)
+    assert 2300 < sum(keeper.samples(b"%d" % n) for n in range(10_000)) < 2700
 
 
 @given(st.lists(st.integers(1, 50), max_size=60), st.integers(10, 100))
 def test_no_file_holds_more_than_it_may(sizes: list[int], most: int) -> None:
-    room, held = Room(most), 0
+    limit, held = RotationLimit(most), 0
     for size in sizes:
-        held = held + size if room.takes(size) else size
-        assert held == room.held and held <= max(most, size)
+        if limit.must_rotate(size):
+            limit.file_bytes = held = 0
+        limit.add(size)
+        held += size
+        assert held == limit.file_bytes and held <= max(most, size)
 
 
 def test_names_are_hashed_and_tell_one_from_another() -> None:
-    keeper = Keeper(1.0, SECRET, True)
-    rows = [line(key=b"sub-7", idempotency="spend-1"), line(key=b"sub-7"), line(key=b"sub-8")]
-    text = keeper.write(rows).decode()
+    keeper = RecordBuffer(1.0, SECRET, True)
+    rows = [line(key=b"sub-7", idempotency_key="spend-1"), line(key=b"sub-7"), line(key=b"sub-8")]
+    text = keeper.encode(rows).decode()
     told = [json.loads(row) for row in text.splitlines()]
     assert "sub-" not in text and "spend" not in text
     assert told[0]["key"] == told[1]["key"] != told[2]["key"] and told[1]["k"] == ""
@@ -82,7 +91,7 @@
 def test_a_full_file_makes_way_and_is_kept_once(tmp_path: Path) -> None:
     path = tmp_path / "a.jsonl"
     path.write_bytes(b"old\n")
-    writer = Writer(path, 10)
+    writer = AccessLogFile(path, 10)
     for data in (b"one\n", b"two\n", b"three\n", b"four\n"):
         writer.write(data)
     writer.close()
@@ -94,7 +103,7 @@
     """It was closed first, and nothing was written any more, even once a new one could be had."""
     folder = tmp_path / "logs"
     folder.mkdir()
-    writer = Writer(folder / "a.jsonl", 8)
+    writer = AccessLogFile(folder / "a.jsonl", 8)
     writer.write(b"one\n")
     folder.rename(tmp_path / "moved")
     for act in (writer.reopen, lambda: writer.write(b"too long\n")):
@@ -168,7 +177,7 @@
         client.get("r1")
         (await world.cache.next()).reply_value(b"v")
         assert await client.value("r1") == b"v"
-        await until(lambda: any(record.message == "access_log_fails" for record in caplog.records))
+        await until(lambda: any(record.message == "access_log_write_failed" for record in caplog.records))
         client.get("r2")
         (await world.cache.next()).reply_value(b"v")
         assert await client.value("r2") == b"v"
@@ -230,7 +239,7 @@
 
 def test_files_that_can_not_be_opened_are_named(tmp_path: Path) -> None:
     with pytest.raises(OperatorError, match="no/where"):
-        Writer(tmp_path / "no" / "where", 10)
+        AccessLogFile(tmp_path / "no" / "where", 10)
     with pytest.raises(OperatorError, match="nokey"):
         AccessLog("/x", hash_key=str(tmp_path / "nokey")).secret()
     (tmp_path / "short").write_bytes(b"short")
--- a/tests/admin/test_door.py
+++ b/tests/admin/test_door.py
@@ -5,15 +5,15 @@
 import h11
 from hypothesis import given
 from hypothesis import strategies as st
-from ironrail.admin.callers import LINGER, PATIENCE, Callers
-from ironrail.admin.calls import MOST_BODY, MOST_HEAD, Answer, Call
-from ironrail.admin.figures import Figures
+from ironrail.admin.connection_limit import REQUEST_TIMEOUT_SECONDS, RESPONSE_TIMEOUT_SECONDS, ConnectionLimit
+from ironrail.admin.http_call import MAX_BODY_BYTES, MAX_HEAD_BYTES, HttpCall, Response
+from ironrail.admin.metrics import RequestMetrics
 
-PAGES = {"/-/ready": lambda: Answer(200, b"ready\n"), "/-/no": lambda: Answer(503, b"no\n")}
+PAGES = {"/-/ready": lambda: Response(200, b"ready\n"), "/-/no": lambda: Response(503, b"no\n")}
 
 
 def ask(*pieces: bytes) -> list[bytes]:
-    call = Call(PAGES)
+    call = HttpCall(PAGES)
     return [answer for piece in pieces if (answer := call.receive(piece)) is not None]
 
 
@@ -38,7 +38,7 @@
         b"PUT /-/ready HTTP/1.1\r\nHost: x\r\nContent-Length: 1\r\n\r\n1": 405,
         b"GET /-/ready HTTP/1.1\r\n\r\n": 400,  # no host
         b"mn\r\n\r\n": 400,
-        b"GET /" + b"x" * (MOST_HEAD + 1): 431,
+        b"GET /" + b"x" * (MAX_HEAD_BYTES + 1): 431,
         b"GET /-/rea": 400,  # it ends in the middle
     }
     for data, expected in cases.items():
@@ -57,53 +57,53 @@
 def test_what_is_posted_comes_whole_to_the_page_that_takes_it_and_to_no_other() -> None:
     got: list[bytes] = []
 
-    def take(body: bytes) -> Answer:
+    def take(body: bytes) -> Response:
         got.append(body)
-        return Answer(202, b"taken\n")
+        return Response(202, b"taken\n")
 
     head = b"POST /-/policy HTTP/1.1\r\nHost: x\r\n"
     for pieces, expected in (
         ([head + b"Content-Length: 4\r\n\r\n", b"ab", b"cd"], 202),
         ([head + b"Transfer-Encoding: chunked\r\n\r\n4\r\nabcd\r\n", b"0\r\n\r\n"], 202),
-        ([head + b"Content-Length: %d\r\n\r\n" % (MOST_BODY + 1), b"x" * (MOST_BODY + 1)], 413),
+        ([head + b"Content-Length: %d\r\n\r\n" % (MAX_BODY_BYTES + 1), b"x" * (MAX_BODY_BYTES + 1)], 413),
         ([head.replace(b"policy", b"ready") + b"Content-Length: 4\r\n\r\nabcd"], 405),
         ([head + b"Content-Length: 4\r\n\r\nab", b""], 400),
     ):
-        call = Call(PAGES, {"/-/policy": take})
+        call = HttpCall(PAGES, {"/-/policy": take})
         answers = [answer for piece in pieces if (answer := call.receive(piece)) is not None]
         assert [status(answer) for answer in answers] == [expected], pieces[0]
     assert got == [b"abcd", b"abcd"]
 
 
 def test_half_a_call_is_told_that_it_came_too_late_and_a_whole_one_is_not() -> None:
-    call = Call(PAGES)
+    call = HttpCall(PAGES)
     assert call.receive(b"GET /-/ready HT") is None
-    late = call.too_late()
+    late = call.request_timeout()
     assert late is not None and status(late) == 408
-    assert call.too_late() is None and call.receive(b"TP/1.1\r\n\r\n") is None
+    assert call.request_timeout() is None and call.receive(b"TP/1.1\r\n\r\n") is None
 
 
 def test_those_that_say_nothing_make_way_and_are_timed() -> None:
-    callers = Callers(most=3)
-    first, second, third = (callers.arrived(float(n))[0] for n in range(3))
+    callers = ConnectionLimit(max_connections=3)
+    first, second, third = (callers.admit(float(n)).connection for n in range(3))
     callers.answered(2.5, third)
-    fourth, out = callers.arrived(2.6)
-    assert out is third  # it has its answer
-    fifth, out = callers.arrived(2.7)
-    assert out is first and len(callers) == 3
-    assert callers.overdue(1.0 + PATIENCE) == [second]
+    fourth = callers.admit(2.6)
+    assert fourth.evicted is third  # it has its answer
+    fifth = callers.admit(2.7)
+    assert fifth.evicted is first and len(callers) == 3
+    assert callers.expired(1.0 + REQUEST_TIMEOUT_SECONDS) == [second]
     callers.answered(4.0, second)
-    assert callers.overdue(4.0 + LINGER / 2) == []
-    callers.gone(second)
-    assert callers.overdue(2.7 + PATIENCE) == [fourth, fifth]
+    assert callers.expired(4.0 + RESPONSE_TIMEOUT_SECONDS / 2) == []
+    callers.remove(second)
+    assert callers.expired(2.7 + REQUEST_TIMEOUT_SECONDS) == [fourth.connection, fifth.connection]
 
 
 def test_figures_are_counts_by_class_and_what_is_true_now() -> None:
-    figures = Figures(["read", "a:b"])
+    figures = RequestMetrics(["read", "a:b"])
     figures.success["read"] += 2
     figures.failure["a:b"] += 1
-    figures.wrote()
-    lines = figures.lines({"inflight": 3}).decode().splitlines()
+    figures.attempt_written()
+    lines = figures.render({"inflight": 3}).decode().splitlines()
     assert "edge_node.success.read:2|c" in lines and "edge_node.busy.read:0|c" in lines
     assert "edge_node.failure.a_b:1|c" in lines  # a colon would end the name
     assert lines[-2:] == ["edge_node.backend_calls:1|c", "edge_node.inflight:3|g"]
--- a/tests/diagnostics/test_invariants.py
+++ b/tests/diagnostics/test_invariants.py
@@ -7,7 +7,7 @@
 
 import pytest
 from ironrail.connections.upstream.pool_manager import Action, Attempt, UpstreamPoolManager
-from ironrail.diagnostics.invariants import HOLD_UP_SECONDS, EarlierAttempt, InvariantGuard, Sending
+from ironrail.diagnostics.invariants import MAX_HOLD_UP_SECONDS, EarlierAttempt, InvariantGuard, Sending
 from ironrail.diagnostics.reasons import Violation
 from ironrail.policy.events import AttemptStatus
 from ironrail.policy.retry_policy import RetryPolicy
@@ -25,9 +25,9 @@
     pending=True,
     deadline=101.0,
     begin_by=101.0,
-    effect=Idempotency.SAFE,
-    window=0.5,
-    second_copies=True,
+    idempotency=Idempotency.SAFE,
+    idempotency_window=0.5,
+    hedging_allowed=True,
 )
 OUT = EarlierAttempt(99.9, None, True)
 LOST = EarlierAttempt(99.9, AttemptStatus.RESET, False)
@@ -48,11 +48,14 @@
     [
         ({"pending": False}, Violation.SENT_AFTER_END),
         ({"server_ready": False}, Violation.SENT_TO_DRAINED),
-        ({"deadline": 100.0 - HOLD_UP_SECONDS - 0.01}, Violation.SENT_AFTER_DEADLINE),
-        ({"effect": Idempotency.UNSAFE, "earlier": [LOST]}, Violation.REPEATED_UNSAFE),
-        ({"effect": Idempotency.UNSAFE, "earlier": [OUT]}, Violation.REPEATED_UNSAFE),
-        ({"effect": Idempotency.IDEMPOTENCY_KEY, "earlier": [LONG_AGO]}, Violation.REPEATED_AFTER_WINDOW),
-        ({"second_copies": False, "earlier": [OUT]}, Violation.SECOND_COPY),
+        ({"deadline": 100.0 - MAX_HOLD_UP_SECONDS - 0.01}, Violation.SENT_AFTER_DEADLINE),
+        ({"idempotency": Idempotency.UNSAFE, "earlier_attempts": [LOST]}, Violation.RETRIED_UNSAFE),
+        ({"idempotency": Idempotency.UNSAFE, "earlier_attempts": [OUT]}, Violation.RETRIED_UNSAFE),
+        (
+            {"idempotency": Idempotency.IDEMPOTENCY_KEY, "earlier_attempts": [LONG_AGO]},
+            Violation.RETRIED_AFTER_WINDOW,
+        ),
+        ({"hedging_allowed": False, "earlier_attempts": [OUT]}, Violation.HEDGED_WITHOUT_PERMISSION),
     ],
 )
 def test_what_breaks_an_invariant_is_refused_and_counted(changes: Any, violation: Violation) -> None:
@@ -63,10 +66,10 @@
     "changes",
     [
         {},
-        {"earlier": [OUT]},
-        {"effect": Idempotency.UNSAFE, "earlier": [MISSED]},
-        {"effect": Idempotency.IDEMPOTENCY_KEY, "earlier": [LOST]},
-        {"second_copies": False, "earlier": [LOST]},
+        {"earlier_attempts": [OUT]},
+        {"idempotency": Idempotency.UNSAFE, "earlier_attempts": [MISSED]},
+        {"idempotency": Idempotency.IDEMPOTENCY_KEY, "earlier_attempts": [LOST]},
+        {"hedging_allowed": False, "earlier_attempts": [LOST]},
     ],
 )
 def test_all_else_passes(changes: Any) -> None:
@@ -92,10 +95,10 @@
     assert not guard.may_answer(1.0, "r", pending=False)
     assert not guard.may_close(1.0, ["r"])
     assert guard.violations.total() == 4
-    assert guard.may_refuse(1.0, "r", Idempotency.SAFE, [LOST])
-    assert guard.may_refuse(1.0, "r", Idempotency.UNSAFE, [MISSED])
-    assert not guard.may_refuse(1.0, "r", Idempotency.UNSAFE, [LOST])
-    assert guard.violations[Violation.REFUSED_UNSAFE] == 1
+    assert guard.may_reject(1.0, "r", Idempotency.SAFE, [LOST])
+    assert guard.may_reject(1.0, "r", Idempotency.UNSAFE, [MISSED])
+    assert not guard.may_reject(1.0, "r", Idempotency.UNSAFE, [LOST])
+    assert guard.violations[Violation.REJECTED_UNSAFE] == 1
 
 
 WORLD = """
@@ -145,7 +148,7 @@
 
 def test_a_policy_that_repeats_unsafe_requests_is_found_out(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(RetryPolicy, "permits", lambda *_: True)
-    assert Violation.REPEATED_UNSAFE in found()
+    assert Violation.RETRIED_UNSAFE in found()
 
 
 @scenario
@@ -163,5 +166,5 @@
     world.node._host._pools["c"].upstream.ready = False  # and the policy does not know
     client.get("2", wait=200)
     assert (await client.line()).startswith(b"SERVER_ERROR")
-    assert world.node._host.diagnostics.guard.violations[Violation.SENT_TO_DRAINED] > 0
+    assert world.node._host.diagnostics.invariants.violations[Violation.SENT_TO_DRAINED] > 0
     assert world.cache.messages.empty()
--- a/tests/diagnostics/test_request_log.py
+++ b/tests/diagnostics/test_request_log.py
@@ -6,7 +6,7 @@
 import time
 
 import pytest
-from ironrail.diagnostics.reasons import ClientCloseReason, ListCallResult, RefusalReason, RetryReason
+from ironrail.diagnostics.reasons import ClientCloseReason, ListCallResult, RejectionReason, RetryReason
 
 from tests.peers import World, scenario, until
 
@@ -21,7 +21,7 @@
     await client.line()
     diagnostics = world.node._host.diagnostics
     assert diagnostics.late_answers == 1
-    assert diagnostics.refusals[RefusalReason.TIME_UP] == 1
+    assert diagnostics.rejections[RejectionReason.DEADLINE_EXCEEDED] == 1
     [record] = [r for r in caplog.records if r.message == "request_answered_late"]
     fields = record.__dict__
     assert fields["request"] == "late" and fields["age"] >= 0.2
--- a/tests/mutants/__main__.py
+++ b/tests/mutants/__main__.py
@@ -14,12 +14,14 @@
 if name != "true":
     from ironrail.diagnostics.invariants import InvariantGuard
 
+    from tests.mutants import replace_method
+
     def allow(self: InvariantGuard, *facts: Any, **more: Any) -> bool:
         """The kit is tried by what the guard would refuse: `tests/diagnostics` tries the guard itself."""
         return True
 
-    for question in ("may_start", "may_send", "may_refuse", "may_answer", "may_close"):
-        setattr(InvariantGuard, question, allow)
+    for question in ("may_start", "may_send", "may_reject", "may_answer", "may_close"):
+        replace_method(InvariantGuard, question, allow)
     importlib.import_module(f"tests.mutants.{name}").break_it()
 if not rest:
     from ironrail.__main__ import main
--- a/tests/recorded/samples.py
+++ b/tests/recorded/samples.py
@@ -5,7 +5,7 @@
 from pathlib import Path
 from typing import Any
 
-from ironrail.access_log.names import Hasher
+from ironrail.access_log.pseudonyms import Pseudonymizer
 from ironrail.recorded.entry import Entry
 from ironrail.recorded.formats import compile_format
 from ironrail.recorded.importing import Importer
@@ -35,7 +35,7 @@
 path = "/(favicon.ico|robots.txt)"
 drop = true
 """
-HASHER = Hasher(b"0123456789abcdef")
+HASHER = Pseudonymizer(b"0123456789abcdef")
 
 
 def entry(at: float, **fields: Any) -> Entry:
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 import pytest
-from ironrail.admin.callers import MOST_CALLERS
+from ironrail.admin.connection_limit import MAX_CONNECTIONS
 from ironrail.net.lifecycle import graceful_shutdown, handover
 from ironrail.net.lifecycle.node import Node
 
@@ -63,7 +63,7 @@
 @scenario
 async def test_callers_that_stay_and_say_nothing_do_not_shut_the_door() -> None:
     world = await Operated().start()
-    silent = [await connect(world.node.admin_pages.address) for _ in range(2 * MOST_CALLERS)]
+    silent = [await connect(world.node.admin_pages.address) for _ in range(2 * MAX_CONNECTIONS)]
     for caller in silent[::2]:
         caller.send(b"GET /-/rea")
     assert (await world.ask("ready"))[0] == 200
--- a/tests/test_stored_forms.py
+++ b/tests/test_stored_forms.py
@@ -11,7 +11,7 @@
 
 import msgspec
 import pytest
-from ironrail.access_log.keep import Keeper, Line, RequestOutcome
+from ironrail.access_log.record import AccessRecord, RecordBuffer, RequestOutcome
 from ironrail.net.peers.record_store import FolderStore
 from ironrail.peers.consensus import messages as m
 from ironrail.peers.messages import Heard, Topic
@@ -50,11 +50,21 @@
     latency_reports.Report(1, 1_796_020_200, 0, 7, 0x020102, 0.0),
 ]
 LINES = [
-    Line(
+    AccessRecord(
         1_796_020_200.125, 0.25, "read", "daily", b"page:7", 7, False, RequestOutcome.SERVED, "", 0.0, False
     ),
-    Line(
-        1_796_020_201.5, 1.5, "pay", "", b"\xff\x00k", 0, True, RequestOutcome.REFUSED, "again-1", 0.002, True
+    AccessRecord(
+        1_796_020_201.5,
+        1.5,
+        "pay",
+        "",
+        b"\xff\x00k",
+        0,
+        True,
+        RequestOutcome.REJECTED,
+        "again-1",
+        0.002,
+        True,
     ),
 ]
 SECRET = b"0123456789abcdef"
@@ -69,8 +79,8 @@
     forms |= {f"datagram {number}": datagram for number, datagram in enumerate([*told, *body])}
     forms["record"] = msgspec.msgpack.encode(RECORD)
     forms["latency"] = latency_reports.encode(REPORTS)[0]
-    forms["access log"] = Keeper(1.0, SECRET, False).write(LINES)
-    forms["access log, hashed"] = Keeper(1.0, SECRET, True).write(LINES)
+    forms["access log"] = RecordBuffer(1.0, SECRET, False).encode(LINES)
+    forms["access log, hashed"] = RecordBuffer(1.0, SECRET, True).encode(LINES)
     return {name: form.hex() for name, form in forms.items()}
 
 
