--- a/benchmarks/accord_memory.py
+++ b/benchmarks/accord_memory.py
@@ -30,7 +30,7 @@
         from ironrail.net.config import config_of_table  # noqa: PLC0415
         from ironrail.net.peers.runtime import PeerRuntime  # noqa: PLC0415
         from ironrail.net.system import REAL  # noqa: PLC0415
-        from ironrail.operator_file import Operator, Peers  # noqa: PLC0415
+        from ironrail.operator_file import OperatorSettings, PeerSettings  # noqa: PLC0415
 
         addresses = [f"127.{64 + n % 128}.{n // 128}.1:11311" for n in range(routers)]
         table = {
@@ -39,9 +39,17 @@
             "peer_listen": addresses[me], "peers": addresses,
         }  # fmt: skip
         halls = tuple(f"hall-{n % 8}" for n in range(routers))
-        peers_of = Peers(keys={1: __file__ + ".key"}, sending=1, halls=halls, voters=(0, 1, 2), map=parts)
+        peers_of = PeerSettings(
+            key_files={1: __file__ + ".key"},
+            sending_key_id=1,
+            zones=halls,
+            voters=(0, 1, 2),
+            zone_latency_map=parts,
+        )
         regions = {f"region-{n}": [f"10.{n}.0.0/16"] for n in range(8 if parts else 0)}
-        PeerRuntime(config_of_table(table, {}), Operator(peers=peers_of, regions=regions), REAL, print)
+        PeerRuntime(
+            config_of_table(table, {}), OperatorSettings(peers=peers_of, regions=regions), REAL, print
+        )
     print(resident())
 
 
--- a/benchmarks/accord_service.py
+++ b/benchmarks/accord_service.py
@@ -18,7 +18,7 @@
 from statistics import mean, stdev
 from typing import Any
 
-from ironrail.operator_file import Operator
+from ironrail.operator_file import OperatorSettings
 from ironrail.rehearsal.links.grounds import VirtualLinks
 from ironrail.rehearsal.links.plan import LinkFault, link_fault
 from ironrail.rehearsal.links.rig import LinkedRehearsal
@@ -89,7 +89,7 @@
         }
     )
     halls = tuple(hall_of(scenario, n) for n in range(routers))
-    peers = Known(keys={1: ""}, sending=1, halls=halls, voters=(0, 1, 2), start="floor")
+    peers = Known(key_files={1: ""}, sending_key_id=1, zones=halls, voters=(0, 1, 2), start_mode="floor")
     plan: list[LinkFault] = [link_fault("delay", "routers <> routers", 0.0, length, 0.001, 0.099)]
     rehearsals: list[Changing] = []
 
@@ -98,7 +98,7 @@
         rehearsals.append(Changing(*args, plan=plan, every=asked_every, **others))
         return rehearsals[0]
 
-    operator = Operator() if way == "alone" else Operator(peers=peers)
+    operator = OperatorSettings() if way == "alone" else OperatorSettings(peers=peers)
     with drawing(random.Random(seed)):
         run = play_virtual(scenario, seed, operator=operator, ground_of=VirtualLinks, rehearsal_of=made)
     result = run.result
--- a/benchmarks/halls_worlds.py
+++ b/benchmarks/halls_worlds.py
@@ -20,7 +20,7 @@
 from pathlib import Path
 from typing import Any
 
-from ironrail.operator_file import Operator, Peers
+from ironrail.operator_file import OperatorSettings, PeerSettings
 from ironrail.policy.events import LinkState, ZoneLink, ZoneLinksChanged
 from ironrail.rehearsal.links.grounds import VirtualLinks
 from ironrail.rehearsal.links.paths import path_of
@@ -173,8 +173,8 @@
         key = Path(folder) / "key"
         key.write_text("a key of all the routers")
         standing = tuple(hall_of(made, n) for n in range(made.routers.count))
-        peers = Peers({1: str(key)}, 1, standing, map=True)
-        operator = Operator(peers=peers if mode == "on" else None)
+        peers = PeerSettings({1: str(key)}, 1, standing, zone_latency_map=True)
+        operator = OperatorSettings(peers=peers if mode == "on" else None)
         rehearsal = partial(World, plan=plan, matrix=matrix, truth=mode == "truth")
         played = play_virtual(made, seed, operator=operator, ground_of=VirtualLinks, rehearsal_of=rehearsal)
     assert not played.faults and not played.result.broken, (job, played.faults, played.result.broken[:2])
--- a/ironrail/__init__.py
+++ b/ironrail/__init__.py
@@ -1,4 +1,4 @@
-"""ironrail: the decisions of a router in front of a fleet of cache servers."""
+"""ironrail: a router daemon in front of a fleet of cache servers."""
 
 from ironrail.policy.router import Router
 
--- a/ironrail/cli.py
+++ b/ironrail/cli.py
@@ -1,10 +1,12 @@
-"""The command `ironrail`. What a subcommand needs is imported when it runs: `run` stays lean."""
+"""The command `ironrail`; subcommands are imported late, so that `run` needs little memory."""
 
 from __future__ import annotations
 
 import sys
 from typing import TYPE_CHECKING
 
+from ironrail.errors import ExitCode
+
 if TYPE_CHECKING:
     import click
 
@@ -48,15 +50,15 @@
 
 
 def main() -> None:
-    """Entry point; exit codes: 0 good, 1 a verdict failed, 2 unusable input, 3 no verdict possible."""
+    """Run the command; exit codes are those of `ironrail.errors.ExitCode`."""
     try:
         commands = _commands()
-    except ModuleNotFoundError as e:
+    except ModuleNotFoundError as error:
         print(
-            f"ironrail: {e.name} is missing; the kit needs: pip install 'ironrail[kit]'",
+            f"ironrail: {error.name} is missing; the kit needs: pip install 'ironrail[kit]'",
             file=sys.stderr,
         )
-        sys.exit(2)
+        sys.exit(ExitCode.INVALID_INPUT)
     commands()
 
 
--- a/ironrail/errors.py
+++ b/ironrail/errors.py
@@ -1,43 +1,56 @@
-"""One family of errors: each kind a type of its own, with what is wrong, where, and what an operator can do.
-
-Exit codes follow from types: 2 for input that can't be used, 1 for a verdict that failed, 3 where no verdict
-is possible.
-"""
+"""Base classes of all errors, with the advice and the exit code of each kind."""
 
 from __future__ import annotations
 
+from enum import IntEnum
 from typing import ClassVar
 
-VERDICT_FAILED, UNUSABLE, NO_VERDICT = 1, 2, 3  # exit codes
+
+class ExitCode(IntEnum):
+    """Exit codes of the commands, besides 0 for success."""
+
+    VERDICT_FAILED = 1
+    INVALID_INPUT = 2
+    NO_VERDICT = 3
 
 
 class IronrailError(Exception):
-    """What went wrong, in one line: `where: what`."""
+    """Base class of all errors.
+
+    Attributes:
+        advice: One sentence: what an operator can do.
+        exit_code: Exit code of a command that ends with this error.
+        reason: What is wrong.
+        location: The file, field, address or router that it concerns; may be empty.
+    """
 
-    advice: ClassVar[str] = ""  # one sentence: what an operator can do
-    exit_code: ClassVar[int] = UNUSABLE
+    advice: ClassVar[str] = ""
+    exit_code: ClassVar[int] = ExitCode.INVALID_INPUT
 
-    def __init__(self, what: str, where: str = "") -> None:
-        """`what` is wrong; `where`: the file, field, address or router that it concerns."""
-        super().__init__(what, where)
-        self.what, self.where = what, where
+    def __init__(self, reason: str, location: str = "") -> None:
+        super().__init__(reason, location)
+        self.reason = reason
+        self.location = location
 
     def __str__(self) -> str:
-        return f"{self.where}: {self.what}" if self.where else self.what
+        return f"{self.location}: {self.reason}" if self.location else self.reason
 
-    def told(self) -> str:
-        """The line and what can be done about it."""
+    def with_advice(self) -> str:
+        """Return the error and the advice in one line."""
         return f"{self}; {self.advice}" if self.advice else str(self)
 
 
 class InputError(IronrailError, ValueError):
-    """Something that was given, and can't be used. Nothing of it is taken."""
+    """Input that can't be used; nothing of it was taken."""
 
 
-class RefusedError(IronrailError):
-    """A request of an operator's that can't be granted now; nothing was changed by it."""
+class RejectedError(IronrailError):
+    """An operator's request that can't be granted now; it changed nothing."""
 
 
 def all_errors(kind: type[IronrailError] = IronrailError) -> list[type[IronrailError]]:
-    """All types of the family that are loaded, the most general first."""
-    return [kind, *(found for child in kind.__subclasses__() for found in all_errors(child))]
+    """Return `kind` and all its loaded subclasses, the most general first."""
+    found = [kind]
+    for subclass in kind.__subclasses__():
+        found.extend(all_errors(subclass))
+    return found
--- a/ironrail/logs.py
+++ b/ironrail/logs.py
@@ -1,6 +1,6 @@
-"""The daemon's log: a line of JSON for each event, with its name and fields, for programs and for grep.
+"""The daemon's log: one JSON object a line, with the event's name and its fields.
 
-`at` is local time, `level` a level of `logging`, `event` a name that doesn't change; the rest are its fields.
+`at` is local time, `level` a level of `logging`, `event` a name that is stable across releases.
 """
 
 from __future__ import annotations
@@ -9,16 +9,16 @@
 
 from pythonjsonlogger.orjson import OrjsonFormatter
 
-FIELDS = {"asctime": "at", "levelname": "level", "message": "event"}
+FIELD_NAMES = {"asctime": "at", "levelname": "level", "message": "event"}
 
 
-def formatter() -> logging.Formatter:
-    """Writes a record as one line."""
-    return OrjsonFormatter("{asctime}{levelname}{message}", style="{", rename_fields=FIELDS)
+def json_formatter() -> logging.Formatter:
+    """Return a formatter that writes a log record as one line of JSON."""
+    return OrjsonFormatter("{asctime}{levelname}{message}", style="{", rename_fields=FIELD_NAMES)
 
 
 def log_to_stderr() -> None:
-    """What a process logs goes to its standard error from now on."""
+    """Write this process's log to standard error from now on."""
     handler = logging.StreamHandler()
-    handler.setFormatter(formatter())
+    handler.setFormatter(json_formatter())
     logging.basicConfig(level=logging.INFO, handlers=[handler])
--- a/ironrail/net/__init__.py
+++ b/ironrail/net/__init__.py
@@ -1,1 +1,1 @@
-"""The router on real sockets round the decision module."""
+"""The daemon on real sockets: drivers of the pure packages."""
--- a/ironrail/net/access_log_writer.py
+++ b/ironrail/net/access_log_writer.py
@@ -14,7 +14,7 @@
 from ironrail.access_log.record import AccessRecord, RecordBuffer, RequestOutcome, RotationLimit
 from ironrail.net.protocol.meta_codec import Command, read_figure
 from ironrail.net.system import REAL, System
-from ironrail.operator_file import AccessLog, OperatorError
+from ironrail.operator_file import AccessLogSettings, OperatorError
 
 log = logging.getLogger(__name__)
 
@@ -76,9 +76,11 @@
 class AccessLogRecorder:
     """Records completed requests and writes them in the background."""
 
-    def __init__(self, settings: AccessLog, system: System = REAL) -> None:
-        self._buffer = RecordBuffer(settings.sample, settings.secret(), settings.hash_keys)
-        max_bytes = settings.most_mb * MEGABYTE_BYTES
+    def __init__(self, settings: AccessLogSettings, system: System = REAL) -> None:
+        self._buffer = RecordBuffer(
+            settings.sample_ratio, settings.load_secret(), settings.hash_keys
+        )
+        max_bytes = settings.max_megabytes * MEGABYTE_BYTES
         self._file = AccessLogFile(Path(settings.path), max_bytes)
         self._system = system
         self._thread = ThreadPoolExecutor(1, "access-log")
--- a/ironrail/net/config.py
+++ b/ironrail/net/config.py
@@ -1,4 +1,4 @@
-"""What the deployment tells a router: read from the JSON file that `NODE_CONFIG` names."""
+"""Configuration of a router, read from the JSON file that `NODE_CONFIG` names."""
 
 from __future__ import annotations
 
@@ -14,71 +14,101 @@
 from ironrail.policy.settings import Settings
 from ironrail.settings import number, read_settings, section
 
+MEGABYTE_BYTES = 1024**2
+PEER_FIELDS = ("peer_listen", "peers", "peers_all")
+
 
 class ConfigError(InputError):
     """A configuration that can't be used; the message names the field."""
 
-    advice = "correct the file that NODE_CONFIG names and start again; a running router keeps the one before"
+    advice = (
+        "correct the file that NODE_CONFIG names and start again;"
+        " a running router keeps the one before"
+    )
 
 
 @dataclass(frozen=True, slots=True)
 class Config:
-    """What the deployment tells a router."""
-
-    listen: Address
-    discovery: Address
+    """The configuration that the deployment sets.
+
+    Attributes:
+        listen_address: Where clients connect.
+        discovery_address: Where discovery answers.
+        seed: Seed of the router's random draws.
+        max_sockets: File descriptors that the process may use.
+        memory_limit: In bytes.
+        max_streams: Requests in flight on one connection to a cache.
+        cached_endpoint_list: An endpoint list in discovery's form to start with, or None.
+        settings: Settings of the policy.
+        admin_address: Where the admin endpoint listens; None for none.
+        peer_table: The fields of the other routers, not yet parsed.
+    """
+
+    listen_address: Address
+    discovery_address: Address
     seed: int
-    sockets: int
-    memory: int  # bytes
-    streams: int
-    known: Any
+    max_sockets: int
+    memory_limit: int
+    max_streams: int
+    cached_endpoint_list: Any
     settings: Settings
-    operator: Address | None = None  # where operators call
-    tier: dict[str, Any] = field(
-        default_factory=dict
-    )  # `peers` and what goes with it, as told: few need it
+    admin_address: Address | None = None
+    peer_table: dict[str, Any] = field(default_factory=dict)
 
 
 def read_config(environ: dict[str, str]) -> Config:
-    """The configuration that the environment names."""
+    """Read the configuration that the environment names.
+
+    Raises:
+        ConfigError: The file can't be used; the error names the file and the field.
+        SettingsError: The same for its settings.
+    """
     path = environ.get("NODE_CONFIG")
     if not path:
         raise ConfigError("is not set", "NODE_CONFIG")
     try:
         table = orjson.loads(Path(path).read_bytes())
-    except OSError as e:  # which names the file
-        raise ConfigError(str(e), "NODE_CONFIG") from e
-    except ValueError as e:
-        raise ConfigError(f"{path}: {e}", "NODE_CONFIG") from e
+    except OSError as error:  # its text names the file
+        raise ConfigError(str(error), "NODE_CONFIG") from error
+    except ValueError as error:
+        raise ConfigError(f"{path}: {error}", "NODE_CONFIG") from error
     if not isinstance(table, dict):
         raise ConfigError(f"{path} must hold an object", "NODE_CONFIG")
     try:
         return config_of_table(table, environ)
-    except InputError as e:  # named with the file: a log may be read far from the environment
-        where = f"{path}: {e.where}" if e.where else path
-        raise type(e)(e.what, where) from e
+    except InputError as error:
+        # logs may be read without the environment at hand
+        location = f"{path}: {error.location}" if error.location else path
+        raise type(error)(error.reason, location) from error
 
 
 def config_of_table(table: dict[str, Any], environ: dict[str, str]) -> Config:
-    """The configuration that a table holds; what it leaves out the environment may name."""
+    """Read a configuration from a decoded table; `environ` has defaults of the addresses.
+
+    Raises:
+        ConfigError: A field can't be used.
+        SettingsError: A field of the settings can't be used.
+    """
     conf = section(table, "settings")
     settings = read_settings(conf)
     return Config(
-        listen=_address(table, "listen", environ.get("NODE_LISTEN")),
-        discovery=_address(table, "discovery", environ.get("NODE_DISCOVERY")),
+        listen_address=_address(table, "listen", environ.get("NODE_LISTEN")),
+        discovery_address=_address(table, "discovery", environ.get("NODE_DISCOVERY")),
         seed=_seed(table),
-        sockets=int(number(section(table, "limits"), "sockets", 1024, "limits.", 64)),
-        memory=int(number(section(table, "limits"), "memory_mb", 192, "limits.", 16) * 1024**2),
-        streams=int(number(section(conf, "limits"), "multiplex", 1, "limits.", 1)),
-        known=table.get("known"),
+        max_sockets=int(number(section(table, "limits"), "sockets", 1024, "limits.", 64)),
+        memory_limit=int(
+            number(section(table, "limits"), "memory_mb", 192, "limits.", 16) * MEGABYTE_BYTES
+        ),
+        max_streams=int(number(section(conf, "limits"), "multiplex", 1, "limits.", 1)),
+        cached_endpoint_list=table.get("known"),
         settings=settings,
-        operator=_operator(table, environ.get("NODE_OPERATOR")),
-        tier={name: table[name] for name in ("peer_listen", "peers", "peers_all") if name in table},
+        admin_address=_admin_address(table, environ.get("NODE_OPERATOR")),
+        peer_table={name: table[name] for name in PEER_FIELDS if name in table},
     )
 
 
-def _operator(table: dict[str, Any], default: str | None) -> Address | None:
-    """The operators' place, where the platform names one."""
+def _admin_address(table: dict[str, Any], default: str | None) -> Address | None:
+    """Return the address of the admin endpoint, if there is one."""
     if table.get("operator") is None and not default:
         return None
     return _address(table, "operator", default)
@@ -90,15 +120,19 @@
 
 
 def address_of(field: str, value: Any) -> Address:
-    """The address in a field; ConfigError if it holds none."""
+    """Parse the address in a field.
+
+    Raises:
+        ConfigError: The value is no `host:port`.
+    """
     try:
         return read_address(str(value))
-    except ValueError as e:
-        raise ConfigError(f"{field} must be host:port, not {value!r}") from e
+    except ValueError as error:
+        raise ConfigError(f"{field} must be host:port, not {value!r}") from error
 
 
 def _seed(table: dict[str, Any]) -> int:
     try:
         return int(table["seed"], 16)
-    except (KeyError, TypeError, ValueError) as e:
-        raise ConfigError(f"seed must be hex digits, not {table.get('seed')!r}") from e
+    except (KeyError, TypeError, ValueError) as error:
+        raise ConfigError(f"seed must be hex digits, not {table.get('seed')!r}") from error
--- a/ironrail/net/discovery/watcher.py
+++ b/ironrail/net/discovery/watcher.py
@@ -167,7 +167,7 @@
         try:
             return await self._client.get(target, wait + self._watch_timing.grace)
         except ResponseTimeoutError as error:
-            raise WatchTimeoutError(error.what) from error
+            raise WatchTimeoutError(error.reason) from error
         finally:
             # a watch that ends sooner may have been rejected, and never have watched
             if loop.time() - started_at > self._timeout.first_byte:
--- a/ironrail/net/lifecycle/assembly.py
+++ b/ironrail/net/lifecycle/assembly.py
@@ -17,7 +17,7 @@
 from ironrail.net.dispatch.dispatcher import RequestDispatcher
 from ironrail.net.downstream.client_listener import ClientListener
 from ironrail.net.system import System
-from ironrail.operator_file import Operator
+from ironrail.operator_file import OperatorSettings
 
 if TYPE_CHECKING:
     from ironrail.net.access_log_writer import AccessLogRecorder
@@ -28,7 +28,9 @@
 MIN_VALUE_MEMORY_BYTES = 5 * 1024**2
 
 
-def make_access_log(config: Config, operator: Operator, system: System) -> AccessLogRecorder | None:
+def make_access_log(
+    config: Config, operator: OperatorSettings, system: System
+) -> AccessLogRecorder | None:
     """Return the access log, or None if the operator's file has none."""
     if operator.access_log is None:
         return None
@@ -41,7 +43,7 @@
 
 def make_value_memory(config: Config) -> MemoryBudget:
     """Return the memory for large values: half of what the limit leaves."""
-    available = (config.memory - BASE_MEMORY_BYTES) // 2
+    available = (config.memory_limit - BASE_MEMORY_BYTES) // 2
     return MemoryBudget(max(MIN_VALUE_MEMORY_BYTES, available))
 
 
@@ -51,7 +53,7 @@
     """Return the watcher of the endpoint list."""
     settings = config.settings
     return make_endpoint_watcher(
-        config.discovery,
+        config.discovery_address,
         reader,
         settings.polls_endpoint_list,
         settings.router_index,
@@ -66,7 +68,7 @@
     system: System,
 ) -> ClientListener:
     """Return the listener for clients, with its share of the file descriptors."""
-    descriptors = share_descriptors(config.sockets)
+    descriptors = share_descriptors(config.max_sockets)
     return ClientListener(
         dispatcher,
         can_serve,
--- a/ironrail/net/lifecycle/node.py
+++ b/ironrail/net/lifecycle/node.py
@@ -27,7 +27,7 @@
 from ironrail.net.system import REAL, Address, System
 from ironrail.net.upstream.connection import LinkObserver
 from ironrail.net.upstream.pool_factory import PoolFactory
-from ironrail.operator_file import Operator
+from ironrail.operator_file import OperatorSettings
 from ironrail.policy.endpoints import EndpointListKind
 from ironrail.policy.events import EndpointListUpdate
 from ironrail.policy.router import Router
@@ -36,7 +36,7 @@
     from ironrail.net.peers.record_store import Store
     from ironrail.net.peers.runtime import PeerRuntime
 
-NO_OPERATOR_FILE = Operator()
+NO_OPERATOR_FILE = OperatorSettings()
 
 log = logging.getLogger(__name__)
 
@@ -52,7 +52,7 @@
     def __init__(
         self,
         config: Config,
-        operator: Operator = NO_OPERATOR_FILE,
+        operator: OperatorSettings = NO_OPERATOR_FILE,
         system: System = REAL,
         read_latest_config: Callable[[], Config] = read_current_config,
         store: Store | None = None,
@@ -91,7 +91,7 @@
             Router(config.settings, config.seed, self._system.now()),
             self._pool_factory.make,
             self._endpoint_watcher.poll,
-            share_descriptors(config.sockets).servers,
+            share_descriptors(config.max_sockets).servers,
             self._system,
             self._endpoint_watcher.refresh,
             make_value_memory(config),
@@ -99,7 +99,9 @@
             diagnostics,
         )
 
-    def _make_peer_runtime(self, operator: Operator, store: Store | None) -> PeerRuntime | None:
+    def _make_peer_runtime(
+        self, operator: OperatorSettings, store: Store | None
+    ) -> PeerRuntime | None:
         if operator.peers is None:
             return None
         # imported late: saves memory without peers
@@ -112,10 +114,10 @@
 
     def _apply_cached_list(self, reader: EndpointListReader) -> None:
         """Use the endpoint list of the configuration until discovery answers."""
-        if self._config.known is None:
+        if self._config.cached_endpoint_list is None:
             return
         try:
-            cached = reader.read(self._config.known, EndpointListKind.CACHED)
+            cached = reader.read(self._config.cached_endpoint_list, EndpointListKind.CACHED)
         except EndpointListError as error:
             raise ConfigError(str(error), "known") from error
         self._apply_list_update(cached.update, cached.addresses)
@@ -134,20 +136,20 @@
 
         Where another process serves the address, this one listens once it has the endpoint list.
         """
-        address = self._config.listen
+        address = self._config.listen_address
         if self._system.served(address):
             self._handover.start()
         else:
             address = self._listen()
-        if self._config.operator is not None:
-            self.admin_pages.listen(self._config.operator, self._system, self.peer_runtime)
+        if self._config.admin_address is not None:
+            self.admin_pages.listen(self._config.admin_address, self._system, self.peer_runtime)
         self._endpoint_watcher.start(self._apply_list_update)
         if self._access_log is not None:
             self._access_log.start()
         return address
 
     def _listen(self) -> Address:
-        address = self._clients.listen(self._config.listen)
+        address = self._clients.listen(self._config.listen_address)
         self._is_listening = True
         return address
 
@@ -165,7 +167,7 @@
         if self.peer_runtime is not None:
             await self.peer_runtime.open()
         self.start()
-        log.info("listening", extra={"address": "{}:{}".format(*self._config.listen)})
+        log.info("listening", extra={"address": "{}:{}".format(*self._config.listen_address)})
         self._system.settled()
         shutdown = asyncio.create_task(shutdown_requested.wait())
         await self._handover.wait(shutdown)
@@ -216,10 +218,10 @@
             now,
             started_at=now() if requested_at is None else requested_at,
         )
-        await shutdown.run(lambda: self._system.served(self._config.listen))
+        await shutdown.run(lambda: self._system.served(self._config.listen_address))
 
 
-async def serve(config: Config, operator: Operator = NO_OPERATOR_FILE) -> None:
+async def serve(config: Config, operator: OperatorSettings = NO_OPERATOR_FILE) -> None:
     """Run one router until a signal ends it."""
     await Node(config, operator).serve()
     # a second signal would kill the process once the event loop has removed its handlers
--- a/ironrail/net/lifecycle/reload.py
+++ b/ironrail/net/lifecycle/reload.py
@@ -45,12 +45,15 @@
             return
         log.info(
             "discovery_address_changed",
-            extra={"address": "{}:{}".format(*latest.discovery)},
+            extra={"address": "{}:{}".format(*latest.discovery_address)},
         )
-        updated = replace(self.config, discovery=latest.discovery)
+        updated = replace(self.config, discovery_address=latest.discovery_address)
         # each start has its own seed and cached list
-        if replace(latest, seed=updated.seed, known=updated.known) != updated:
+        if (
+            replace(latest, seed=updated.seed, cached_endpoint_list=updated.cached_endpoint_list)
+            != updated
+        ):
             log.warning("restart_required")
         if updated != self.config:
             self.config = updated
-            self._relocate_discovery(updated.discovery)
+            self._relocate_discovery(updated.discovery_address)
--- a/ironrail/net/peers/policies.py
+++ b/ironrail/net/peers/policies.py
@@ -18,10 +18,10 @@
 import orjson
 
 from ironrail.admin.http_call import Response
-from ironrail.errors import InputError, RefusedError
+from ironrail.errors import InputError, RejectedError
 from ironrail.net.peers import admin_documents
 from ironrail.net.peers.record_store import Keeper, RecordError, Store
-from ironrail.operator_file import OperatorError, Peers
+from ironrail.operator_file import OperatorError, PeerSettings
 from ironrail.peers.consensus import policy as p
 from ironrail.peers.consensus.change import Ticket
 from ironrail.peers.consensus.conf import Conf
@@ -59,9 +59,9 @@
         raise OperatorError(str(e), path) from e
 
 
-def facts_of(settings: Settings, peers: Peers, regions: Collection[str] = ()) -> p.Facts:
+def facts_of(settings: Settings, peers: PeerSettings, regions: Collection[str] = ()) -> p.Facts:
     """What this router checks each policy against. Titles come with requests: any may be named."""
-    return p.Facts(frozenset(settings.classes), None, frozenset(peers.halls), frozenset(regions))
+    return p.Facts(frozenset(settings.classes), None, frozenset(peers.zones), frozenset(regions))
 
 
 class Policies:
@@ -71,7 +71,7 @@
         self,
         place: Place,
         settings: Settings,
-        peers: Peers,
+        peers: PeerSettings,
         store: Store | None,
         follow: Callable[[PolicyOverridesChanged], None],
         now: Callable[[], float],
@@ -83,14 +83,14 @@
         conf = Conf(
             me=place.me,
             start=place.start,
-            routers=len(peers.halls),
+            routers=len(peers.zones),
             voters=peers.voters,
-            lease=peers.lease_ms / 1000,
-            drift=peers.drift,
+            lease=peers.lease_milliseconds / 1000,
+            drift=peers.max_clock_drift_ratio,
             disk=store is not None,
-            start_on_floor=peers.start == "floor",
+            start_on_floor=peers.start_mode == "floor",
         )
-        facts, floor = facts_of(settings, peers, regions), read_floor(peers.floor)
+        facts, floor = facts_of(settings, peers, regions), read_floor(peers.fallback_policy_file)
         record, self._torn = self._kept(store)
         self.room = AccordRoom(conf, facts, floor, place.now, place.seed, record)
         self._keeper = Keeper(store, RECORD, self._done) if store is not None else None
@@ -106,7 +106,7 @@
                 read_record(record)
             return record, None
         except InputError as e:  # torn, or whole and of another version
-            log.error("record_unusable", extra={"error": e.told()})
+            log.error("record_unusable", extra={"error": e.with_advice()})
             return None, e
         except OSError as e:
             log.error("record_unread", extra={"error": str(e)})
@@ -194,14 +194,14 @@
             "voters": self.room.voters_now(),
             "lease_left": round(ends - now, 3) if ends > now and ends < math.inf else None,
             "policy": admin_documents.rows(decided.policy),
-            "troubles": [error.told() for error in self.room.troubles(now)],
+            "troubles": [error.with_advice() for error in self.room.troubles(now)],
         }
         if self._torn is not None:
-            told["troubles"].append(self._torn.told())
+            told["troubles"].append(self._torn.with_advice())
         if self.ticket is not None:
             told["change"] = {"version": self.ticket.ref.version, "state": self._state(self.ticket)}
             if self.ticket.error is not None:
-                told["change"]["error"] = self.ticket.error.told()
+                told["change"]["error"] = self.ticket.error.with_advice()
         return told
 
     @staticmethod
@@ -218,10 +218,10 @@
         try:
             policy, voters = admin_documents.read(body, lambda: self.room.settled(now))
             self.ticket = self.room.propose(now, policy, voters=voters)
-        except RefusedError as e:
-            return admin_documents.line(409, e.told())
+        except RejectedError as e:
+            return admin_documents.line(409, e.with_advice())
         except InputError as e:
-            return admin_documents.line(400, e.told())
+            return admin_documents.line(400, e.with_advice())
         self._go_on()
         return admin_documents.line(202, f"version {self.ticket.ref.version} is under way: ask for its state")
 
@@ -234,6 +234,6 @@
                 raise InputError("must be a whole number that was never used before", "epoch")
             self.room.found(self._now(), epoch, p.read(table))
         except InputError as e:
-            return admin_documents.line(400, e.told())
+            return admin_documents.line(400, e.with_advice())
         self._go_on()
         return admin_documents.line(202, f"epoch {epoch} is offered to the voters")
--- a/ironrail/net/peers/readers.py
+++ b/ironrail/net/peers/readers.py
@@ -14,9 +14,9 @@
 import orjson
 
 from ironrail.admin.http_call import Handler, Response
-from ironrail.errors import InputError, IronrailError, RefusedError
+from ironrail.errors import InputError, IronrailError, RejectedError
 from ironrail.net.peers.link_evidence import Evidence, One
-from ironrail.operator_file import Operator
+from ironrail.operator_file import OperatorSettings
 from ironrail.peers.consensus import policy as p
 from ironrail.peers.steering.capacity import Server, Servers, halls_now
 from ironrail.peers.steering.capacity import takes as takes_more
@@ -54,7 +54,7 @@
     def __init__(
         self,
         here: NodeIdentity,
-        operator: Operator,
+        operator: OperatorSettings,
         settings: Settings,
         policies: Policies | None,
         cut: Callable[[str], bool] | None,
@@ -73,8 +73,8 @@
         self._list, self._carrier = Servers(), Carrier(here.halls[here.me], now)
         self._turn: Turn | None = None
         voters = sorted(operator.peers.voters)
-        if operator.peers.steer_every and here.me in voters:
-            every = operator.peers.steer_every
+        if operator.peers.steering_interval and here.me in voters:
+            every = operator.peers.steering_interval
             self._turn = Turn(now, voters.index(here.me), len(voters), every)
             self.room.past = Past(DWELLS * every)
         self._versions: tuple[int, ...] = ()  # in force, as last looked at
@@ -154,7 +154,7 @@
             self._halls_of,
             self._list,
             self._cells,
-            self._peers.per_weight,
+            self._peers.requests_per_weight,
             emptied,
             self._settings.slow_start_duration,
             self._cut,
@@ -203,7 +203,7 @@
         policy = decided.policy
         rest = msgspec.structs.replace(policy, steering={}, version=p.MOST_VERSION)
         most = min(USUAL.most_bytes, p.MOST_DOCUMENT - len(p.encode(rest)) - 2)
-        bounds = replace(USUAL, explore=self._peers.explore, most_bytes=most)
+        bounds = replace(USUAL, explore=self._peers.exploration_ratio, most_bytes=most)
         cells, halls = self._known(now)
         if len(cells) > MOST_CELLS:
             self._refused = TooLargeError(f"{len(cells)} regions at halls, {MOST_CELLS} may be", "steering")
@@ -216,9 +216,9 @@
             return
         try:
             ticket = self._policies.steer(found.rows)
-        except (RefusedError, InputError) as e:
+        except (RejectedError, InputError) as e:
             self._refused = e
-            log.info("steering_refused", extra={"error": e.told()})
+            log.info("steering_refused", extra={"error": e.with_advice()})
             return
         told = {"version": ticket.ref.version, "reason": found.reason.value, "moved": round(found.moved, 3)}
         log.info("steering_proposed", extra=told)
@@ -244,10 +244,10 @@
         )
         error = None if self._rows else NoRowsError.of(self._policies is not None, self._versions)
         if error is not None:
-            told["error"] = {"type": type(error).__name__, "told": error.told()}
+            told["error"] = {"type": type(error).__name__, "told": error.with_advice()}
         if self.proposal is not None:
             told["looked"] = {"reason": self.proposal.reason.value, "moved": self.proposal.moved}
         if self._refused is not None:
-            told["refused"] = {"type": type(self._refused).__name__, "told": self._refused.told()}
+            told["refused"] = {"type": type(self._refused).__name__, "told": self._refused.with_advice()}
         told["let_go"] = self.let_go
         return Response(200 if error is None else 503, orjson.dumps(told, option=orjson.OPT_INDENT_2) + b"\n")
--- a/ironrail/net/peers/runtime.py
+++ b/ironrail/net/peers/runtime.py
@@ -18,7 +18,7 @@
 from ironrail.net.peers.transport import Peering, read_tier, start_of
 from ironrail.net.system import System
 from ironrail.net.upstream.connection import LinkObserver
-from ironrail.operator_file import Operator, OperatorError
+from ironrail.operator_file import OperatorError, OperatorSettings
 from ironrail.peers.messages import Room
 from ironrail.peers.steering.capacity import cut_off
 from ironrail.policy.events import EndpointListUpdate, PolicyOverridesChanged, ZoneLinksChanged
@@ -52,7 +52,7 @@
     def __init__(
         self,
         config: Config,
-        operator: Operator,
+        operator: OperatorSettings,
         system: System,
         guide: Callable[[PolicyOverridesChanged | ZoneLinksChanged], None],
         store: Store | None = None,
@@ -60,10 +60,10 @@
         """`guide`: takes what is decided by. `store`: in place of the folder that the file names."""
         peers = operator.peers
         assert peers is not None
-        me, tier = config.settings.router_index, read_tier(config.tier)
-        if len(tier.peers) != len(peers.halls):
+        me, tier = config.settings.router_index, read_tier(config.peer_table)
+        if len(tier.peers) != len(peers.zones):
             raise OperatorError(
-                f"{len(peers.halls)} halls are named, one for each router, and there are {len(tier.peers)}",
+                f"{len(peers.zones)} halls are named, one for each router, and there are {len(tier.peers)}",
                 "peers.halls",
             )
         if not me < len(tier.peers):
@@ -74,18 +74,24 @@
         if peers.voters:
             place = Place(me, start, system.now(), config.seed)
             keeps = store
-            if keeps is None and peers.keep and (me in peers.voters or is_folder(peers.keep, me)):
-                keeps = FolderStore(folder_of(peers.keep, me))  # of others too: they may be named later
+            if (
+                keeps is None
+                and peers.record_folder
+                and (me in peers.voters or is_folder(peers.record_folder, me))
+            ):
+                keeps = FolderStore(
+                    folder_of(peers.record_folder, me)
+                )  # of others too: they may be named later
             self.policies = Policies(
                 place, config.settings, peers, keeps, guide, system.now, self._go_on, tuple(operator.regions)
             )
             self.peering.add(self.policies.room)
         self.parts: list[PeerComponent] = []
         self.readers: Readers | None = None
-        here = NodeIdentity(me, start, system, peers.halls, random.Random(config.seed))
+        here = NodeIdentity(me, start, system, peers.zones, random.Random(config.seed))
         self.halls: HallsMap | None = None
         cut = None  # whether a hall is cut off from others, as far as the map tells
-        if peers.map:
+        if peers.zone_latency_map:
             from ironrail.net.peers.zone_latency import HallsMap  # noqa: PLC0415 - only where it is wanted
 
             self.halls = HallsMap(here, guide)
--- a/ironrail/net/peers/transport.py
+++ b/ironrail/net/peers/transport.py
@@ -12,7 +12,7 @@
 
 from ironrail.net.config import ConfigError, address_of
 from ironrail.net.system import Address, System
-from ironrail.operator_file import Peers
+from ironrail.operator_file import PeerSettings
 from ironrail.peers.messages import ALL, Room, Say, Stamped, Topic
 from ironrail.peers.transport.keys import Keys
 from ironrail.peers.transport.outbox import Outbox
@@ -60,13 +60,17 @@
     """One router's end of all that is said between routers."""
 
     def __init__(
-        self, me: int, tier: Tier, conf: Peers, start: int, system: System, settled: Callable[[], None]
+        self, me: int, tier: Tier, conf: PeerSettings, start: int, system: System, settled: Callable[[], None]
     ) -> None:
         """`settled`: is told after each event, when rooms may know something new."""
         self._system, self._tier, self._settled = system, tier, settled
         self._numbers = {address: number for number, address in enumerate(tier.peers)}
-        self.wire = Wire(me, start, Keys(conf.sending, conf.secrets()), len(tier.peers), os.urandom)
-        self._outbox = Outbox(self._seal, len(tier.peers) - 1, float(conf.pace), now=system.now())
+        self.wire = Wire(
+            me, start, Keys(conf.sending_key_id, conf.load_secrets()), len(tier.peers), os.urandom
+        )
+        self._outbox = Outbox(
+            self._seal, len(tier.peers) - 1, float(conf.max_bytes_per_second), now=system.now()
+        )
         self._rooms: dict[Topic, Room] = {}
         self._stamps: dict[Topic, Callable[[float, Say], Say]] = {}  # what is put in as a message goes
         self._loop = asyncio.get_running_loop()
--- a/ironrail/net/upstream/pool_factory.py
+++ b/ironrail/net/upstream/pool_factory.py
@@ -10,7 +10,7 @@
 from ironrail.net.upstream.connection import LinkObserver
 from ironrail.net.upstream.connection_pool import ConnectionPool
 from ironrail.net.upstream.origin_connection import OriginConnection
-from ironrail.operator_file import Operator
+from ironrail.operator_file import OperatorSettings
 from ironrail.policy.endpoints import Endpoint
 
 ORIGIN_CONNECTIONS = 32
@@ -22,7 +22,7 @@
     def __init__(
         self,
         config: Config,
-        operator: Operator,
+        operator: OperatorSettings,
         system: System,
         wrote: Callable[[], None],
         watch: Callable[[str], LinkObserver | None],
@@ -42,8 +42,10 @@
         if is_origin:
             most, streams = ORIGIN_CONNECTIONS, 1
         else:
-            most = connections.each(settings.router_count)
-            streams = min(self._config.streams, connections.depth or self._config.streams)
+            most = connections.limit_per_router(settings.router_count)
+            streams = min(
+                self._config.max_streams, connections.max_in_flight or self._config.max_streams
+            )
         return ConnectionPool(
             entry.name,
             address,
@@ -52,7 +54,7 @@
             streams=streams,
             connect_timeout=settings.connect_timeout,
             idle=settings.connection_idle_timeout,
-            cost=connections.cost_ms / 1000,
+            cost=connections.connect_cost_milliseconds / 1000,
             copies=settings.hedging_allowed,
             system=self._system,
             wrote=self._wrote,
--- a/ironrail/operator_file.py
+++ b/ironrail/operator_file.py
@@ -1,4 +1,4 @@
-"""The operator's own file: what may be set beyond what the platform tells. Without it all is as usual."""
+"""Settings of the operator's own file, beyond what the platform configures; all are optional."""
 
 from __future__ import annotations
 
@@ -11,6 +11,8 @@
 from ironrail.connections.upstream.socket_budget import places_each
 from ironrail.errors import InputError
 
+RANDOM_SECRET_BYTES = 32
+
 
 class OperatorError(InputError):
     """A file that can't be used; the message names the file, the field and the mistake."""
@@ -19,88 +21,129 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Connections:
-    """Connections to one cache."""
-
-    places: int = 90  # that a cache has for all routers together
-    per_cache: int | None = None  # of one router, at once; None: its share of the places
-    depth: int | None = None  # requests on one connection; None: as many as the platform allows
-    cost_ms: int = 30  # of a new connection: opened once time lost behind others has come up to it
+class ConnectionSettings:
+    """Connections to one cache: the table `[connections]`.
 
-    def each(self, routers: int) -> int:
-        """Connections of one router to one cache at once."""
-        return self.per_cache if self.per_cache is not None else places_each(self.places, routers)
+    Attributes:
+        total_per_cache: Connections that a cache accepts from all routers together.
+        per_router: Connections of one router; None for its quota of the total.
+        max_in_flight: Requests on one connection; None for the platform's limit.
+        connect_cost_milliseconds: Queueing delay that justifies another connection.
+    """
 
+    total_per_cache: int = 90
+    per_router: int | None = None
+    max_in_flight: int | None = None
+    connect_cost_milliseconds: int = 30
 
-@dataclass(frozen=True, slots=True)
-class AccessLog:
-    """Requests written down as they end; `ironrail trace import` reads them without a mapping."""
+    def limit_per_router(self, routers: int) -> int:
+        """Return the connections of one router, of `routers`, to one cache."""
+        if self.per_router is not None:
+            return self.per_router
+        return places_each(self.total_per_cache, routers)
 
-    path: str  # {index} in it stands for the router's number
-    sample: float = 1.0  # share of requests; repeats of one idempotency key stay together
-    most_mb: int = 256  # of one file: full, it makes way for a new one and is kept once, as PATH.1
-    hash_keys: bool = False  # keys tell of subscribers
-    # file of 16 to 64 bytes, the same at all routers; empty: drawn at each start
-    hash_key: str = ""
 
-    def secret(self) -> bytes:
-        """What names are hashed with; OperatorError if the file can't be used."""
-        if not self.hash_key:
-            return os.urandom(32)
-        return read_secret(self.hash_key)
+@dataclass(frozen=True, slots=True)
+class AccessLogSettings:
+    """The access log: the table `[access_log]`. `ironrail trace import` reads it as it is.
+
+    Attributes:
+        path: The file; `{index}` in it is replaced by the router's index.
+        sample_ratio: Fraction of requests that are logged; retries of one key stay together.
+        max_megabytes: Size of a file, which is then renamed to PATH.1.
+        hash_keys: Whether keys are hashed, because they identify subscribers.
+        secret_file: File with the secret of the hashes; empty for a random one at each start.
+    """
+
+    path: str
+    sample_ratio: float = 1.0
+    max_megabytes: int = 256
+    hash_keys: bool = False
+    secret_file: str = ""
+
+    def load_secret(self) -> bytes:
+        """Return the secret of the hashes.
+
+        Raises:
+            OperatorError: The file can't be used.
+        """
+        if not self.secret_file:
+            return os.urandom(RANDOM_SECRET_BYTES)
+        return read_secret(self.secret_file)
 
 
 @dataclass(frozen=True, slots=True)
-class Peers:
-    """What routers tell one another: datagrams to the addresses that the platform names as `peers`."""
-
-    keys: dict[
-        int, str
-    ]  # files of 16 to 64 bytes, the same at all routers, by id; two while they change
-    sending: int  # id of the key that is sent with
-    halls: tuple[str, ...]  # of each router, by its number
-    voters: tuple[
-        int, ...
-    ] = ()  # 3, 5 or 7 numbers of routers; none: there are no policies in accord
-    pace: int = 2000  # bytes a second that a router sends
-    lease_ms: int = 3000  # for which a router that is cut off decides by the policy it has
-    drift: float = 0.01  # that no clock's rate is off by more
-    # folder of a voter's record, {index} in it stands for its number; empty: it keeps none
-    keep: str = ""
-    # a router that knows of no policy: is not ready (`wait`), or acts by the `floor`
-    start: str = "wait"
-    # file of the policy that is obeyed where none can be decided by; empty: one of no rows
-    floor: str = ""
-    map: bool = False  # a map of latency between halls is kept and decided by
-    # seconds between looks of a voter whether to propose rows of steering; 0: none is
-    steer_every: int = 0
-    per_weight: float = 0.0  # requests/s that a cache does for one unit of its weight; 0: not known
-    # of each region's readers that may be brought to halls of which nothing is known
-    explore: float = 0.0
-
-    def secrets(self) -> dict[int, bytes]:
-        """The keys; OperatorError if a file can't be used."""
-        return {number: read_secret(path) for number, path in self.keys.items()}
+class PeerSettings:
+    """Exchange with the other routers, whose addresses the platform lists: the table `[peers]`.
+
+    Attributes:
+        key_files: Files with the secrets of the datagrams, by key id; two during a key change.
+        sending_key_id: The key that datagrams are sent with.
+        zones: Zone of each router, by its index.
+        voters: 3, 5 or 7 indexes of routers that vote on policies; none for no policies.
+        max_bytes_per_second: Sending rate of a router.
+        lease_milliseconds: How long a router without contact acts by its policy.
+        max_clock_drift_ratio: Largest error of a clock's rate.
+        record_folder: Folder of a voter's record, `{index}` replaced by its index; empty for none.
+        start_mode: A router without a policy is not ready (`wait`), or acts by the `floor`.
+        fallback_policy_file: Policy in force where none can be decided on; empty for no rows.
+        zone_latency_map: Whether latency between zones is measured and used.
+        steering_interval: Seconds between a voter's proposals of a steering table; 0 for none.
+        requests_per_weight: Requests/s that a cache serves for each unit of weight; 0 if unknown.
+        exploration_ratio: Fraction of a region's readers that may go to unmeasured zones.
+    """
+
+    key_files: dict[int, str]
+    sending_key_id: int
+    zones: tuple[str, ...]
+    voters: tuple[int, ...] = ()
+    max_bytes_per_second: int = 2000
+    lease_milliseconds: int = 3000
+    max_clock_drift_ratio: float = 0.01
+    record_folder: str = ""
+    start_mode: str = "wait"
+    fallback_policy_file: str = ""
+    zone_latency_map: bool = False
+    steering_interval: int = 0
+    requests_per_weight: float = 0.0
+    exploration_ratio: float = 0.0
+
+    def load_secrets(self) -> dict[int, bytes]:
+        """Return the secrets by key id.
+
+        Raises:
+            OperatorError: A file can't be used.
+        """
+        return {number: read_secret(path) for number, path in self.key_files.items()}
 
 
 @dataclass(frozen=True, slots=True)
-class Operator:
-    """All that the file may set."""
+class OperatorSettings:
+    """All settings of the operator's file.
+
+    Attributes:
+        connections: Connections to caches.
+        access_log: The access log; None for none.
+        peers: Exchange with other routers; None for none.
+        regions: Address ranges of readers, by the region's name.
+    """
 
-    connections: Connections = Connections()
-    access_log: AccessLog | None = None  # none is written
-    peers: Peers | None = None  # nothing is told to other routers, nor heard from them
-    regions: Mapping[str, Sequence[str]] = field(
-        default_factory=dict
-    )  # address ranges of readers, by name
+    connections: ConnectionSettings = ConnectionSettings()
+    access_log: AccessLogSettings | None = None
+    peers: PeerSettings | None = None
+    regions: Mapping[str, Sequence[str]] = field(default_factory=dict)
 
 
 def read_secret(path: str) -> bytes:
-    """What a file of 16 to 64 bytes holds; OperatorError if it can't be used."""
+    """Return the content of a secret's file, without surrounding whitespace.
+
+    Raises:
+        OperatorError: The file can't be read, or its length is wrong.
+    """
     try:
         secret = Path(path).read_bytes().strip()
-    except OSError as e:
-        raise OperatorError(e.strerror or str(e), path) from e
+    except OSError as error:
+        raise OperatorError(error.strerror or str(error), path) from error
     if not MIN_SECRET_BYTES <= len(secret) <= MAX_SECRET_BYTES:
         raise OperatorError(f"must hold {MIN_SECRET_BYTES} to {MAX_SECRET_BYTES} bytes", path)
     return secret
--- a/ironrail/operator_reader.py
+++ b/ironrail/operator_reader.py
@@ -1,10 +1,12 @@
-"""Reads the operator's own file. Loaded only where there is one: msgspec takes 2.6 MB and 10 ms of CPU."""
+"""Parser of the operator's file. Imported only where there is one, as msgspec needs memory.
+
+The names of the file's fields are mapped here to those of `ironrail.operator_file`.
+"""
 
 from __future__ import annotations
 
 import re
 import tomllib
-from dataclasses import fields
 from pathlib import Path
 from typing import Annotated, Any, Literal
 
@@ -12,21 +14,59 @@
 from msgspec import UNSET, Meta, Struct, UnsetType
 
 from ironrail.errors import InputError
-from ironrail.operator_file import AccessLog, Connections, Operator, OperatorError, Peers
+from ironrail.operator_file import (
+    AccessLogSettings,
+    ConnectionSettings,
+    OperatorError,
+    OperatorSettings,
+    PeerSettings,
+)
 from ironrail.peers.messages import MOST_ROUTERS
 from ironrail.peers.steering.regions import Regions
 
-MOST_FILE = 64 * 1024  # bytes: it is written by hand
-AT = re.compile(
-    r"(.*?)(?: - at `\$(.*?)`)?", re.DOTALL
-)  # what is wrong, and where, in msgspec's words
+MAX_FILE_BYTES = 64 * 1024
+MAX_KEY_ID = 255
+VOTER_COUNTS = (0, 3, 5, 7)
+# Problem and location in msgspec's messages.
+MSGSPEC_MESSAGE = re.compile(r"(.*?)(?: - at `\$(.*?)`)?", re.DOTALL)
+PATH_FIELDS = ("path", "hash_key", "keep", "floor")
+
+CONNECTION_ATTRIBUTES = {
+    "places": "total_per_cache",
+    "per_cache": "per_router",
+    "depth": "max_in_flight",
+    "cost_ms": "connect_cost_milliseconds",
+}
+ACCESS_LOG_ATTRIBUTES = {
+    "path": "path",
+    "sample": "sample_ratio",
+    "most_mb": "max_megabytes",
+    "hash_keys": "hash_keys",
+    "hash_key": "secret_file",
+}
+PEER_ATTRIBUTES = {
+    "keys": "key_files",
+    "sending": "sending_key_id",
+    "halls": "zones",
+    "voters": "voters",
+    "pace": "max_bytes_per_second",
+    "lease_ms": "lease_milliseconds",
+    "drift": "max_clock_drift_ratio",
+    "keep": "record_folder",
+    "start": "start_mode",
+    "floor": "fallback_policy_file",
+    "map": "zone_latency_map",
+    "steer_every": "steering_interval",
+    "per_weight": "requests_per_weight",
+    "explore": "exploration_ratio",
+}
 
 Text = Annotated[str, Meta(min_length=1, max_length=4096)]
-Router = Annotated[int, Meta(ge=0, lt=MOST_ROUTERS)]
+RouterIndex = Annotated[int, Meta(ge=0, lt=MOST_ROUTERS)]
 
 
 class ConnectionsForm(Struct, forbid_unknown_fields=True):
-    """`[connections]`, what is left out as usual."""
+    """The table `[connections]`."""
 
     places: Annotated[int, Meta(ge=2, le=100_000)] | UnsetType = UNSET
     per_cache: Annotated[int, Meta(ge=1, le=64)] | UnsetType = UNSET
@@ -35,7 +75,7 @@
 
 
 class AccessLogForm(Struct, forbid_unknown_fields=True):
-    """`[access_log]`."""
+    """The table `[access_log]`."""
 
     path: Text
     sample: Annotated[float, Meta(gt=0, le=1)] | UnsetType = UNSET
@@ -45,12 +85,12 @@
 
 
 class PeersForm(Struct, forbid_unknown_fields=True):
-    """`[peers]`."""
+    """The table `[peers]`."""
 
     keys: Annotated[dict[str, Text], Meta(min_length=1, max_length=2)]
     sending: Annotated[int, Meta(ge=0, le=255)]
     halls: Annotated[tuple[Text, ...], Meta(min_length=2, max_length=MOST_ROUTERS)]
-    voters: tuple[Router, ...] | UnsetType = UNSET
+    voters: tuple[RouterIndex, ...] | UnsetType = UNSET
     pace: Annotated[int, Meta(ge=100, le=1_000_000)] | UnsetType = UNSET
     lease_ms: Annotated[int, Meta(ge=200, le=600_000)] | UnsetType = UNSET
     drift: Annotated[float, Meta(ge=0, lt=0.5)] | UnsetType = UNSET
@@ -64,7 +104,7 @@
 
 
 class OperatorForm(Struct, forbid_unknown_fields=True):
-    """All of the file."""
+    """The whole file."""
 
     connections: ConnectionsForm | UnsetType = UNSET
     access_log: AccessLogForm | UnsetType = UNSET
@@ -72,31 +112,54 @@
     regions: dict[str, list[Text]] | UnsetType = UNSET
 
 
-def read_operator(path: str) -> Operator:
-    """What the file sets; OperatorError if it can't be used."""
-    try:
-        data = Path(path).read_bytes()
-        if len(data) > MOST_FILE:
-            raise OperatorError(f"larger than {MOST_FILE} bytes", path)
-        table = tomllib.loads(data.decode())
-    except OSError as e:
-        raise OperatorError(e.strerror or str(e), path) from e
-    except (UnicodeDecodeError, tomllib.TOMLDecodeError) as e:
-        raise OperatorError(str(e), path) from e
+FORMS: dict[str, type[Struct]] = {
+    "": OperatorForm,
+    "connections": ConnectionsForm,
+    "access_log": AccessLogForm,
+    "peers": PeersForm,
+}
+
+
+def read_operator(path: str) -> OperatorSettings:
+    """Parse the operator's file.
+
+    Raises:
+        OperatorError: The file can't be used.
+    """
+    table = _read_toml(path)
     try:
         form = msgspec.convert(table, OperatorForm)
-    except msgspec.ValidationError as e:
-        raise OperatorError(_explain(str(e), table), path) from e
-    operator = Operator(
-        Connections(**_given(form.connections)),
-        AccessLog(**_given(form.access_log)) if form.access_log is not UNSET else None,
+    except msgspec.ValidationError as error:
+        raise OperatorError(_explain(str(error), table), path) from error
+    settings = OperatorSettings(
+        ConnectionSettings(**_attributes(form.connections, CONNECTION_ATTRIBUTES)),
+        _access_log(form.access_log),
         _peers(path, form.peers) if form.peers is not UNSET else None,
         _regions(path, form),
     )
-    peers = operator.peers
-    if peers and peers.steer_every and not (peers.voters and peers.per_weight and operator.regions):
+    _check_steering(path, settings)
+    return settings
+
+
+def _read_toml(path: str) -> dict[str, Any]:
+    try:
+        data = Path(path).read_bytes()
+    except OSError as error:
+        raise OperatorError(error.strerror or str(error), path) from error
+    if len(data) > MAX_FILE_BYTES:
+        raise OperatorError(f"larger than {MAX_FILE_BYTES} bytes", path)
+    try:
+        return tomllib.loads(data.decode())
+    except (UnicodeDecodeError, tomllib.TOMLDecodeError) as error:
+        raise OperatorError(str(error), path) from error
+
+
+def _check_steering(path: str, settings: OperatorSettings) -> None:
+    peers = settings.peers
+    if peers is None or not peers.steering_interval:
+        return
+    if not (peers.voters and peers.requests_per_weight and settings.regions):
         raise OperatorError("peers.steer_every: needs voters, per_weight and [regions]", path)
-    return operator
 
 
 def _regions(path: str, form: OperatorForm) -> dict[str, list[str]]:
@@ -106,67 +169,74 @@
         raise OperatorError("regions: are told between routers, and there is no [peers]", path)
     try:
         Regions(form.regions)
-    except InputError as e:
-        raise OperatorError(str(e), path) from e
+    except InputError as error:
+        raise OperatorError(str(error), path) from error
     return form.regions
 
 
-def _peers(path: str, form: PeersForm) -> Peers:
-    given = _given(form)
-    numbers = {
-        int(number): file for number, file in form.keys.items() if re.fullmatch(r"\d{1,3}", number)
+def _access_log(form: AccessLogForm | UnsetType) -> AccessLogSettings | None:
+    if form is UNSET:
+        return None
+    return AccessLogSettings(**_attributes(form, ACCESS_LOG_ATTRIBUTES))
+
+
+def _peers(path: str, form: PeersForm) -> PeerSettings:
+    key_files = {
+        int(key_id): file for key_id, file in form.keys.items() if re.fullmatch(r"\d{1,3}", key_id)
     }
-    if len(numbers) < len(form.keys) or not all(number < 256 for number in numbers):
+    if len(key_files) < len(form.keys) or max(key_files, default=0) > MAX_KEY_ID:
         raise OperatorError("peers.keys: ids must be numbers from 0 to 255", path)
-    if form.sending not in numbers:
+    if form.sending not in key_files:
         raise OperatorError(f"peers.sending: no key has the id {form.sending}", path)
-    voters = given.get("voters", ())
-    if len(voters) not in (0, 3, 5, 7) or len(set(voters)) < len(voters):
+    voters = () if form.voters is UNSET else form.voters
+    if len(voters) not in VOTER_COUNTS or len(set(voters)) < len(voters):
         raise OperatorError(
             "peers.voters must be 3, 5 or 7 different numbers of routers, or none", path
         )
-    if any(voter >= len(form.halls) for voter in voters):
-        raise OperatorError(
-            f"peers.voters: there are {len(form.halls)} routers in peers.halls", path
-        )
-    return Peers(**given | {"keys": numbers})
+    routers = len(form.halls)
+    if any(voter >= routers for voter in voters):
+        raise OperatorError(f"peers.voters: there are {routers} routers in peers.halls", path)
+    return PeerSettings(**_attributes(form, PEER_ATTRIBUTES) | {"key_files": key_files})
 
 
-def _given(form: Struct | UnsetType) -> dict[str, Any]:
+def _attributes(form: Struct | UnsetType, names: dict[str, str]) -> dict[str, Any]:
+    """Return the fields that are set, by the names of the settings' attributes."""
     if form is UNSET:
         return {}
-    found = {name: getattr(form, name) for name in form.__struct_fields__}
-    return {name: value for name, value in found.items() if value is not UNSET}
+    values = {names[field]: getattr(form, field) for field in form.__struct_fields__}
+    return {name: value for name, value in values.items() if value is not UNSET}
 
 
-def _explain(said: str, table: dict[str, Any]) -> str:
-    """msgspec's complaint in the file's words: the field, what it must be, what it is."""
-    found = AT.fullmatch(said)
+def _explain(message: str, table: dict[str, Any]) -> str:
+    """Rewrite msgspec's message: the field, what it must be, and what it is."""
+    found = MSGSPEC_MESSAGE.fullmatch(message)
     assert found is not None
-    what, where = found[1], (found[2] or "").lstrip(".")
-    if where.startswith("regions["):
+    problem = found[1]
+    location = (found[2] or "").lstrip(".")
+    if location.startswith("regions["):
         return "regions: each must be a list of address ranges"
+    if unknown := re.search(r"unknown field `(.*?)`", problem):
+        name = f"{location}.{unknown[1]}" if location else unknown[1]
+        return f"{name} is unknown (known: {', '.join(sorted(FORMS[location].__struct_fields__))})"
+    if missing := re.search(r"missing required field `(.*?)`", problem):
+        return f"{location}.{missing[1]} is missing"
+    return f"{location} must be {_expected(location, problem)}, not {_value(table, location)!r}"
+
+
+def _value(table: dict[str, Any], location: str) -> Any:
     value: Any = table
-    for part in where.split(".") if where else []:
-        value = value.get(part.partition("[")[0], "") if isinstance(value, dict) else value
-    if unknown := re.search(r"unknown field `(.*?)`", what):
-        known = {"": Operator, "connections": Connections, "access_log": AccessLog, "peers": Peers}[
-            where
-        ]
-        name = f"{where}.{unknown[1]}" if where else unknown[1]
-        return f"{name} is unknown (known: {', '.join(sorted(f.name for f in fields(known)))})"
-    if missing := re.search(r"missing required field `(.*?)`", what):
-        return f"{where}.{missing[1]} is missing"
-    return f"{where} must be {_wanted(where, what)}, not {value!r}"
-
-
-def _wanted(where: str, what: str) -> str:
-    """What a field must be, by its bounds where it is a number."""
-    form = {"connections": ConnectionsForm, "access_log": AccessLogForm, "peers": PeersForm}
-    room, _, name = where.partition(".")
+    for part in location.split(".") if location else []:
+        if isinstance(value, dict):
+            value = value.get(part.partition("[")[0], "")
+    return value
+
+
+def _expected(location: str, problem: str) -> str:
+    """Describe what a field must be, by its bounds if it is a number."""
+    table, _, name = location.partition(".")
     if not name:
         return "a table"
-    hint = form[room].__annotations__.get(name.partition("[")[0], "")
+    hint = FORMS[table].__annotations__.get(name.partition("[")[0], "")
     bounds = dict(re.findall(r"(ge|le|gt|lt)=([\d_.]+)", str(hint)))
     if "int" in hint and {"ge", "le"} <= bounds.keys():
         return f"a whole number from {int(bounds['ge'])} to {int(bounds['le'])}"
@@ -174,6 +244,6 @@
         return f"above {bounds['gt']} and at most {bounds['le']}"
     if hint.startswith("bool"):
         return "true or false"
-    if name in ("path", "hash_key", "keep", "floor"):
+    if name in PATH_FIELDS:
         return "a path"
-    return what[:1].lower() + what[1:]
+    return problem[:1].lower() + problem[1:]
--- a/ironrail/peers/consensus/errors.py
+++ b/ironrail/peers/consensus/errors.py
@@ -4,7 +4,7 @@
 
 from typing import ClassVar
 
-from ironrail.errors import NO_VERDICT, InputError, IronrailError, RefusedError
+from ironrail.errors import ExitCode, InputError, IronrailError, RejectedError
 
 
 class PolicyError(InputError):
@@ -29,25 +29,25 @@
     advice: ClassVar[str] = "Name 3, 5 or 7 different routers by their numbers among `peers`"
 
 
-class VersionError(RefusedError):
+class VersionError(RejectedError):
     """The version is not above every one that was ever tried."""
 
     advice: ClassVar[str] = "Give the document a version above the highest one that was tried"
 
 
-class BusyError(RefusedError):
+class BusyError(RejectedError):
     """Another change is under way."""
 
     advice: ClassVar[str] = "Wait until the other change has ended, then propose this one again"
 
 
-class UnreadyError(RefusedError):
+class UnreadyError(RejectedError):
     """This router doesn't know yet where the register stands."""
 
     advice: ClassVar[str] = "Ask a router that decides by a policy, or wait until this one does"
 
 
-class RefusedByError(RefusedError):
+class RefusedByError(RejectedError):
     """A router can't work by the document, so that no router does."""
 
     advice: ClassVar[str] = (
@@ -55,13 +55,13 @@
     )
 
 
-class WithdrawnError(RefusedError):
+class WithdrawnError(RejectedError):
     """The change was taken back, by another router or by the voters."""
 
     advice: ClassVar[str] = "Look why its proposer was slow, then propose the document under a new version"
 
 
-class NoMajorityError(RefusedError):
+class NoMajorityError(RejectedError):
     """The voters didn't answer, or some router didn't acknowledge, by the deadline; none goes on with it."""
 
     advice: ClassVar[str] = (
@@ -72,14 +72,14 @@
 class OpenError(IronrailError):
     """The last step was sent out and nobody tells whether it was taken; it is the same for all."""
 
-    exit_code: ClassVar[int] = NO_VERDICT
+    exit_code: ClassVar[int] = ExitCode.NO_VERDICT
     advice: ClassVar[str] = "Ask for the policy in force once a majority of voters is reachable; don't guess"
 
 
 class LostError(IronrailError):
     """More voters lost their memory than can be: the register decides nothing any more."""
 
-    exit_code: ClassVar[int] = NO_VERDICT
+    exit_code: ClassVar[int] = ExitCode.NO_VERDICT
     advice: ClassVar[str] = "Found it anew by hand, with an epoch never used and the policy that is to hold"
 
 
--- a/ironrail/peers/steering/told.py
+++ b/ironrail/peers/steering/told.py
@@ -6,12 +6,12 @@
 from collections.abc import Mapping, Sequence
 from typing import Any, Self
 
-from ironrail.errors import RefusedError
+from ironrail.errors import RejectedError
 from ironrail.peers.steering.expected import Cells, Hall
 from ironrail.peers.steering.proposal import Rows
 
 
-class NoRowsError(RefusedError):
+class NoRowsError(RejectedError):
     """No rows of steering are in force here: fronts do as they do by themselves."""
 
     advice = "Go on by your own order of halls, and ask again; operators put rows into the policy"
@@ -26,7 +26,7 @@
         return cls(f"version {' and '.join(map(str, versions))} has no rows", "steering")
 
 
-class TooLargeError(RefusedError):
+class TooLargeError(RejectedError):
     """More is known of regions at halls than a router can weigh while it serves."""
 
     advice = "Name fewer and larger regions, or propose rows by hand"
--- a/ironrail/rehearsal/links/grounds.py
+++ b/ironrail/rehearsal/links/grounds.py
@@ -8,7 +8,7 @@
 
 from ironrail.net.discovery.endpoint_list import read_address
 from ironrail.net.system import System
-from ironrail.operator_file import Operator
+from ironrail.operator_file import OperatorSettings
 from ironrail.rehearsal.account.record import RouterFacts
 from ironrail.rehearsal.ground import Ground, OnExit, RealGround
 from ironrail.rehearsal.links.datagrams import Relays
@@ -89,7 +89,7 @@
     """A world in virtual time."""
 
     def __init__(
-        self, loop: VirtualLoop, scenario: Scenario, seed: int, *, operator: Operator, kept_lines: int
+        self, loop: VirtualLoop, scenario: Scenario, seed: int, *, operator: OperatorSettings, kept_lines: int
     ) -> None:
         super().__init__(loop, scenario, seed, operator=operator, kept_lines=kept_lines)
         self.links = Links(scenario, seed, self.listen)
--- a/ironrail/rehearsal/links/launch.py
+++ b/ironrail/rehearsal/links/launch.py
@@ -18,7 +18,7 @@
 from ironrail.net.peers.record_store import FolderStore
 from ironrail.net.peers.runtime import folder_of
 from ironrail.net.system import REAL
-from ironrail.operator_file import Operator
+from ironrail.operator_file import OperatorSettings
 from ironrail.rehearsal.links.disk import FaultyStore
 from ironrail.rehearsal.links.switch import Drifting, Switch
 
@@ -28,14 +28,14 @@
     return config.with_suffix(".switch")
 
 
-async def serve(config: Config, operator: Operator) -> None:
+async def serve(config: Config, operator: OperatorSettings) -> None:
     """Run until told to stop."""
     switch = Switch.at(switch_path(Path(os.environ["NODE_CONFIG"])))
     store = None
     me = config.settings.router_index
-    if operator.peers is not None and operator.peers.keep and me in operator.peers.voters:
+    if operator.peers is not None and operator.peers.record_folder and me in operator.peers.voters:
         store = FaultyStore(
-            FolderStore(folder_of(operator.peers.keep, me)), switch, random.Random(config.seed)
+            FolderStore(folder_of(operator.peers.record_folder, me)), switch, random.Random(config.seed)
         )
     await Node(config, operator, Drifting(REAL, switch), store=store).serve()
 
--- a/ironrail/rehearsal/links/tier.py
+++ b/ironrail/rehearsal/links/tier.py
@@ -15,7 +15,7 @@
 from typing import Any, Self
 
 from ironrail.net.discovery.endpoint_list import read_address
-from ironrail.operator_file import Operator, Peers
+from ironrail.operator_file import OperatorSettings, PeerSettings
 from ironrail.rehearsal.draws import stream
 from ironrail.rehearsal.links.exchange import Exchange
 from ironrail.rehearsal.links.paths import Path, Places, path_of
@@ -36,10 +36,10 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Known(Peers):
+class Known(PeerSettings):
     """Peers whose key lies in no file."""
 
-    def secrets(self) -> dict[int, bytes]:
+    def load_secrets(self) -> dict[int, bytes]:
         return {1: SECRET}
 
 
@@ -66,8 +66,15 @@
         self.places = Places.of(self.scenario)
         self.names = router_names(self.scenario)
         halls = tuple(hall_of(self.scenario, n) for n in range(routers))
-        self.operator = Operator(
-            peers=Known(keys={1: ""}, sending=1, halls=halls, voters=tuple(voters), start="floor", **peers)
+        self.operator = OperatorSettings(
+            peers=Known(
+                key_files={1: ""},
+                sending_key_id=1,
+                zones=halls,
+                voters=tuple(voters),
+                start_mode="floor",
+                **peers,
+            )
         )
         self.voters = tuple(voters)
         self.addresses = [f"127.{64 + n % 128}.{n // 128}.1:{PORT}" for n in range(routers)]
--- a/ironrail/rehearsal/links/tierrouter.py
+++ b/ironrail/rehearsal/links/tierrouter.py
@@ -16,7 +16,7 @@
 from ironrail.net.peers.policies import Policies
 from ironrail.net.peers.runtime import PeerRuntime
 from ironrail.net.system import System
-from ironrail.operator_file import Operator
+from ironrail.operator_file import OperatorSettings
 from ironrail.peers.consensus.messages import EPOCH as EPOCH_STEPS
 from ironrail.peers.consensus.messages import Scope
 from ironrail.rehearsal.draws import stream
@@ -75,7 +75,7 @@
     names: list[str]
     loop: VirtualLoop
     watch: TierWatch
-    operator: Operator
+    operator: OperatorSettings
     disks: bool  # voters keep their record
 
     def table(self, router: TierRouter) -> dict[str, Any]:
--- a/ironrail/rehearsal/pipelines.py
+++ b/ironrail/rehearsal/pipelines.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from ironrail.operator_file import Connections
+from ironrail.operator_file import ConnectionSettings
 from ironrail.rehearsal.account.record import Ended, Record
 from ironrail.rehearsal.account.service import quantiles
 from ironrail.rehearsal.run import Result
@@ -73,7 +73,7 @@
     attempts = [a for t in result.record.tries.values() for a in t.attempts if not a.archive]
     return Line(
         str(depth),
-        depth.connections or Connections().each(result.scenario.routers.count),
+        depth.connections or ConnectionSettings().limit_per_router(result.scenario.routers.count),
         sum(counted) / len(counted) / caches if counted else 0.0,
         result.record.handshakes,
         latencies(result),
--- a/ironrail/rehearsal/virtual/ground.py
+++ b/ironrail/rehearsal/virtual/ground.py
@@ -15,7 +15,7 @@
 from ironrail.net.discovery.endpoint_list import read_address
 from ironrail.net.lifecycle.node import NO_OPERATOR_FILE, Node
 from ironrail.net.system import System
-from ironrail.operator_file import Operator
+from ironrail.operator_file import OperatorSettings
 from ironrail.rehearsal.account.record import RouterFacts
 from ironrail.rehearsal.draws import stream
 from ironrail.rehearsal.ground import OnExit
@@ -202,7 +202,7 @@
         scenario: Scenario,
         seed: int,
         *,
-        operator: Operator = NO_OPERATOR_FILE,
+        operator: OperatorSettings = NO_OPERATOR_FILE,
         kept_lines: int = 0,
     ) -> None:
         self.loop, self.operator = loop, operator
--- a/ironrail/rehearsal/virtual/play.py
+++ b/ironrail/rehearsal/virtual/play.py
@@ -10,9 +10,9 @@
 from contextlib import contextmanager
 from dataclasses import dataclass, field
 
-from ironrail.logs import formatter
+from ironrail.logs import json_formatter
 from ironrail.net.lifecycle.node import NO_OPERATOR_FILE
-from ironrail.operator_file import Operator
+from ironrail.operator_file import OperatorSettings
 from ironrail.rehearsal.load.schedule import Planned
 from ironrail.rehearsal.losses.lay import lay
 from ironrail.rehearsal.losses.tap import Decided
@@ -45,7 +45,7 @@
 def logs_to_processes() -> Iterator[None]:
     """The daemon's log goes to the process that writes it, and nowhere else."""
     handler = ProcessLog()
-    form = formatter()
+    form = json_formatter()
     form.converter = time.gmtime  # the same everywhere
     handler.setFormatter(form)
     before = DAEMON.propagate, DAEMON.level
@@ -64,7 +64,7 @@
     scenario: Scenario,
     seed: int,
     *,
-    operator: Operator = NO_OPERATOR_FILE,
+    operator: OperatorSettings = NO_OPERATOR_FILE,
     progress: Progress = lambda at, text: None,
     kept_lines: int = 0,
     schedule: list[Planned] | None = None,
--- a/tests/access_log/test_access.py
+++ b/tests/access_log/test_access.py
@@ -14,7 +14,7 @@
 from hypothesis import strategies as st
 from ironrail.access_log.record import AccessRecord, RecordBuffer, RequestOutcome, RotationLimit
 from ironrail.net.access_log_writer import AccessLogFile
-from ironrail.operator_file import AccessLog, Operator, OperatorError
+from ironrail.operator_file import AccessLogSettings, OperatorError, OperatorSettings
 from ironrail.operator_reader import read_operator
 from ironrail.recorded.importing import FOLDED
 from ironrail.recorded.schedule import plan_of
@@ -123,7 +123,7 @@
 
 
 def logged(path: Path, **fields: Any) -> World:
-    return World(operator=Operator(access_log=AccessLog(str(path), **fields)))
+    return World(operator=OperatorSettings(access_log=AccessLogSettings(str(path), **fields)))
 
 
 @scenario
@@ -241,7 +241,7 @@
     with pytest.raises(OperatorError, match="no/where"):
         AccessLogFile(tmp_path / "no" / "where", 10)
     with pytest.raises(OperatorError, match="nokey"):
-        AccessLog("/x", hash_key=str(tmp_path / "nokey")).secret()
+        AccessLogSettings("/x", secret_file=str(tmp_path / "nokey")).load_secret()
     (tmp_path / "short").write_bytes(b"short")
     with pytest.raises(OperatorError, match="16 to 64 bytes"):
-        AccessLog("/x", hash_key=str(tmp_path / "short")).secret()
+        AccessLogSettings("/x", secret_file=str(tmp_path / "short")).load_secret()
--- a/tests/peers/__init__.py
+++ b/tests/peers/__init__.py
@@ -13,7 +13,7 @@
 import uvloop
 from ironrail.net.config import Config
 from ironrail.net.lifecycle.node import NO_OPERATOR_FILE, Node
-from ironrail.operator_file import Operator
+from ironrail.operator_file import OperatorSettings
 from ironrail.policy.settings import Idempotency, IdempotencyScope, RequestClass, Settings
 from ironrail.rehearsal.standins.http import RequestReader
 from ironrail.rehearsal.standins.meta import CommandReader
@@ -198,7 +198,9 @@
 class World:
     """A router with one cache, an origin and discovery round it."""
 
-    def __init__(self, sockets: int = 1024, operator: Operator = NO_OPERATOR_FILE, **changes: Any) -> None:
+    def __init__(
+        self, sockets: int = 1024, operator: OperatorSettings = NO_OPERATOR_FILE, **changes: Any
+    ) -> None:
         self.sockets, self.operator = sockets, operator
         self.settings = replace(SETTINGS, **changes)
         self.cache, self.origin, self.discovery = Peer(), Peer(read_http), Peer(read_http)
--- a/tests/peers/consensus/explorer.py
+++ b/tests/peers/consensus/explorer.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 from typing import Any, NamedTuple
 
-from ironrail.errors import RefusedError
+from ironrail.errors import RejectedError
 from ironrail.peers.consensus import messages as m
 from ironrail.peers.consensus.conf import Conf
 from ironrail.peers.consensus.errors import OpenError
@@ -100,7 +100,7 @@
             case ("propose", version, *voters):
                 try:
                     room.tickets += (room.propose(now, policy(version), self.bounds.deadline, *voters),)
-                except RefusedError:
+                except RejectedError:
                     self.ended["at once"] = self.ended.get("at once", 0) + 1
             case ("found",):
                 room.found(now, 1, policy(1))
--- a/tests/peers/consensus/test_door.py
+++ b/tests/peers/consensus/test_door.py
@@ -6,7 +6,7 @@
 
 import orjson
 from ironrail.net.peers.policies import Place, Policies
-from ironrail.operator_file import Peers
+from ironrail.operator_file import PeerSettings
 from ironrail.peers.messages import Heard
 from ironrail.policy.settings import Settings
 
@@ -18,7 +18,7 @@
 
     def __init__(self) -> None:
         self.now = 0.0
-        peers = Peers({}, 1, ("north",) * ROUTERS, (0, 1, 2))
+        peers = PeerSettings({}, 1, ("north",) * ROUTERS, (0, 1, 2))
         self.all = [
             Policies(
                 Place(me, me + 1, 0.0, me),
--- a/tests/peers/consensus/test_policy.py
+++ b/tests/peers/consensus/test_policy.py
@@ -87,7 +87,7 @@
 def test_no_policy(table: dict[str, Any], where: str) -> None:
     with pytest.raises(PolicyError) as caught:
         p.read(table)
-    assert caught.value.where == where
+    assert caught.value.location == where
 
 
 STRANGE: list[tuple[dict[str, Any], str]] = [
@@ -105,7 +105,7 @@
 @pytest.mark.parametrize(("table", "where"), STRANGE)
 def test_router_refuses_what_it_does_not_know(table: dict[str, Any], where: str) -> None:
     error = p.check(p.read({"version": 1, **table}), FACTS)
-    assert error and error.where == where
+    assert error and error.location == where
 
 
 def test_bytes_in_another_form_are_refused() -> None:
--- a/tests/peers/consensus/test_room.py
+++ b/tests/peers/consensus/test_room.py
@@ -32,7 +32,7 @@
     ).up()
     ticket = world.propose(3, p.Policy(2, rates={"fonts": 1, "more": 1}))
     world.run(6)
-    assert ticket and isinstance(ticket.error, errors.RefusedByError) and ticket.error.where == "router 4"
+    assert ticket and isinstance(ticket.error, errors.RefusedByError) and ticket.error.location == "router 4"
     assert versions(world) == {(1,)}
 
 
--- a/tests/peers/consensus/world.py
+++ b/tests/peers/consensus/world.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from ironrail.errors import RefusedError
+from ironrail.errors import RejectedError
 from ironrail.peers.consensus import policy as p
 from ironrail.peers.consensus.change import Ticket
 from ironrail.peers.consensus.conf import Conf
@@ -160,7 +160,7 @@
             return None
         try:
             ticket: Ticket = node.room.propose(self.clock(node), wanted, deadline, voters)
-        except RefusedError:
+        except RejectedError:
             return None
         self.documents[ticket.ref.digest] = wanted
         self.tickets.append(ticket)
--- a/tests/peers/fuzz/papers.py
+++ b/tests/peers/fuzz/papers.py
@@ -12,7 +12,7 @@
 from ironrail.net.peers import admin_documents, policies
 from ironrail.net.peers.policies import Place, Policies
 from ironrail.net.peers.record_store import MAGIC, FolderStore, RecordError
-from ironrail.operator_file import Peers
+from ironrail.operator_file import PeerSettings
 from ironrail.peers.consensus import messages as m
 from ironrail.peers.consensus import policy as p
 from ironrail.peers.consensus.errors import PolicyError
@@ -89,7 +89,7 @@
 
 def place(store: FolderStore | None) -> Policies:
     """Router 0, a voter."""
-    peers = Peers({}, 1, ("a", "b", "hall-b"), (0, 1, 2), start="floor")
+    peers = PeerSettings({}, 1, ("a", "b", "hall-b"), (0, 1, 2), start_mode="floor")
     classes = {name: RequestClass(name, 1.0) for name in ("grid-read", "once")}
     return Policies(
         Place(0, 7, 0.0, 1), Settings(classes), peers, store, lambda _: None, lambda: 1.0, lambda: None
--- a/tests/peers/steering/test_regions.py
+++ b/tests/peers/steering/test_regions.py
@@ -71,4 +71,4 @@
 def test_what_cant_be_used_is_refused(named: dict[str, object]) -> None:
     with pytest.raises(RegionsError) as caught:
         Regions(named)
-    assert "regions" in caught.value.where and caught.value.advice in caught.value.told()
+    assert "regions" in caught.value.location and caught.value.advice in caught.value.with_advice()
--- a/tests/peers/transport/test_wire_errors.py
+++ b/tests/peers/transport/test_wire_errors.py
@@ -31,8 +31,8 @@
 def test_refused(kind: type[InputError], make: Callable[[], object]) -> None:
     with pytest.raises(kind) as told:
         make()
-    assert told.value.where and kind.advice in told.value.told()
-    assert OLD.decode() not in told.value.told()
+    assert told.value.location and kind.advice in told.value.with_advice()
+    assert OLD.decode() not in told.value.with_advice()
 
 
 @pytest.mark.parametrize("size", [16, 64])
--- a/tests/readers_router.py
+++ b/tests/readers_router.py
@@ -11,7 +11,7 @@
 import pytest
 from ironrail.net.downstream.client_connection import ClientConnection
 from ironrail.net.peers import readers as driver
-from ironrail.operator_file import Operator, Peers
+from ironrail.operator_file import OperatorSettings, PeerSettings
 from ironrail.peers.consensus import policy as p
 from ironrail.peers.consensus.room import DecidedBy
 from ironrail.peers.steering.carried import place
@@ -31,15 +31,15 @@
 
     def __init__(self, folder: Path, **peers: Any) -> None:
         (folder / "key").write_bytes(b"a key of all routers")
-        conf = Peers({1: str(folder / "key")}, 1, ("here", "there"), **peers)
-        super().__init__(operator=Operator(peers=conf, regions={"north": ["127.0.1.0/24"]}))
+        conf = PeerSettings({1: str(folder / "key")}, 1, ("here", "there"), **peers)
+        super().__init__(operator=OperatorSettings(peers=conf, regions={"north": ["127.0.1.0/24"]}))
 
     def config(self) -> Any:
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as probe:
             probe.bind((LOCAL, 0))
             own = f"{LOCAL}:{probe.getsockname()[1]}"
         tier = {"peer_listen": own, "peers": [own, f"{LOCAL}:9"]}
-        return replace(super().config(), tier=tier)
+        return replace(super().config(), peer_table=tier)
 
     async def client_at(self, address: str) -> Client:
         return Client(*await asyncio.open_connection(*self.address, local_addr=(address, 0)))
--- a/tests/rehearsal/links/readers_world.py
+++ b/tests/rehearsal/links/readers_world.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass, field, replace
 from pathlib import Path
 
-from ironrail.operator_file import Operator, Peers
+from ironrail.operator_file import OperatorSettings, PeerSettings
 from ironrail.rehearsal.links.plan import LinkFault
 from ironrail.rehearsal.load.schedule import Planned, make_schedule
 from ironrail.rehearsal.scenario.model import Scenario
@@ -57,15 +57,15 @@
     def address(self, region: str, client: int) -> str:
         return f"10.{sorted(self.ways).index(region)}.0.{client + 1}"
 
-    def operator(self, folder: Path, steered: bool) -> Operator:
+    def operator(self, folder: Path, steered: bool) -> OperatorSettings:
         (folder / "key").write_bytes(b"a key of all routers")
         halls = tuple(hall_of(self.scenario(), n) for n in range(self.routers))
-        peers = Peers(
-            {1: str(folder / "key")}, 1, halls, voters=(0, 1, 2), lease_ms=1000, start="floor",
-            steer_every=self.steer_every if steered else 0, per_weight=self.per_weight,
+        peers = PeerSettings(
+            {1: str(folder / "key")}, 1, halls, voters=(0, 1, 2), lease_milliseconds=1000, start_mode="floor",
+            steering_interval=self.steer_every if steered else 0, requests_per_weight=self.per_weight,
         )  # fmt: skip
         ranges = {r: [f"10.{n}.0.0/16"] for n, r in enumerate(sorted(self.ways))}
-        return Operator(peers=peers, regions=ranges)
+        return OperatorSettings(peers=peers, regions=ranges)
 
     def schedule(self, seed: int) -> list[Planned]:
         """Each request's `hall` names its region and client."""
--- a/tests/rehearsal/links/test_halls.py
+++ b/tests/rehearsal/links/test_halls.py
@@ -6,7 +6,7 @@
 from pathlib import Path
 
 import pytest
-from ironrail.operator_file import Operator, Peers
+from ironrail.operator_file import OperatorSettings, PeerSettings
 from ironrail.rehearsal.links.grounds import VirtualLinks
 from ironrail.rehearsal.links.plan import LinkFault, link_fault
 from ironrail.rehearsal.links.rig import LinkedRehearsal
@@ -45,13 +45,13 @@
 def play(folder: Path, plan: list[LinkFault], scenario: Scenario, on: bool) -> Result:
     (folder / "key").write_bytes(b"a key of all routers")
     standing = tuple(hall_of(scenario, n) for n in range(ROUTERS))
-    peers = Peers({1: str(folder / "key")}, 1, standing, map=on)
+    peers = PeerSettings({1: str(folder / "key")}, 1, standing, zone_latency_map=on)
 
     def rehearsal(*args: object, **others: object) -> LinkedRehearsal:
         return Observed(*args, plan=plan, observe="/-/halls", **others)
 
     played = play_virtual(
-        scenario, SEED, operator=Operator(peers=peers), ground_of=VirtualLinks, rehearsal_of=rehearsal
+        scenario, SEED, operator=OperatorSettings(peers=peers), ground_of=VirtualLinks, rehearsal_of=rehearsal
     )
     assert played.faults == [] and played.result.broken == []
     return played.result
--- a/tests/rehearsal/test_pipelines.py
+++ b/tests/rehearsal/test_pipelines.py
@@ -8,7 +8,7 @@
 import pytest
 from click.testing import CliRunner
 from ironrail.connections.upstream.socket_budget import places_each
-from ironrail.operator_file import Connections, Operator
+from ironrail.operator_file import ConnectionSettings, OperatorSettings
 from ironrail.operator_reader import read_operator
 from ironrail.rehearsal.account.record import Ended, Record
 from ironrail.rehearsal.command import pipeline_report
@@ -21,14 +21,30 @@
 @pytest.mark.parametrize(
     ("depth", "operator"),
     [
-        (Depth(None), Operator()),
-        (Depth(1), Operator(Connections(per_cache=16, depth=1, cost_ms=0))),
-        (Depth(4), Operator(Connections(per_cache=4, depth=4, cost_ms=0))),
-        (Depth(5), Operator(Connections(per_cache=4, depth=5, cost_ms=0))),  # room for 16 at the least
-        (Depth(100), Operator(Connections(per_cache=2, depth=100, cost_ms=0))),
+        (Depth(None), OperatorSettings()),
+        (
+            Depth(1),
+            OperatorSettings(ConnectionSettings(per_router=16, max_in_flight=1, connect_cost_milliseconds=0)),
+        ),
+        (
+            Depth(4),
+            OperatorSettings(ConnectionSettings(per_router=4, max_in_flight=4, connect_cost_milliseconds=0)),
+        ),
+        (
+            Depth(5),
+            OperatorSettings(ConnectionSettings(per_router=4, max_in_flight=5, connect_cost_milliseconds=0)),
+        ),  # room for 16 at the least
+        (
+            Depth(100),
+            OperatorSettings(
+                ConnectionSettings(per_router=2, max_in_flight=100, connect_cost_milliseconds=0)
+            ),
+        ),
     ],
 )
-def test_as_many_requests_find_room_at_any_depth(depth: Depth, operator: Operator, tmp_path: Path) -> None:
+def test_as_many_requests_find_room_at_any_depth(
+    depth: Depth, operator: OperatorSettings, tmp_path: Path
+) -> None:
     path = tmp_path / "operator.toml"
     path.write_text(operator_file(depth))
     assert read_operator(str(path)) == operator
--- a/tests/test_errors.py
+++ b/tests/test_errors.py
@@ -7,10 +7,10 @@
 from pathlib import Path
 
 import ironrail
-from ironrail.errors import InputError, IronrailError, RefusedError, all_errors
+from ironrail.errors import InputError, IronrailError, RejectedError, all_errors
 
 PAGE = Path(__file__).parent.parent / "docs" / "errors.md"
-ROOTS = (IronrailError, InputError, RefusedError)
+ROOTS = (IronrailError, InputError, RejectedError)
 
 
 def test_each_error_has_its_advice_and_its_line_on_the_page() -> None:
@@ -32,6 +32,6 @@
         advice = "do this and that"
 
     assert str(Example("is wrong", "file: field")) == "file: field: is wrong"
-    assert Example("is wrong", "field").told() == "field: is wrong; do this and that"
+    assert Example("is wrong", "field").with_advice() == "field: is wrong; do this and that"
     assert str(Example("is wrong")) == "is wrong" and Example.exit_code == 2
     assert isinstance(Example("x"), ValueError)
--- a/tests/test_halls.py
+++ b/tests/test_halls.py
@@ -16,7 +16,7 @@
 from ironrail.net.system import REAL
 from ironrail.net.upstream.cache_connection import CacheConnection
 from ironrail.net.upstream.connection_pool import Attempt, ConnectionPool
-from ironrail.operator_file import Peers
+from ironrail.operator_file import PeerSettings
 from ironrail.policy.events import AttemptStatus, LinkState, ZoneLink, ZoneLinksChanged
 from ironrail.rehearsal.standins.listening import LOCAL, SocketListening
 
@@ -32,7 +32,7 @@
 @scenario
 async def test_two_routers_know_how_far_they_are_and_tell_the_module_and_the_door(tmp_path: Path) -> None:
     (tmp_path / "key").write_bytes(b"a key of all routers")
-    conf = Peers({1: str(tmp_path / "key")}, 1, HALLS, map=True)
+    conf = PeerSettings({1: str(tmp_path / "key")}, 1, HALLS, zone_latency_map=True)
     taken = [socket.socket(socket.AF_INET, socket.SOCK_DGRAM) for _ in HALLS]
     for one in taken:
         one.bind((LOCAL, 0))
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -8,7 +8,7 @@
 import pytest
 from ironrail.__main__ import main
 from ironrail.net.lifecycle.node import Node
-from ironrail.operator_file import Connections, Operator, OperatorError
+from ironrail.operator_file import ConnectionSettings, OperatorError, OperatorSettings
 from ironrail.operator_reader import read_operator
 from ironrail.policy.endpoints import Endpoint
 
@@ -32,13 +32,13 @@
 
 
 def test_the_file_that_ships_sets_what_is_usual() -> None:
-    assert read_operator(str(ROOT / "deploy" / "operator.toml")) == Operator()
+    assert read_operator(str(ROOT / "deploy" / "operator.toml")) == OperatorSettings()
 
 
 def test_what_a_file_sets(tmp_path: Path) -> None:
     got = read_operator(written(tmp_path, "[connections]\nper_cache = 8\ndepth = 1\n"))
-    assert got == Operator(Connections(per_cache=8, depth=1))
-    assert read_operator(written(tmp_path, "")) == Operator()
+    assert got == OperatorSettings(ConnectionSettings(per_router=8, max_in_flight=1))
+    assert read_operator(written(tmp_path, "")) == OperatorSettings()
 
 
 @pytest.mark.parametrize(
@@ -89,7 +89,7 @@
 
 @scenario
 async def test_connections_and_their_depth_follow_the_file() -> None:
-    node = Node(World().config(), Operator(Connections(per_cache=5, depth=3)))
+    node = Node(World().config(), OperatorSettings(ConnectionSettings(per_router=5, max_in_flight=3)))
     cache = node._pool_factory.make(Endpoint("c", kind="std"), ("127.0.0.1", 1)).upstream
     origin = node._pool_factory.make(Endpoint("o", kind="origin"), ("127.0.0.1", 1)).upstream
     assert (cache.wanted, cache.streams) == (5, 3)
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -18,7 +18,7 @@
     """A router with a door."""
 
     def config(self) -> Any:
-        return replace(super().config(), operator=(LOCAL, 0))
+        return replace(super().config(), admin_address=(LOCAL, 0))
 
     async def ask(self, path: str, node: Node | None = None) -> tuple[int, str]:
         caller = await connect((node or self.node).admin_pages.address)
@@ -74,7 +74,7 @@
 @scenario
 async def test_a_second_process_serves_once_it_has_read_the_list() -> None:
     world = await Operated().start()
-    second = Node(replace(world.config(), listen=world.address))
+    second = Node(replace(world.config(), listen_address=world.address))
     second.start()
     listing = await world.discovery.next()
     assert (await world.ask("ready", second))[0] == 503
@@ -96,7 +96,7 @@
     monkeypatch.setattr(handover, "ENDPOINT_LIST_TIMEOUT_SECONDS", 0.05)
     world = await Operated().start()
     known = {"version": 0, "full": True, "servers": world.rows()}
-    second = Node(replace(world.config(), listen=world.address, known=known))
+    second = Node(replace(world.config(), listen_address=world.address, cached_endpoint_list=known))
     second.start()
     while (await world.ask("ready", second))[0] != 200:
         await asyncio.sleep(0.01)
--- a/tests/test_readers.py
+++ b/tests/test_readers.py
@@ -19,7 +19,7 @@
 
 @scenario
 async def test_what_is_seen_of_a_region_stands_on_the_page(tmp_path: Path) -> None:
-    world = await Read(tmp_path, map=True).start()
+    world = await Read(tmp_path, zone_latency_map=True).start()
     client = await world.client_at(AWAY)
     for n in range(8):
         await world.served(client, str(n))
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -152,7 +152,7 @@
 async def test_a_router_that_never_listened_ends_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
     world = await World().start()
     listen = world.address
-    second = Node(replace(world.config(), listen=listen))
+    second = Node(replace(world.config(), listen_address=listen))
     loop = asyncio.get_running_loop()
     monkeypatch.setattr(loop.__class__, "add_signal_handler", lambda *_: None, raising=False)
     second.start()
@@ -170,7 +170,7 @@
     monkeypatch.setattr("ironrail.net.lifecycle.handover.ENDPOINT_LIST_TIMEOUT_SECONDS", 0.05)
     world = await World().start()
     with socket.create_server((LOCAL, 0)) as taken:  # by who does not share
-        node = Node(replace(world.config(), listen=taken.getsockname()[:2]))
+        node = Node(replace(world.config(), listen_address=taken.getsockname()[:2]))
         with pytest.raises(OSError, match="use"):
             await asyncio.wait_for(node.serve(), 5.0)
     node._endpoint_watcher.stop()
@@ -179,8 +179,10 @@
 @scenario
 async def test_told_to_read_its_configuration_while_it_ends_it_begins_nothing_anew() -> None:
     world = await World().start()
-    world.node._reloader._read = lambda: replace(world.config(), discovery=(LOCAL, 9))
+    world.node._reloader._read = lambda: replace(world.config(), discovery_address=(LOCAL, 9))
     task = world.node._endpoint_watcher._task
     world.node._clients.drain()
     world.node.reload()
-    assert world.node._endpoint_watcher._task is task and world.node._reloader.config.discovery[1] != 9
+    assert (
+        world.node._endpoint_watcher._task is task and world.node._reloader.config.discovery_address[1] != 9
+    )
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -34,7 +34,7 @@
             path.write_bytes(torn)
             with pytest.raises(RecordError) as e:
                 store.read("accord")
-            assert e.value.where == str(path) and "move the file away" in e.value.told()
+            assert e.value.location == str(path) and "move the file away" in e.value.with_advice()
 
 
 def test_a_crash_before_the_rename_leaves_the_old_one(tmp_path: Path) -> None:
