--- a/benchmarks/accord_check.py
+++ b/benchmarks/accord_check.py
@@ -15,9 +15,9 @@
 
 from ironrail.peers.consensus import messages as m
 from ironrail.peers.consensus import policy as p
-from ironrail.peers.consensus.change import Goal
-from ironrail.peers.consensus.stages import note
-from ironrail.peers.messages import Heard
+from ironrail.peers.consensus.lease import scoped_step_of
+from ironrail.peers.consensus.proposal import TargetState
+from ironrail.peers.messages import Received
 from tests.peers.consensus.explorer import Bounds, Explorer
 from tests.peers.consensus.moves import Moves
 from tests.peers.consensus.still import EVERY_TICK
@@ -46,16 +46,16 @@
     {"faults": 1, "ticks": 8, "routers": 5},
     {"faults": 1, "ticks": 8, "routers": 5, "direct": 0},
 )
-TWO = {0: Goal.FORWARD, 1: Goal.BACK}
+TWO = {0: TargetState.NEW, 1: TargetState.OLD}
 # the register while its voters change: new ones, who asks for what, bounds
-MOVES: tuple[tuple[tuple[int, ...], dict[int, Goal], dict[str, Any]], ...] = (
-    ((1, 2, 3), {4: Goal.FORWARD, 0: Goal.BACK}, {}),
-    ((1, 2, 3), {4: Goal.FORWARD, 0: Goal.JOIN}, {"late": (0,)}),
+MOVES: tuple[tuple[tuple[int, ...], dict[int, TargetState], dict[str, Any]], ...] = (
+    ((1, 2, 3), {4: TargetState.NEW, 0: TargetState.OLD}, {}),
+    ((1, 2, 3), {4: TargetState.NEW, 0: TargetState.JOINT}, {"late": (0,)}),
     ((2, 3, 4), TWO, {}),
-    ((1, 2, 3), {4: Goal.FORWARD}, {"crashes": 1, "victims": (1, 3)}),
-    ((1, 2, 3), {4: Goal.FORWARD, 0: Goal.BACK}, {"crashes": 1, "victims": (3,)}),
-    ((1, 2, 3), {4: Goal.JOIN, 0: Goal.JOIN}, {"moved": True, "late": (0,)}),
-    ((2, 3, 4), {5: Goal.JOIN, 0: Goal.JOIN}, {"moved": True, "late": (0,)}),
+    ((1, 2, 3), {4: TargetState.NEW}, {"crashes": 1, "victims": (1, 3)}),
+    ((1, 2, 3), {4: TargetState.NEW, 0: TargetState.OLD}, {"crashes": 1, "victims": (3,)}),
+    ((1, 2, 3), {4: TargetState.JOINT, 0: TargetState.JOINT}, {"moved": True, "late": (0,)}),
+    ((2, 3, 4), {5: TargetState.JOINT, 0: TargetState.JOINT}, {"moved": True, "late": (0,)}),
     ((3, 4, 5), TWO, {}),
 )
 
@@ -96,15 +96,15 @@
     began = time.process_time()
     for second in range(seconds):
         for router in range(routers):  # that each ask is formed here is counted with it
-            body = m.encode(m.Ask(second + 1, note(known), None, known.step))
-            node.room.hear(now + second, Heard(router, 7000 + router, body))
-            size += len(body) + sum(len(say.body) for say in node.room.say())
+            body = m.encode(m.LeaseRequest(second + 1, scoped_step_of(known), None, known.step))
+            node.room.on_message(now + second, Received(router, 7000 + router, body))
+            size += len(body) + sum(len(say.body) for say in node.room.take_outgoing())
     spent = time.process_time() - began
     share = spent / seconds
     print(f"{routers} renewals a second: {share:.1%} of a CPU, {size / seconds / routers:.0f} B each")
     began = time.process_time()
     for _ in range(100_000):
-        node.room.decides_by(now)
+        node.room.effective_policy(now)
     print(f"decides_by: {(time.process_time() - began) * 10:.1f} us")
 
 
@@ -122,11 +122,11 @@
 
     def send(self, node: Node, to: int, body: bytes) -> None:
         """Into the queue."""
-        queue = self.waiting.setdefault(node.conf.me, [])
+        queue = self.waiting.setdefault(node.conf.router, [])
         first = not queue
         heapq.heappush(queue, (m.priority(m.decode(body)), next(self.order), node, to, body))
         if first:
-            self.drain(node.conf.me)
+            self.drain(node.conf.router)
 
     def drain(self, me: int) -> None:
         """What the pace lets out."""
@@ -167,7 +167,7 @@
     wanted = p.Policy(2, rates={"fonts": 1.0}, steering=steering)
     began = tier.now
     ticket = tier.propose(routers - 1, wanted, 40.0)
-    while ticket and ticket.open:
+    while ticket and ticket.is_open:
         tier.run(0.5)
         World.watch(tier)
     spent = tier.now - began
--- a/benchmarks/accord_storms.py
+++ b/benchmarks/accord_storms.py
@@ -57,7 +57,7 @@
         tier.run(45.0)  # beyond each ticket's patience
         for ticket in tickets:
             assert ticket is not None
-            error = "open: its process ended" if ticket.open else type(ticket.error).__name__
+            error = "open: its process ended" if ticket.is_open else type(ticket.error).__name__
             ended["in force" if ticket.in_force else error] += 1
         watch = tier.watch
         return {
--- a/benchmarks/peers_latency_fleet.py
+++ b/benchmarks/peers_latency_fleet.py
@@ -14,7 +14,7 @@
 import random
 from collections.abc import Callable
 
-from ironrail.peers.messages import Heard
+from ironrail.peers.messages import Received
 from ironrail.peers.zone_latency.room import LatencyRoom
 from ironrail.peers.zone_latency.sight import Link
 from ironrail.peers.zone_latency.spread import OVERHEAD
@@ -72,18 +72,18 @@
 
     def _wake(self, router: int) -> None:
         room = self.rooms[router]
-        room.wake(self.now)
-        for say in room.say():
+        room.on_timer(self.now)
+        for say in room.take_outgoing():
             self.bytes += len(say.body) + OVERHEAD
             self.messages += 1
             way = self.way(self.hall_of[router], self.hall_of[say.to])
             if way < math.inf and self.draws.random() >= self.loss:
-                call = functools.partial(self._hear, say.to, Heard(router, 1, say.body))
+                call = functools.partial(self._hear, say.to, Received(router, 1, say.body))
                 self.at(self.now + way * self.draws.uniform(1.0, 1.3), call)
-        self.at(max(self.now + 0.001, room.wake_at()), lambda: self._wake(router))
+        self.at(max(self.now + 0.001, room.next_timer_at()), lambda: self._wake(router))
 
-    def _hear(self, router: int, heard: Heard) -> None:
-        self.rooms[router].hear(self.now, heard)
+    def _hear(self, router: int, heard: Received) -> None:
+        self.rooms[router].on_message(self.now, heard)
 
     def _sample(self, router: int) -> None:
         hall, to = self.hall_of[router], self.draws.randrange(len(self.names))
--- a/benchmarks/peers_wire.py
+++ b/benchmarks/peers_wire.py
@@ -18,7 +18,7 @@
 from itertools import count
 from struct import Struct
 
-from ironrail.peers.messages import MOST_ROUTERS, Say, Topic
+from ironrail.peers.messages import MOST_ROUTERS, Outgoing, Topic
 from ironrail.peers.transport import layout
 from ironrail.peers.transport.keys import Keys
 from ironrail.peers.transport.layout import MOST_BODY, sealed_size
@@ -42,8 +42,8 @@
                 receiver.open(now, sender.me, datagram)
 
 
-def sealed(sender: Wire, body: bytes, topic: Topic = Topic.ACCORD) -> bytes:
-    return sender.seal(Say(1, topic, body))[0][1]
+def sealed(sender: Wire, body: bytes, topic: Topic = Topic.CONSENSUS) -> bytes:
+    return sender.seal(Outgoing(1, topic, body))[0][1]
 
 
 def each(done: Callable[[], object]) -> float:
@@ -75,7 +75,7 @@
 def cpu() -> None:
     sender = wire(0)
     for size in SIZES:
-        say = Say(1, Topic.ACCORD, bytes(size))
+        say = Outgoing(1, Topic.CONSENSUS, bytes(size))
         show(f"sealed, body of {size}", each(partial(sender.seal, say)))
 
     times = count(1)
@@ -99,7 +99,7 @@
     replayed = sealed(sender, bytes(100))
     known.open(1.0, 0, replayed)
     opened("replayed", [replayed] * TIMES, lambda: known, 0.0, Reason.REPEATED)
-    ahead = forged(sender.start, Topic.ACCORD, bytes(100))
+    ahead = forged(sender.start, Topic.CONSENSUS, bytes(100))
     fresh = [
         layout.write_head(False, False, 1, 1, 0, sender.start, 2**30 + i) + d[15:]
         for i, d in enumerate(ahead)
@@ -108,11 +108,19 @@
     opened("forged, life known, a flood", fresh, receiver, 0.0, Reason.FLOOD)
     question = Meeting(asks=bytes(8)).encode()
     opened(
-        "forged question, within the allowance", forged(9, Topic.WIRE, question), receiver, 10.0, Reason.MAC
+        "forged question, within the allowance",
+        forged(9, Topic.TRANSPORT, question),
+        receiver,
+        10.0,
+        Reason.MAC,
     )
-    opened("forged question, a flood", forged(9, Topic.WIRE, question), receiver, 0.0, Reason.FLOOD)
+    opened("forged question, a flood", forged(9, Topic.TRANSPORT, question), receiver, 0.0, Reason.FLOOD)
     opened(
-        "forged, life unknown, a flood", forged(9, Topic.ACCORD, bytes(100)), receiver, 0.0, Reason.UNPROVEN
+        "forged, life unknown, a flood",
+        forged(9, Topic.CONSENSUS, bytes(100)),
+        receiver,
+        0.0,
+        Reason.UNPROVEN,
     )
     opened("of an unknown key", [b"\x21\x09" + bytes(98)] * TIMES, receiver, 0.0, Reason.KEY)
     opened("noise", [b"\xff" * 100] * TIMES, receiver, 0.0, Reason.VERSION)
@@ -145,13 +153,13 @@
     for sender in senders:
         now += 1.0
         meet(now, receiver, sender)
-        datagrams = [d for _ in range(600) for _, d in sender.seal(Say(0, Topic.ACCORD, b""))]
+        datagrams = [d for _ in range(600) for _, d in sender.seal(Outgoing(0, Topic.CONSENSUS, b""))]
         for datagram in datagrams[::2]:
             receiver.open(now, sender.me, datagram)
     for sender in senders:
-        for datagram in [d for _, d in sender.seal(Say(0, Topic.ACCORD, bytes(MOST_BODY)))][:15]:
+        for datagram in [d for _, d in sender.seal(Outgoing(0, Topic.CONSENSUS, bytes(MOST_BODY)))][:15]:
             receiver.open(now, sender.me, datagram)
-        forged = wire(sender.me, OTHERS, start=7).seal(Say(0, Topic.ACCORD, b""))[0][1]
+        forged = wire(sender.me, OTHERS, start=7).seal(Outgoing(0, Topic.CONSENSUS, b""))[0][1]
         receiver.open(now, sender.me, forged)
     del senders, sender, datagrams, datagram, forged
     assert all(receiver.knows(number) for number in range(1, MOST_ROUTERS))
--- a/ironrail/net/peers/policies.py
+++ b/ironrail/net/peers/policies.py
@@ -23,11 +23,11 @@
 from ironrail.net.peers.record_store import Keeper, RecordError, Store
 from ironrail.operator_file import OperatorError, Peers
 from ironrail.peers.consensus import policy as p
-from ironrail.peers.consensus.change import Ticket
-from ironrail.peers.consensus.conf import Conf
+from ironrail.peers.consensus.configuration import ConsensusConfig
+from ironrail.peers.consensus.consensus_node import ConsensusNode, DecidedBy
 from ironrail.peers.consensus.errors import UnreadyError
 from ironrail.peers.consensus.messages import read_record
-from ironrail.peers.consensus.room import AccordRoom, DecidedBy
+from ironrail.peers.consensus.proposal import ProposalHandle
 from ironrail.policy.events import PolicyOverridesChanged
 from ironrail.policy.settings import Settings
 
@@ -80,23 +80,23 @@
     ) -> None:
         """`follow`: takes what is decided by from now on; `go_on`: sends what the room says."""
         self._follow, self._now, self._go_on = follow, now, go_on
-        conf = Conf(
-            me=place.me,
+        conf = ConsensusConfig(
+            router=place.me,
             start=place.start,
             routers=len(peers.halls),
             voters=peers.voters,
-            lease=peers.lease_ms / 1000,
-            drift=peers.drift,
-            disk=store is not None,
-            start_on_floor=peers.start == "floor",
+            lease_seconds=peers.lease_ms / 1000,
+            max_clock_drift=peers.drift,
+            persists_records=store is not None,
+            starts_on_fallback=peers.start == "floor",
         )
         facts, floor = facts_of(settings, peers, regions), read_floor(peers.floor)
         record, self._torn = self._kept(store)
-        self.room = AccordRoom(conf, facts, floor, place.now, place.seed, record)
+        self.room = ConsensusNode(conf, facts, floor, place.now, place.seed, record)
         self._keeper = Keeper(store, RECORD, self._done) if store is not None else None
         self._followed: DecidedBy | None = None
         self._until = -math.inf  # when what is decided by has to be asked for anew
-        self.ticket: Ticket | None = None  # of the latest call for a change here
+        self.ticket: ProposalHandle | None = None  # of the latest call for a change here
 
     def _kept(self, store: Store | None) -> tuple[bytes | None, InputError | None]:
         """A record that can't be read is none: the voter then asks the others where things stand."""
@@ -116,7 +116,7 @@
 
     def ready(self) -> bool:
         """Whether there is anything to decide by."""
-        return self.room.decides_by(self._now()).policy is not None
+        return self.room.effective_policy(self._now()).policy is not None
 
     def check(self, now: float) -> None:
         """Before each decision: what was decided by may have ended."""
@@ -126,27 +126,27 @@
     def refresh(self) -> None:
         """Hand over what is decided by, if that has changed, and keep what is to be kept."""
         now = self._now()
-        for keep in self.room.keeps():
+        for keep in self.room.take_records():
             assert self._keeper is not None
             self._keeper.keep(keep.token, keep.record)
-        decided = self.room.decides_by(now)
-        self._until = self.room.decides_until(now)
+        decided = self.room.effective_policy(now)
+        self._until = self.room.effective_until(now)
         if decided == self._followed:
             return
         before, self._followed = self._followed, decided
-        policy = decided.policy or self.room.library.floor
+        policy = decided.policy or self.room.library.fallback
         log.info(
             "decides_by", extra={"versions": list(decided.versions), "ready": decided.policy is not None}
         )
-        if before is None or policy != (before.policy or self.room.library.floor):
+        if before is None or policy != (before.policy or self.room.library.fallback):
             self._follow(PolicyOverridesChanged(policy.emptied, policy.shed, policy.further, policy.rates))
 
     def _done(self, token: int, failed: OSError | None) -> None:
         if failed is None:
-            self.room.kept(self._now(), token)
+            self.room.on_record_written(self._now(), token)
         else:
             log.error("record_not_kept", extra={"error": str(failed)})
-            self.room.keep_failed(self._now(), token)
+            self.room.on_record_failed(self._now(), token)
         self._go_on()
 
     def stop(self) -> None:
@@ -157,9 +157,9 @@
 
     def in_force(self) -> DecidedBy:
         """What is decided by now, with the versions."""
-        return self.room.decides_by(self._now())
+        return self.room.effective_policy(self._now())
 
-    def steer(self, rows: dict[str, dict[str, float]]) -> Ticket:
+    def steer(self, rows: dict[str, dict[str, float]]) -> ProposalHandle:
         """Propose these rows in place of those of the policy in force, and nothing else changed.
 
         Raises:
@@ -186,15 +186,15 @@
 
     def _told(self) -> dict[str, Any]:
         now = self._now()
-        decided = self.room.decides_by(now)
-        ends = self.room.decides_until(now)
+        decided = self.room.effective_policy(now)
+        ends = self.room.effective_until(now)
         told: dict[str, Any] = {
             "versions": list(decided.versions),
             "ready": decided.policy is not None,
             "voters": self.room.voters_now(),
             "lease_left": round(ends - now, 3) if ends > now and ends < math.inf else None,
             "policy": admin_documents.rows(decided.policy),
-            "troubles": [error.told() for error in self.room.troubles(now)],
+            "troubles": [error.told() for error in self.room.faults(now)],
         }
         if self._torn is not None:
             told["troubles"].append(self._torn.told())
@@ -205,8 +205,8 @@
         return told
 
     @staticmethod
-    def _state(ticket: Ticket) -> str:
-        return "under way" if ticket.open else "in force" if ticket.in_force else "refused"
+    def _state(ticket: ProposalHandle) -> str:
+        return "under way" if ticket.is_open else "in force" if ticket.in_force else "refused"
 
     def propose(self, body: bytes) -> Answer:
         """A policy as TOML: 202 once it is under way, 409 where it can't be now, 400 where it is none.
@@ -216,7 +216,7 @@
         """
         now = self._now()
         try:
-            policy, voters = admin_documents.read(body, lambda: self.room.settled(now))
+            policy, voters = admin_documents.read(body, lambda: self.room.policy_in_force(now))
             self.ticket = self.room.propose(now, policy, voters=voters)
         except RefusedError as e:
             return admin_documents.line(409, e.told())
@@ -232,7 +232,7 @@
             epoch = table.pop("epoch", None)
             if not isinstance(epoch, int) or isinstance(epoch, bool):
                 raise InputError("must be a whole number that was never used before", "epoch")
-            self.room.found(self._now(), epoch, p.read(table))
+            self.room.bootstrap(self._now(), epoch, p.read(table))
         except InputError as e:
             return admin_documents.line(400, e.told())
         self._go_on()
--- a/ironrail/net/peers/runtime.py
+++ b/ironrail/net/peers/runtime.py
@@ -19,7 +19,7 @@
 from ironrail.net.system import System
 from ironrail.net.upstream.connection import LinkObserver
 from ironrail.operator_file import Operator, OperatorError
-from ironrail.peers.messages import Room
+from ironrail.peers.messages import PeerProtocol
 from ironrail.peers.steering.capacity import cut_off
 from ironrail.policy.events import EndpointListUpdate, PolicyOverridesChanged, ZoneLinksChanged
 
@@ -33,7 +33,7 @@
     """Something a router does with others, besides accords: drives a room of its own."""
 
     @property
-    def room(self) -> Room:
+    def room(self) -> PeerProtocol:
         """What it drives."""
 
     def settled(self) -> None:
--- a/ironrail/net/peers/transport.py
+++ b/ironrail/net/peers/transport.py
@@ -13,7 +13,7 @@
 from ironrail.net.config import ConfigError, address_of
 from ironrail.net.system import Address, System
 from ironrail.operator_file import Peers
-from ironrail.peers.messages import ALL, Room, Say, Stamped, Topic
+from ironrail.peers.messages import ALL, Outgoing, PeerProtocol, Timestamped, Topic
 from ironrail.peers.transport.keys import Keys
 from ironrail.peers.transport.outbox import Outbox
 from ironrail.peers.transport.wire import Wire
@@ -67,8 +67,10 @@
         self._numbers = {address: number for number, address in enumerate(tier.peers)}
         self.wire = Wire(me, start, Keys(conf.sending, conf.secrets()), len(tier.peers), os.urandom)
         self._outbox = Outbox(self._seal, len(tier.peers) - 1, float(conf.pace), now=system.now())
-        self._rooms: dict[Topic, Room] = {}
-        self._stamps: dict[Topic, Callable[[float, Say], Say]] = {}  # what is put in as a message goes
+        self._rooms: dict[Topic, PeerProtocol] = {}
+        self._stamps: dict[
+            Topic, Callable[[float, Outgoing], Outgoing]
+        ] = {}  # what is put in as a message goes
         self._loop = asyncio.get_running_loop()
         self._timer: asyncio.TimerHandle | None = None
         self._transport: asyncio.DatagramTransport | None = None
@@ -76,10 +78,10 @@
         self.unread = 0  # datagrams beyond what is looked at
         self.unsent = 0  # that the system did not take
 
-    def add(self, room: Room) -> None:
+    def add(self, room: PeerProtocol) -> None:
         self._rooms[room.topic] = room
-        if isinstance(room, Stamped):
-            self._stamps[room.topic] = room.stamped
+        if isinstance(room, Timestamped):
+            self._stamps[room.topic] = room.with_timestamp
 
     async def open(self, meet: Sequence[int] = ()) -> None:
         """Listen; `meet`: routers whose present life is to be asked for before anything of it is needed."""
@@ -109,7 +111,7 @@
         self._allowed -= 1.0
         for topic, heard in self.wire.open(now, self._numbers.get((addr[0], addr[1])), data):
             if (room := self._rooms.get(topic)) is not None:
-                room.hear(now, heard)
+                room.on_message(now, heard)
         self.go_on()
 
     def error_received(self, exc: Exception) -> None:
@@ -122,18 +124,23 @@
         self._timer = None
         now = self._system.now()
         for room in self._rooms.values():
-            if room.wake_at() <= now:
-                room.wake(now)
+            if room.next_timer_at() <= now:
+                room.on_timer(now)
         self.go_on()
 
     def go_on(self) -> None:
         """Send what is said, and be called again when the next is due."""
         now = self._system.now()
-        for say in [*self.wire.say(now), *(say for room in self._rooms.values() for say in room.say())]:
+        for say in [
+            *self.wire.say(now),
+            *(say for room in self._rooms.values() for say in room.take_outgoing()),
+        ]:
             self._outbox.put(now, say)
         for to, datagram in self._outbox.take(now):
             self._send(to, datagram)
-        due = min([self.wire.wake_at(), self._outbox.wake_at(), *(r.wake_at() for r in self._rooms.values())])
+        due = min(
+            [self.wire.wake_at(), self._outbox.wake_at(), *(r.next_timer_at() for r in self._rooms.values())]
+        )
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
@@ -141,10 +148,10 @@
             self._timer = self._loop.call_later(max(LEAST_WAIT, due - now), self.wake)
         self._settled()
 
-    def say(self, say: Say) -> None:
+    def say(self, say: Outgoing) -> None:
         self._outbox.put(self._system.now(), say)
 
-    def _seal(self, say: Say) -> list[tuple[int, bytes]]:
+    def _seal(self, say: Outgoing) -> list[tuple[int, bytes]]:
         stamp = self._stamps.get(say.topic)
         return self.wire.seal(say if stamp is None else stamp(self._system.now(), say))
 
--- a/ironrail/peers/consensus/register.py
+++ b/ironrail/peers/consensus/acceptor.py
@@ -12,21 +12,21 @@
 import msgspec
 
 from ironrail.peers.consensus import messages as m
-from ironrail.peers.consensus.memory import Memory
+from ironrail.peers.consensus.acceptor_recovery import AcceptorRecovery
 
 KEEP_EVERY = 1.0  # seconds until a record that couldn't be kept is tried again
 MOST_HELD = 64  # words that wait for the disk: older ones count as lost on the way, and are asked for again
 
 
 @dataclass(frozen=True, slots=True)
-class Keep:
+class PersistRecord:
     """To be written, in order, and synced to the disk before `kept(token)` is told."""
 
     token: int
     record: bytes
 
 
-class Voter(Memory):
+class Acceptor(AcceptorRecovery):
     """One of the few that keep the register."""
 
     def __init__(
@@ -35,26 +35,26 @@
         """As of a memory; `disk`: keep records."""
         super().__init__(me, start, voters, now, wait, record)
         self.disk = disk
-        self.keeps: list[Keep] = []
-        self.token = self.kept_token = 0
+        self.records: list[PersistRecord] = []
+        self.token = self.written_token = 0
         self._held: list[tuple[int, int, m.Message]] = []  # token, to, what is told once it is kept
-        self.keep_again = math.inf
+        self.retry_write_at = math.inf
 
     @property
-    def failing(self) -> bool:
+    def write_is_failing(self) -> bool:
         """Whether the latest record couldn't be kept."""
-        return self.keep_again < math.inf
+        return self.retry_write_at < math.inf
 
     def wake(self, now: float) -> None:
         """Ask on for what was lost; keep again what couldn't be kept."""
-        if now >= self.keep_again:
-            self.keep_again = now + KEEP_EVERY
+        if now >= self.retry_write_at:
+            self.retry_write_at = now + KEEP_EVERY
             self._keep()
         super().wake(now)
 
     # what changes must be kept before anything that rests on it is told
 
-    def _change(self, vouched: m.Vouched) -> None:
+    def _change(self, vouched: m.AcceptorState) -> None:
         if vouched == self.vouched:
             return
         self.vouched = vouched
@@ -63,29 +63,29 @@
 
     def _keep(self) -> None:
         self.token += 1
-        self.keeps.append(Keep(self.token, msgspec.msgpack.encode(self.vouched)))
+        self.records.append(PersistRecord(self.token, msgspec.msgpack.encode(self.vouched)))
 
     def _tell(self, to: int, message: m.Message) -> None:
-        if self.failing:
+        if self.write_is_failing:
             return
-        if self.kept_token < self.token:
+        if self.written_token < self.token:
             self._held = [*self._held[1 - MOST_HELD :], (self.token, to, message)]
         else:
             self.out.append((to, message))
 
-    def kept(self, token: int) -> None:
+    def on_record_written(self, token: int) -> None:
         """The record of this token, and those before, outlast the process now."""
-        self.kept_token = max(self.kept_token, token)
-        if self.kept_token == self.token:
-            self.keep_again = math.inf
-        ready = [held for held in self._held if held[0] <= self.kept_token]
-        self._held = [held for held in self._held if held[0] > self.kept_token]
+        self.written_token = max(self.written_token, token)
+        if self.written_token == self.token:
+            self.retry_write_at = math.inf
+        ready = [held for held in self._held if held[0] <= self.written_token]
+        self._held = [held for held in self._held if held[0] > self.written_token]
         self.out += [(to, message) for _, to, message in ready]
 
-    def keep_failed(self, now: float, token: int) -> None:
+    def on_record_failed(self, now: float, token: int) -> None:
         """It may be there or not: nothing is told that rests on it."""
-        if token > self.kept_token:
-            self._held, self.keep_again = [], now + KEEP_EVERY
+        if token > self.written_token:
+            self._held, self.retry_write_at = [], now + KEEP_EVERY
 
     # the register
 
@@ -95,38 +95,40 @@
         if not self.standing or accepted is None:
             return
         if ballot < self.vouched.promised or ballot.epoch != self.epoch:
-            self._tell(to, m.Outvoted(ballot, self.vouched.promised))
+            self._tell(to, m.BallotRejected(ballot, self.vouched.promised))
             return
-        self._change(m.Vouched(ballot, self.vouched.ballot, accepted))
+        self._change(m.AcceptorState(ballot, self.vouched.ballot, accepted))
         held: list[int] = []
         refusal = None
         if accepted.new:
-            held = self.grants.against(now, accepted.scope[1:])
-            refusal = self.grants.refusal(now, accepted.scope[1])
+            held = self.grants.holders_against(now, accepted.scope[1:])
+            refusal = self.grants.rejection_of(now, accepted.scope[1])
             if now < self.quiet_until:  # it doesn't know whom it granted what
                 held = held or [self.me]
         self.meet(message.among)
         seen, decided = self.seen_now(message.among), self.decided.step if self.decided else 0
         self._tell(to, m.Promise(ballot, self.vouched, decided, seen, tuple(held[:4]), refusal))
 
-    def accept(self, now: float, to: int, ballot: m.Ballot, state: m.State, ready: bool) -> None:
+    def accept(self, now: float, to: int, ballot: m.Ballot, state: m.RegisterState, ready: bool) -> None:
         """Accept a state, unless leases stand against it or a document of it is missing (`ready`)."""
         if not self.standing:
             return
         if ballot < self.vouched.promised or ballot.epoch != self.epoch:
-            self._tell(to, m.Outvoted(ballot, self.vouched.promised))
-        elif not ready or now < self.quiet_until or self.grants.against(now, state.scope):
-            self._tell(to, m.Blocked(ballot))
+            self._tell(to, m.BallotRejected(ballot, self.vouched.promised))
+        elif not ready or now < self.quiet_until or self.grants.holders_against(now, state.scope):
+            self._tell(to, m.AcceptBlocked(ballot))
         else:
-            self._change(m.Vouched(ballot, ballot, state))
+            self._change(m.AcceptorState(ballot, ballot, state))
             self._tell(to, m.Accepted(ballot, self.seen_now(state.named)))
 
-    def ask(self, now: float, life: tuple[int, int], ask: m.Ask, decided: m.State | None) -> None:
+    def ask(
+        self, now: float, life: tuple[int, int], ask: m.LeaseRequest, decided: m.RegisterState | None
+    ) -> None:
         """A router wants a lease; older ones than the state before its own aren't granted."""
         accepted = self.vouched.accepted
         able = self.standing and accepted is not None and now >= self.quiet_until
         least = accepted.step - 1 if able and accepted else 2**63
-        granted = self.grants.ask(now, life, ask, least, now + self.grants.wait)
+        granted = self.grants.request(now, life, ask, least, now + self.grants.max_lease_seconds)
         if granted is not None:
             news = decided if decided and decided.step > ask.knows else None
-            self.out.append((life[0], m.Answer(ask.sequence, granted, self.standing, self.epoch, news)))
+            self.out.append((life[0], m.LeaseReply(ask.sequence, granted, self.standing, self.epoch, news)))
--- a/ironrail/peers/consensus/memory.py
+++ b/ironrail/peers/consensus/acceptor_recovery.py
@@ -11,13 +11,13 @@
 import msgspec
 
 from ironrail.peers.consensus import messages as m
-from ironrail.peers.consensus.grants import Grants
-from ironrail.peers.consensus.quorum import Reply, majority, sound
+from ironrail.peers.consensus.lease_table import LeaseTable
+from ironrail.peers.consensus.quorum import QuorumReply, find_quorum, majority_size
 
 RECOVER_EVERY = 0.5  # seconds
 
 
-class Memory:
+class AcceptorRecovery:
     """What a voter holds: a promise, a vote, and which processes it heard."""
 
     def __init__(
@@ -28,15 +28,15 @@
         self.home = voters  # the set whose majority decides, as far as known
         self.contacts = set(voters)  # who may know where things stand
         self.seen = dict.fromkeys(voters, 0) | {me: start}
-        self.vouched = m.Vouched()
+        self.vouched = m.AcceptorState()
         self.standing = False
-        self.grants = Grants(wait)
+        self.grants = LeaseTable(wait)
         # leases that were granted before the start are forgotten and may last this long
         self.quiet_until = now + wait
-        self.offer: m.State | None = None
-        self.reports: dict[int, Reply] = {}  # of other voters, for this nonce
+        self.offer: m.RegisterState | None = None
+        self.reports: dict[int, QuorumReply] = {}  # of other voters, for this nonce
         self.nonce, self.recover_at, self.lost = 0, now, 0
-        self.decided: m.State | None = None  # the latest that the room knows to be
+        self.decided: m.RegisterState | None = None  # the latest that the room knows to be
         self.epochs: dict[int, int] = {}  # of the other voters that stand
         self.out: m.Out = []
         if record is not None:
@@ -55,14 +55,14 @@
 
     def meet(self, among: Iterable[int]) -> None:
         """Those that are asked together have to have heard each other."""
-        self.out += [(voter, m.Recover(0)) for voter in among if not self.seen.get(voter)]
+        self.out += [(voter, m.RecoveryRequest(0)) for voter in among if not self.seen.get(voter)]
 
     def heard(self, sender: int, start: int, voter: bool) -> None:
         """A message came, and from a `voter` if it is one that only they send."""
         if voter or sender in self.seen:
             self.seen[sender] = start
 
-    def learned(self, state: m.State) -> None:
+    def learned(self, state: m.RegisterState) -> None:
         """A state that is decided."""
         self.decided, self.home = state, state.voters
         self.contacts |= set(state.named)
@@ -76,61 +76,67 @@
             if not self.nonce:
                 self._draw()
             among = tuple(sorted(self.contacts | {self.me}))
-            self.out += [(voter, m.Recover(self.nonce, among)) for voter in among if voter != self.me]
+            self.out += [(voter, m.RecoveryRequest(self.nonce, among)) for voter in among if voter != self.me]
 
     def _draw(self) -> None:
         """Each life of a voter and each loss has a nonce of its own: the start is random."""
         self.reports, self.nonce = {}, (self.seen[self.me] * 64 + self.lost % 64) % 2**62 + 1
 
-    def recover(self, to: int, message: m.Recover) -> None:
+    def recover(self, to: int, message: m.RecoveryRequest) -> None:
         """Another voter lost its memory."""
         self.meet(message.among)
         if self.standing:
-            self._tell(to, m.Report(message.nonce, True, self.seen_now(), self.vouched))
+            self._tell(to, m.RecoveryReport(message.nonce, True, self.seen_now(), self.vouched))
         else:
-            self.out.append((to, m.Report(message.nonce, False, self.seen_now(), m.Vouched(), self.offer)))
+            self.out.append(
+                (to, m.RecoveryReport(message.nonce, False, self.seen_now(), m.AcceptorState(), self.offer))
+            )
 
-    def report(self, sender: int, start: int, report: m.Report) -> None:
+    def report(self, sender: int, start: int, report: m.RecoveryReport) -> None:
         """Where things stand by another voter."""
         if self.standing or not self.nonce or report.nonce != self.nonce or sender == self.me:
             return
-        self.reports[sender] = Reply(start, report.seen, report)
+        self.reports[sender] = QuorumReply(start, report.seen, report)
         told = self._told(True)
         epoch = max((_vouched(r).promised.epoch for r in told.values()), default=0)
         latest = {v: r for v, r in told.items() if _vouched(r).promised.epoch == epoch}
-        best = max((_vouched(r) for r in latest.values()), key=lambda v: v.ballot, default=m.Vouched())
+        best = max((_vouched(r) for r in latest.values()), key=lambda v: v.ballot, default=m.AcceptorState())
         if best.accepted:
             self.contacts |= set(best.accepted.named)
-            if sound(latest, self._asked(best.accepted)):
+            if find_quorum(latest, self._asked(best.accepted)):
                 promised = max(_vouched(r).promised for r in latest.values())
-                self._stand(m.Vouched(promised, best.ballot, best.accepted))
+                self._stand(m.AcceptorState(promised, best.ballot, best.accepted))
         if not self.standing and self.offer:
             self._found(self.offer)
 
-    def _asked(self, state: m.State) -> tuple[m.Voters, ...]:
+    def _asked(self, state: m.RegisterState) -> tuple[m.Voters, ...]:
         """Who has to have reported for this to be the latest state that may be decided."""
         if self.decided and state.step <= self.decided.step:
             return (self.decided.voters,)
         return state.needed
 
-    def _told(self, standing: bool) -> dict[int, Reply]:
+    def _told(self, standing: bool) -> dict[int, QuorumReply]:
         told = {v: (r, r.message) for v, r in self.reports.items()}
         return {
-            v: r for v, (r, word) in told.items() if isinstance(word, m.Report) and word.standing == standing
+            v: r
+            for v, (r, word) in told.items()
+            if isinstance(word, m.RecoveryReport) and word.standing == standing
         }
 
-    def _found(self, offer: m.State) -> None:
+    def _found(self, offer: m.RegisterState) -> None:
         lost = self._told(False).items()
-        same = {v: r for v, r in lost if isinstance(r.message, m.Report) and r.message.offer == offer}
+        same = {v: r for v, r in lost if isinstance(r.message, m.RecoveryReport) and r.message.offer == offer}
         seen = self.seen_now()
-        same[self.me] = Reply(self.seen[self.me], seen, m.Report(self.nonce, False, seen, m.Vouched(), offer))
-        group = sound(same, (offer.voters,))
+        same[self.me] = QuorumReply(
+            self.seen[self.me], seen, m.RecoveryReport(self.nonce, False, seen, m.AcceptorState(), offer)
+        )
+        group = find_quorum(same, (offer.voters,))
         if self.me in group:
-            message = m.Founded(offer, tuple((v, self.seen[v]) for v in group))
+            message = m.Bootstrapped(offer, tuple((v, self.seen[v]) for v in group))
             self.out += [(voter, message) for voter in offer.voters if voter != self.me]
             self.founded(message)
 
-    def offered(self, state: m.State) -> None:
+    def offered(self, state: m.RegisterState) -> None:
         """By the operator's hand; nothing to a voter that stands, nor for another set than is in force."""
         known = self.decided
         if known and (known.grantors != known.voters or known.voters != state.voters):
@@ -138,14 +144,14 @@
         if not self.standing and (self.offer is None or state.step >= self.offer.step):
             self.offer = state
 
-    def founded(self, message: m.Founded) -> None:
+    def founded(self, message: m.Bootstrapped) -> None:
         """Begin anew, if this very process was counted among those that lost their memory."""
         counted = (self.me, self.seen[self.me]) in message.starts
         if not self.standing and counted and self.offer == message.state:
             first = m.Ballot(message.state.step // m.EPOCH)
-            self._stand(m.Vouched(first, first, message.state))
+            self._stand(m.AcceptorState(first, first, message.state))
 
-    def _stand(self, vouched: m.Vouched) -> None:
+    def _stand(self, vouched: m.AcceptorState) -> None:
         self.standing, self.reports = True, {}
         self._change(vouched)
 
@@ -156,29 +162,33 @@
         if not self.standing or accepted is None:
             return
         voters = accepted.voters
-        if sum(self.epochs.get(v, 0) > self.epoch for v in voters) >= majority(voters):
-            self.standing, self.vouched, self.quiet_until = False, m.Vouched(), now + self.grants.wait
+        if sum(self.epochs.get(v, 0) > self.epoch for v in voters) >= majority_size(voters):
+            self.standing, self.vouched, self.quiet_until = (
+                False,
+                m.AcceptorState(),
+                now + self.grants.max_lease_seconds,
+            )
             self.lost += 1
             self.offer, self.nonce, self.recover_at = None, 0, now
 
     def is_lost(self) -> bool:
         """Whether too many voters lost their memory for this one to learn where things stand."""
         lost = {self.me, *self._told(False)} & set(self.home)
-        return not self.standing and self.me in lost and len(lost) > len(self.home) - majority(self.home)
+        return not self.standing and self.me in lost and len(lost) > len(self.home) - majority_size(self.home)
 
     def _tell(self, to: int, message: m.Message) -> None:
         raise NotImplementedError
 
-    def _change(self, vouched: m.Vouched) -> None:
+    def _change(self, vouched: m.AcceptorState) -> None:
         raise NotImplementedError
 
 
-def _vouched(reply: Reply) -> m.Vouched:
-    assert isinstance(reply.message, m.Report)
+def _vouched(reply: QuorumReply) -> m.AcceptorState:
+    assert isinstance(reply.message, m.RecoveryReport)
     return reply.message.vouched
 
 
-def _named(vouched: m.Vouched, voters: m.Voters) -> m.Vouched:
+def _named(vouched: m.AcceptorState, voters: m.Voters) -> m.AcceptorState:
     """Records of before there was a change of voters name none: it is the set of the operator's file."""
     state = vouched.accepted
     if state is None or state.voters:
--- a/ironrail/peers/consensus/conf.py
+++ b/ironrail/peers/consensus/configuration.py
@@ -23,28 +23,28 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Conf:
+class ConsensusConfig:
     """A router's place, as the operator's file has it."""
 
-    me: int
+    router: int
     start: int  # of this process, as on the wire: drawn at random, never again
     routers: int
     voters: tuple[int, ...]  # 3, 5 or 7 of the routers
-    lease: float = LEASE
-    drift: float = DRIFT
-    direct: int = DIRECT
-    disk: bool = False  # voters keep their record
-    start_on_floor: bool = False  # a router that knows nothing yet acts by the floor; else it isn't ready
+    lease_seconds: float = LEASE
+    max_clock_drift: float = DRIFT
+    max_direct_routers: int = DIRECT
+    persists_records: bool = False  # voters keep their record
+    starts_on_fallback: bool = False  # a router that knows nothing yet acts by the floor; else it isn't ready
 
     def __post_init__(self) -> None:
         """Raises InputError, with the field."""
-        if not 0 <= self.me < self.routers <= MOST_ROUTERS:
+        if not 0 <= self.router < self.routers <= MOST_ROUTERS:
             raise InputError("is no router's number", "me")
         check_voters(self.voters, self.routers)
-        if not (self.lease > 0 and 0 <= self.drift < 0.5):
+        if not (self.lease_seconds > 0 and 0 <= self.max_clock_drift < 0.5):
             raise InputError("must be above 0, and the drift below 0.5", "lease")
 
     @property
-    def wait(self) -> float:
+    def max_lease_seconds(self) -> float:
         """Seconds by any clock in which a lease has run out by any other: one may be slow, the other fast."""
-        return self.lease * (1 + self.drift) / (1 - self.drift)
+        return self.lease_seconds * (1 + self.max_clock_drift) / (1 - self.max_clock_drift)
--- a/ironrail/peers/consensus/room.py
+++ b/ironrail/peers/consensus/consensus_node.py
@@ -11,11 +11,11 @@
 from ironrail.peers.consensus import errors
 from ironrail.peers.consensus import messages as m
 from ironrail.peers.consensus import policy as p
-from ironrail.peers.consensus.change import Change, Goal, Ticket
-from ironrail.peers.consensus.conf import DEADLINE, check_voters
-from ironrail.peers.consensus.core import Core
-from ironrail.peers.consensus.register import Keep
-from ironrail.peers.messages import Heard, Say, Topic
+from ironrail.peers.consensus.acceptor import PersistRecord
+from ironrail.peers.consensus.configuration import DEADLINE, check_voters
+from ironrail.peers.consensus.message_handler import MessageHandler
+from ironrail.peers.consensus.proposal import Proposal, ProposalHandle, TargetState
+from ironrail.peers.messages import Outgoing, Received, Topic
 
 
 @dataclass(frozen=True, slots=True)
@@ -27,16 +27,16 @@
     scope: m.Scope = ()
 
 
-class AccordRoom(Core):
+class ConsensusNode(MessageHandler):
     """See `faces.Room`; besides, `propose`, `decides_by`, `found`, and the voter's record."""
 
-    topic = Topic.ACCORD
+    topic = Topic.CONSENSUS
 
     # what an operator or the router asks
 
     def propose(
         self, now: float, policy: p.Policy, deadline: float = DEADLINE, voters: m.Voters = ()
-    ) -> Ticket:
+    ) -> ProposalHandle:
         """Have this policy take the old one's place everywhere; `deadline`: seconds.
 
         `voters`: that keep the register once it is in force; none: those that do now.
@@ -50,15 +50,17 @@
             check_voters(voters, self.conf.routers)
         if self.proposer.change:
             raise errors.BusyError("a change is under way here", "policy")
-        if self.known is None or self.holder.decides(now) is None:
-            raise errors.UnreadyError("holds no lease", f"router {self.conf.me}")
+        if self.known is None or self.holder.valid_state(now) is None:
+            raise errors.UnreadyError("holds no lease", f"router {self.conf.router}")
         ref = self._taken(policy)
-        ticket = Ticket(ref)
-        self.proposer.begin(now, Change(Goal.JOIN, ref, ticket, deadline=now + deadline, voters=voters))
+        ticket = ProposalHandle(ref)
+        self.proposer.begin(
+            now, Proposal(TargetState.JOINT, ref, ticket, deadline=now + deadline, new_voters=voters)
+        )
         self._settle(now)
         return ticket
 
-    def found(self, now: float, epoch: int, policy: p.Policy) -> None:
+    def bootstrap(self, now: float, epoch: int, policy: p.Policy) -> None:
         """By the operator's hand, the first time and where more voters lost their memory than can be.
 
         `epoch`: never used before. Tell it to one router; voters with a memory take no notice.
@@ -67,20 +69,20 @@
             raise InputError("must be from 1 to 2**20", "epoch")
         ref = self._taken(policy)
         voters = self.known.voters if self.known else self.conf.voters
-        named = m.Ref(ref.version, ref.digest, voters)
-        self._to_voters(m.Offer(m.State(epoch * m.EPOCH, named, tried=ref.version)))
+        named = m.PolicyRef(ref.version, ref.digest, voters)
+        self._to_voters(m.BootstrapOffer(m.RegisterState(epoch * m.EPOCH, named, tried=ref.version)))
         self._to_voters(m.Document(self.library.get(ref.digest) or b""))
         self._settle(now)
 
-    def settled(self, now: float) -> p.Policy:
+    def policy_in_force(self, now: float) -> p.Policy:
         """The one policy in force.
 
         Raises:
             RefusedError: a change is under way, or this router doesn't know where the register stands.
         """
-        state = self.holder.decides(now)
+        state = self.holder.valid_state(now)
         if state is None or state is not self.known:
-            raise errors.UnreadyError("holds no lease for the latest state", f"router {self.conf.me}")
+            raise errors.UnreadyError("holds no lease for the latest state", f"router {self.conf.router}")
         if state.new:
             raise errors.BusyError(f"version {state.new.version} is on its way", "policy")
         return self.library.effective(state)
@@ -95,65 +97,65 @@
             *((known.new.voters,) if known.new and known.new.voters != known.voters else ()),
         ]
 
-    def _taken(self, policy: p.Policy) -> m.Ref:
+    def _taken(self, policy: p.Policy) -> m.PolicyRef:
         policy = p.normal(policy)
         if error := p.check(policy, self.library.facts):
             raise error
         return self._have(policy)
 
-    def decides_by(self, now: float) -> DecidedBy:
+    def effective_policy(self, now: float) -> DecidedBy:
         """What to act by at this very time; ask anew for each decision, with a clock that counts pauses."""
-        state = self.holder.decides(now)
+        state = self.holder.valid_state(now)
         if state:
             return DecidedBy(
                 tuple(r.version for r in state.refs()), self.library.effective(state), state.scope
             )
-        known = [self.known, self.holder.at, self.holder.next]
-        if not any(known) and not self.conf.start_on_floor:
+        known = [self.known, self.holder.current, self.holder.target]
+        if not any(known) and not self.conf.starts_on_fallback:
             return DecidedBy((), None)
-        return DecidedBy((), self.library.strictest(known))
+        return DecidedBy((), self.library.merged_with_fallback(known))
 
-    def decides_until(self, now: float) -> float:
+    def effective_until(self, now: float) -> float:
         """When `decides_by` may tell something else though nothing was heard: the lease ends."""
-        state = self.holder.decides(now)
-        return self.holder.end(state.scope) if state else math.inf
+        state = self.holder.valid_state(now)
+        return self.holder.expiry(state.scope) if state else math.inf
 
-    def troubles(self, now: float) -> list[IronrailError]:
+    def faults(self, now: float) -> list[IronrailError]:
         """What an operator should know."""
         found: list[IronrailError] = []
         if self.voter and self.voter.is_lost():
             found.append(errors.LostError("a majority of the voters has no memory", "voters"))
-        if self.voter and self.voter.failing:
-            found.append(errors.KeepingError("can't keep its record", f"voter {self.conf.me}"))
-        if self.holder.decides(now) is None:
-            found.append(errors.LeaseError("holds no lease", f"router {self.conf.me}"))
-        if self.known and (refused := self.library.refusal(self.known)):
+        if self.voter and self.voter.write_is_failing:
+            found.append(errors.KeepingError("can't keep its record", f"voter {self.conf.router}"))
+        if self.holder.valid_state(now) is None:
+            found.append(errors.LeaseError("holds no lease", f"router {self.conf.router}"))
+        if self.known and (refused := self.library.rejection_of(self.known)):
             found.append(refused[1])
         return found
 
     # the voter's record
 
-    def keeps(self) -> list[Keep]:
+    def take_records(self) -> list[PersistRecord]:
         """Records to be kept; asked after each event, and empty once taken."""
         if not self.voter:
             return []
-        taken, self.voter.keeps = self.voter.keeps, []
+        taken, self.voter.records = self.voter.records, []
         return taken
 
-    def kept(self, now: float, token: int) -> None:
+    def on_record_written(self, now: float, token: int) -> None:
         """It is on the disk."""
         if self.voter:
-            self.voter.kept(token)
+            self.voter.on_record_written(token)
             self._settle(now)
 
-    def keep_failed(self, now: float, token: int) -> None:
+    def on_record_failed(self, now: float, token: int) -> None:
         """It couldn't be kept."""
         if self.voter:
-            self.voter.keep_failed(now, token)
+            self.voter.on_record_failed(now, token)
 
     # the driver's calls
 
-    def hear(self, now: float, heard: Heard) -> None:
+    def on_message(self, now: float, heard: Received) -> None:
         """A message; what can't be used is counted and dropped."""
         try:
             message = m.decode(heard.body)
@@ -163,7 +165,7 @@
         self._take(now, heard.sender, heard.start, message)
         self._settle(now)
 
-    def wake(self, now: float) -> None:
+    def on_timer(self, now: float) -> None:
         """Time has passed."""
         if self.voter:
             self.voter.wake(now)
@@ -176,16 +178,16 @@
         self.proposer.wake(now)
         self._settle(now)
 
-    def say(self) -> list[Say]:
+    def take_outgoing(self) -> list[Outgoing]:
         """What is to be sent."""
         taken, self._out = self._out, []
         return taken
 
-    def wake_at(self) -> float:
+    def next_timer_at(self) -> float:
         """When it wants to be woken."""
         times = [self._renew_at, self.proposer.wake_at(), self._tend_at(), self._pending_at]
         if self.library.missing(self._states()):
             times.append(self._fetch_at)
         if self.voter:
-            times.append(self.voter.keep_again if self.voter.standing else self.voter.recover_at)
+            times.append(self.voter.retry_write_at if self.voter.standing else self.voter.recover_at)
         return min(times)
--- a/ironrail/peers/consensus/path.py
+++ b/ironrail/peers/consensus/lease_routing.py
@@ -10,7 +10,7 @@
 import math
 from collections.abc import Callable
 
-from ironrail.peers.consensus.conf import Conf
+from ironrail.peers.consensus.configuration import ConsensusConfig
 
 HEAD_FOR = 10.0  # seconds after having been asked that a router asks the voters itself
 # asks without any answer until another head is tried: 0.9 s of a lease's 3; one in 27 for a tenth lost
@@ -22,10 +22,10 @@
 FIRST_AGAIN = 30.0  # seconds until the first of the heads is tried again beside the present one
 
 
-class Path:
+class LeaseRouting:
     """One router's."""
 
-    def __init__(self, conf: Conf, draw: Callable[[], float] = lambda: 0.5) -> None:
+    def __init__(self, conf: ConsensusConfig, draw: Callable[[], float] = lambda: 0.5) -> None:
         """`draw`: from 0 to 1."""
         self.conf, self.voters, self._draw = conf, conf.voters, draw
         self.head_until = self.first_at = -math.inf
@@ -41,21 +41,21 @@
         conf = self.conf
         members = [router for router in range(conf.routers) if router not in self.voters]
         groups = math.isqrt(len(members)) + 1  # head and voter have as many to answer
-        direct = conf.me in self.voters or conf.routers <= conf.direct
+        direct = conf.router in self.voters or conf.routers <= conf.max_direct_routers
         # every so-manieth, so that neighbours in number, which may share a hall, don't fall together
-        self.rota = [] if direct else members[members.index(conf.me) % groups :: groups]
+        self.rota = [] if direct else members[members.index(conf.router) % groups :: groups]
         self.place = self.vain = self.gone = 0  # gone: heads in a row that did not answer
         self.move_on_at = math.inf
 
     def speaks(self, now: float) -> bool:
         """Whether this router speaks with the voters itself."""
-        return not self.rota or now < self.head_until or self.rota[self.place] == self.conf.me
+        return not self.rota or now < self.head_until or self.rota[self.place] == self.conf.router
 
     def heads(self) -> list[int]:
         """Those that are asked now, itself left out: one, or more after some that were not there."""
         count = min(len(self.rota), MOST_AT_ONCE, 1 << max(0, self.gone - 1))
         found = [self.rota[(self.place + n) % len(self.rota)] for n in range(count)]
-        return [head for head in found if head != self.conf.me]
+        return [head for head in found if head != self.conf.router]
 
     def targets(self, now: float) -> tuple[int, ...]:
         """Whom to ask this time; called for each renewal."""
@@ -71,7 +71,7 @@
         heads = self.heads()
         if self.place and now >= self.first_at:
             self.first_at = now + FIRST_AGAIN
-            if self.rota[0] not in (self.conf.me, *heads):
+            if self.rota[0] not in (self.conf.router, *heads):
                 heads.append(self.rota[0])
         return tuple(heads)
 
@@ -91,7 +91,7 @@
         """Which others have the documents of what this router learns."""
         if not self.speaks(now):
             return tuple(self.heads())
-        return tuple(voter for voter in self.voters if voter != self.conf.me)
+        return tuple(voter for voter in self.voters if voter != self.conf.router)
 
     def asked(self, now: float) -> bool:
         """Another router has this one answer for it; whether that is new."""
--- a/ironrail/peers/consensus/core.py
+++ b/ironrail/peers/consensus/message_handler.py
@@ -6,18 +6,18 @@
 
 from ironrail.peers.consensus import messages as m
 from ironrail.peers.consensus import policy as p
-from ironrail.peers.consensus.change import Change, Goal
-from ironrail.peers.consensus.conf import DEADLINE
+from ironrail.peers.consensus.acceptor import Acceptor
+from ironrail.peers.consensus.configuration import DEADLINE
 from ironrail.peers.consensus.errors import PolicyError
-from ironrail.peers.consensus.leasing import Leasing
-from ironrail.peers.consensus.register import Voter
+from ironrail.peers.consensus.node_state import NodeState
+from ironrail.peers.consensus.proposal import Proposal, TargetState
 
 FETCH_EVERY = 0.5  # seconds
 LEFT_BEHIND = 2.5  # times the deadline after which voters take back a joint state, one after the other
 UNSETTLED = 4.0  # seconds after which a voter finishes what it accepted and never heard decided
 
 
-class Core(Leasing):
+class MessageHandler(NodeState):
     """Parts that hear one another: voter, proposer, library."""
 
     _pending: tuple[int, m.Prepare | m.Accept] | None = None  # the latest that couldn't be answered in full
@@ -41,7 +41,7 @@
                 break
             own, self._own = self._own, []
             for message in own:
-                self._take(now, self.conf.me, self.conf.start, message)
+                self._take(now, self.conf.router, self.conf.start, message)
         if self.voter:
             accepted = self.voter.vouched.accepted
             step = accepted.step if accepted else 0
@@ -54,11 +54,11 @@
         sources = self.path.sources(now)
         for digest in self.library.missing(self._states()):
             if sources:
-                self._post(sources[int(self._draw() * len(sources))], m.Want(digest))
+                self._post(sources[int(self._draw() * len(sources))], m.DocumentRequest(digest))
 
     # what a voter was asked and couldn't answer yet
 
-    def _hindered(self, now: float, voter: Voter, message: m.Prepare | m.Accept) -> float:
+    def _hindered(self, now: float, voter: Acceptor, message: m.Prepare | m.Accept) -> float:
         """Until when at the latest, if nothing is heard, something stands against its full answer."""
         if isinstance(message, m.Accept):
             if self.library.missing([message.state]):
@@ -69,7 +69,7 @@
             if accepted is None or accepted.new is None:
                 return -math.inf
             scope = accepted.scope[1:]
-        return max(voter.quiet_until, voter.grants.ends_against(now, scope))
+        return max(voter.quiet_until, voter.grants.last_expiry_against(now, scope))
 
     def _answer_later(self, now: float, sender: int, message: m.Prepare | m.Accept) -> None:
         if self.voter:
@@ -98,7 +98,7 @@
         voter = self.voter
         if not voter or not voter.standing or self.proposer.change:
             return math.inf
-        accepted, me = voter.vouched.accepted, self.conf.me
+        accepted, me = voter.vouched.accepted, self.conf.router
         if accepted and self._accepted > (self.known.step if self.known else 0):
             left, voters = UNSETTLED, accepted.named
         elif self.known and self.known.new:
@@ -110,34 +110,38 @@
     def _tend(self, now: float) -> None:
         if self.voter:
             self.proposer.epoch = self.voter.epoch
-            goal = Goal.SETTLE if self._accepted > (self.known.step if self.known else 0) else Goal.BACK
-            self.proposer.begin(now, Change(goal))
+            goal = (
+                TargetState.UNCHANGED
+                if self._accepted > (self.known.step if self.known else 0)
+                else TargetState.OLD
+            )
+            self.proposer.begin(now, Proposal(goal))
 
     # what is heard
 
     def _take(self, now: float, sender: int, start: int, message: m.Message) -> None:
         voter, proposer = self.voter, self.proposer
         named = message.among if isinstance(message, m.Prepare) else ()
-        if self.conf.me in named:
+        if self.conf.router in named:
             self._be_voter(now)
             voter = self.voter
         if voter:
-            voter.heard(sender, start, isinstance(message, (m.Recover, m.Report)))
+            voter.heard(sender, start, isinstance(message, (m.RecoveryRequest, m.RecoveryReport)))
         match message:
-            case m.Answer():
+            case m.LeaseReply():
                 self._answered(now, sender, message)
             case m.Promise():
                 proposer.promised(now, sender, start, message)
             case m.Accepted():
                 proposer.accepted(now, sender, start, message)
-            case m.Outvoted():
+            case m.BallotRejected():
                 proposer.outvoted(now, message.promised)
             case m.Decided():
                 self._learn(now, message.state)
                 self._take_early()
-            case _ if voter and (not isinstance(message, m.Ask) or self._grants()):
+            case _ if voter and (not isinstance(message, m.LeaseRequest) or self._grants()):
                 self._vote(now, voter, sender, start, message)
-            case m.Ask():
+            case m.LeaseRequest():
                 self._lend(now, (sender, start), message)
             case _:
                 pass
@@ -146,12 +150,12 @@
     def _serve(self, sender: int, message: m.Message) -> None:
         """What any router tells any other."""
         match message:
-            case m.Want():
+            case m.DocumentRequest():
                 if found := self.library.get(message.digest):
                     self._post(sender, m.Document(found))
             case m.Document():
                 self._document(message.data)
-            case m.Where():
+            case m.StateQuery():
                 if self.known and self.known.step > message.knows:
                     self._post(sender, m.Decided(self.known))
             case _:
@@ -159,11 +163,11 @@
 
     def _grants(self) -> bool:
         """Whether it is asked as a voter; else for a part of its own lease."""
-        return not self.known or self.conf.me in self.known.grantors
+        return not self.known or self.conf.router in self.known.grantors
 
-    def _vote(self, now: float, voter: Voter, sender: int, start: int, message: m.Message) -> None:
+    def _vote(self, now: float, voter: Acceptor, sender: int, start: int, message: m.Message) -> None:
         match message:
-            case m.Ask():
+            case m.LeaseRequest():
                 voter.ask(now, (sender, start), message, self.known)
             case m.Prepare():
                 voter.prepare(now, sender, message)
@@ -173,19 +177,19 @@
                 missing = self.library.missing([message.state])
                 voter.accept(now, sender, message.ballot, message.state, not missing)
                 self._answer_later(now, sender, message)
-            case m.Recover():
+            case m.RecoveryRequest():
                 voter.recover(sender, message)
-            case m.Report():
+            case m.RecoveryReport():
                 voter.report(sender, start, message)
-            case m.Offer():
+            case m.BootstrapOffer():
                 voter.offered(message.state)
                 self._source(sender, self.library.missing([message.state]))
-            case m.Founded():
+            case m.Bootstrapped():
                 voter.founded(message)
             case _:
                 pass
 
-    def _await(self, state: m.State) -> None:
+    def _await(self, state: m.RegisterState) -> None:
         """A proposer sends the document right behind its word, and again with each attempt."""
         for digest in self.library.missing([state]):
             self._awaited = digest
@@ -195,23 +199,23 @@
         """Whoever speaks of a document has it."""
         for digest in digests:
             self._awaited = digest
-            if sender != self.conf.me:
-                self._post(sender, m.Want(digest))
+            if sender != self.conf.router:
+                self._post(sender, m.DocumentRequest(digest))
 
-    def _answered(self, now: float, sender: int, answer: m.Answer) -> None:
+    def _answered(self, now: float, sender: int, answer: m.LeaseReply) -> None:
         if answer.decided:
             self._learn(now, answer.decided)
             self._source(sender, self.library.missing([answer.decided]))
-        if self.voter and sender != self.conf.me:
+        if self.voter and sender != self.conf.router:
             self.voter.epoch_of(now, sender, answer.standing, answer.epoch)
         self.path.answered(now, sender, answer.granted)
         if answer.granted:
-            moved = self.holder.granted(now, sender, answer.sequence, answer.lasts)
-            if self.holder.fresh(self._sets()):
+            moved = self.holder.on_granted(now, sender, answer.sequence, answer.lasts)
+            if self.holder.is_renewed(self._sets()):
                 self._renewed(now)
-            if moved and self.holder.at:
+            if moved and self.holder.current:
                 self._renew(now)  # the voters hear at once that it decides by the new state
-                self._pass_on(self.holder.at, (router for router, _ in self.lent.lives(now)))
+                self._pass_on(self.holder.current, (router for router, _ in self.lent.live_processes(now)))
 
     def _sets(self) -> list[m.Voters]:
         """Whose majorities grant a lease in the latest state."""
--- a/ironrail/peers/consensus/messages.py
+++ b/ironrail/peers/consensus/messages.py
@@ -1,6 +1,6 @@
-"""What rooms say to each other, as MessagePack arrays of a few dozen bytes. Pure.
+"""Messages of the replicated register and of leases, as MessagePack arrays of a few dozen bytes. Pure.
 
-Versions of the form are the wire's: it speaks to no router of another one.
+The form on the wire is fixed by the order of fields and the tags; the transport has the version.
 """
 
 from __future__ import annotations
@@ -22,24 +22,24 @@
 Scope = Annotated[tuple[Whole, ...], msgspec.Meta(max_length=2)]  # versions obeyed together, with the epoch
 
 
-class Ref(msgspec.Struct, frozen=True, array_like=True):
-    """A policy by its version and the digest of its document, and who grants leases for it."""
+class PolicyRef(msgspec.Struct, frozen=True, array_like=True):
+    """A policy by its version and the digest of its document, and the acceptors that grant its leases."""
 
     version: Whole
     digest: Bytes16
     voters: Voters = ()  # empty only while it is not yet known in which place it is proposed
 
-    def same(self, other: Ref | None) -> bool:
+    def same(self, other: PolicyRef | None) -> bool:
         """Whether it is the same document under the same version."""
         return other is not None and (self.version, self.digest) == (other.version, other.digest)
 
 
-class State(msgspec.Struct, frozen=True, array_like=True):
-    """What the register holds: one policy, or in a change the joint state of two."""
+class RegisterState(msgspec.Struct, frozen=True, array_like=True):
+    """The value of the replicated register: one policy or, during a change, the joint state of two."""
 
     step: Whole  # of the register, each one above the one before; the epoch above 2**32
-    old: Ref
-    new: Ref | None = None
+    old: PolicyRef
+    new: PolicyRef | None = None
     tried: Whole = 0  # the highest version ever held or tried: no version is given to two documents
     by: tuple[Whole, Whole] = (0, 0)  # router and start of the process that proposed the change
     left: Voters = ()  # the set that decided the state before, where it is another one
@@ -74,18 +74,20 @@
         epoch = self.step // EPOCH * EPOCH
         return tuple(epoch + ref.version for ref in (self.old, self.new) if ref)
 
-    def refs(self) -> list[Ref]:
+    def refs(self) -> list[PolicyRef]:
         """The documents that it takes."""
         return [ref for ref in (self.old, self.new) if ref]
 
-    def next(self, old: Ref, new: Ref | None = None, by: tuple[int, int] = (0, 0)) -> State:
+    def next(
+        self, old: PolicyRef, new: PolicyRef | None = None, by: tuple[int, int] = (0, 0)
+    ) -> RegisterState:
         """The state that follows."""
         left = self.voters if old.voters != self.voters else ()
-        return State(self.step + 1, old, new, max(self.tried, new.version if new else 0), by, left)
+        return RegisterState(self.step + 1, old, new, max(self.tried, new.version if new else 0), by, left)
 
 
 class Ballot(msgspec.Struct, frozen=True, array_like=True, order=True):
-    """One attempt at the register. The start keeps a process from using one of a forgotten life again."""
+    """One attempt to write the register. `start` keeps a restarted process from reusing a ballot."""
 
     epoch: Whole = 0
     number: Whole = 0
@@ -93,19 +95,19 @@
     start: Whole = 0
 
 
-class Note(msgspec.Struct, frozen=True, array_like=True):
-    """A state as lease tables know it."""
+class ScopedStep(msgspec.Struct, frozen=True, array_like=True):
+    """A step of the register and the versions obeyed in it, as lease tables store it."""
 
     step: Whole
     scope: Scope
 
 
-class Vouched(msgspec.Struct, frozen=True, array_like=True):
-    """What a voter holds."""
+class AcceptorState(msgspec.Struct, frozen=True, array_like=True):
+    """What an acceptor has promised and accepted; written to disk as its record."""
 
     promised: Ballot = Ballot()
     ballot: Ballot = Ballot()  # at which `accepted` was accepted
-    accepted: State | None = None
+    accepted: RegisterState | None = None
 
 
 # of voters that were heard, the start that was last heard from each itself
@@ -114,13 +116,17 @@
 
 
 class Prepare(msgspec.Struct, frozen=True, array_like=True, tag=1):
+    """Phase 1 of a ballot: asks an acceptor for its promise and for what it accepted."""
+
     ballot: Ballot
     among: Among = ()  # all who are asked: they have to have heard each other
 
 
 class Promise(msgspec.Struct, frozen=True, array_like=True, tag=2):
+    """An acceptor promises to accept nothing below this ballot, and reports what it accepted."""
+
     ballot: Ballot
-    vouched: Vouched
+    vouched: AcceptorState
     decided: Whole  # highest step that this voter knows to be decided
     seen: Seen
     held: Annotated[
@@ -129,95 +135,127 @@
     refusal: tuple[Whole, Whole, Why] | None = None  # a router, and what it can't work by
 
 
-class Outvoted(msgspec.Struct, frozen=True, array_like=True, tag=3):
+class BallotRejected(msgspec.Struct, frozen=True, array_like=True, tag=3):
+    """An acceptor promised a higher ballot to another proposer."""
+
     ballot: Ballot
     promised: Ballot
 
 
 class Accept(msgspec.Struct, frozen=True, array_like=True, tag=4):
+    """Phase 2 of a ballot: asks an acceptor to accept a state."""
+
     ballot: Ballot
-    state: State
+    state: RegisterState
 
 
 class Accepted(msgspec.Struct, frozen=True, array_like=True, tag=5):
+    """An acceptor accepted the state of this ballot."""
+
     ballot: Ballot
     seen: Seen
 
 
-class Blocked(msgspec.Struct, frozen=True, array_like=True, tag=6):
-    """Not accepted now: leases stand against it, or a document is missing."""
+class AcceptBlocked(msgspec.Struct, frozen=True, array_like=True, tag=6):
+    """Not accepted now: a lease stands against the state, or one of its documents is missing."""
 
     ballot: Ballot
 
 
 class Decided(msgspec.Struct, frozen=True, array_like=True, tag=7):
-    state: State
+    """A state that a majority accepted; sent by its proposer, and to whoever asks."""
+
+    state: RegisterState
 
 
-class Recover(msgspec.Struct, frozen=True, array_like=True, tag=8):
+class RecoveryRequest(msgspec.Struct, frozen=True, array_like=True, tag=8):
+    """An acceptor without its state asks the others for theirs."""
+
     nonce: Whole  # 0: only to be heard
     among: Among = ()
 
 
-class Report(msgspec.Struct, frozen=True, array_like=True, tag=9):
+class RecoveryReport(msgspec.Struct, frozen=True, array_like=True, tag=9):
+    """The answer to a `RecoveryRequest` with its nonce: the state of this acceptor."""
+
     nonce: Whole
     standing: bool  # whether this voter votes
     seen: Seen
-    vouched: Vouched  # if standing
-    offer: State | None = None  # if not
+    vouched: AcceptorState  # if standing
+    offer: RegisterState | None = None  # if not
 
 
-class Offer(msgspec.Struct, frozen=True, array_like=True, tag=10):
-    """By the operator's hand: what voters without a memory may begin with, all of them."""
+class BootstrapOffer(msgspec.Struct, frozen=True, array_like=True, tag=10):
+    """By an operator's hand: the state that acceptors without theirs may begin with, all of them."""
 
-    state: State
+    state: RegisterState
 
 
-class Founded(msgspec.Struct, frozen=True, array_like=True, tag=11):
-    """These processes, a majority of the voters, had lost their memory and begin anew."""
+class Bootstrapped(msgspec.Struct, frozen=True, array_like=True, tag=11):
+    """These processes, a majority of the acceptors, had no state and begin with this one."""
 
-    state: State
+    state: RegisterState
     starts: Seen  # of those that are counted
 
 
-class Ask(msgspec.Struct, frozen=True, array_like=True, tag=12):
-    """A router's wish for a lease, and its word that it decides by nothing but these from now on."""
+class LeaseRequest(msgspec.Struct, frozen=True, array_like=True, tag=12):
+    """A router asks for a lease, and promises to decide by nothing but these states from now on."""
 
     sequence: Whole
-    low: Note | None
-    high: Note | None  # and by this one, once a majority grants it
+    low: ScopedStep | None
+    high: ScopedStep | None  # and by this one, once a majority grants it
     knows: Whole  # highest step that it knows to be decided
     refuses: tuple[Whole, Whole, Why] | None = None  # a router, a version (with its epoch), and why
     behind: Whole | None = None  # of those it answers for, one that holds it back
 
 
-class Answer(msgspec.Struct, frozen=True, array_like=True, tag=13):
+class LeaseReply(msgspec.Struct, frozen=True, array_like=True, tag=13):
+    """Whether a lease was granted; carries the decided state where the router knows an older one."""
+
     sequence: Whole
     granted: bool
     standing: bool
     epoch: Whole
-    decided: State | None = None  # if the router knows less
+    decided: RegisterState | None = None  # if the router knows less
     lasts: Annotated[float, msgspec.Meta(ge=0, le=3600)] = 0.0  # seconds, of one who is no voter
 
 
-class Want(msgspec.Struct, frozen=True, array_like=True, tag=14):
+class DocumentRequest(msgspec.Struct, frozen=True, array_like=True, tag=14):
+    """Asks for a policy document by its digest."""
+
     digest: Bytes16
 
 
 class Document(msgspec.Struct, frozen=True, array_like=True, tag=15):
+    """A policy document, as `policy.encode` writes it."""
+
     data: bytes
 
 
-class Where(msgspec.Struct, frozen=True, array_like=True, tag=16):
-    """Who knows a later state, and with it who the voters are?"""
+class StateQuery(msgspec.Struct, frozen=True, array_like=True, tag=16):
+    """Asks any router for a later decided state, and with it for the acceptors in force."""
 
     knows: Whole
 
 
 Message = (
-    Prepare | Promise | Outvoted | Accept | Accepted | Blocked | Decided | Recover | Report | Offer | Founded
-    | Ask | Answer | Want | Document | Where
-)  # fmt: skip
+    Prepare
+    | Promise
+    | BallotRejected
+    | Accept
+    | Accepted
+    | AcceptBlocked
+    | Decided
+    | RecoveryRequest
+    | RecoveryReport
+    | BootstrapOffer
+    | Bootstrapped
+    | LeaseRequest
+    | LeaseReply
+    | DocumentRequest
+    | Document
+    | StateQuery
+)
 Out = list[tuple[int, Message]]  # to be sent: to which router, what
 
 _ENCODER = msgspec.msgpack.Encoder()
@@ -234,16 +272,18 @@
     return _DECODER.decode(body)
 
 
-def read_record(record: bytes) -> Vouched:
+def read_record(record: bytes) -> AcceptorState:
     """What was kept; RecordFormError where the bytes are none of ours."""
     try:
-        return msgspec.msgpack.decode(record, type=Vouched)
+        return msgspec.msgpack.decode(record, type=AcceptorState)
     except (msgspec.MsgspecError, RecursionError) as error:
         raise RecordFormError(str(error), "record") from None
 
 
 def priority(message: Message) -> Priority:
     """What goes first."""
-    if isinstance(message, (Ask, Answer)) or (isinstance(message, Document) and len(message.data) <= SHORT):
+    if isinstance(message, (LeaseRequest, LeaseReply)) or (
+        isinstance(message, Document) and len(message.data) <= SHORT
+    ):
         return Priority.LEASE
-    return Priority.STATE if isinstance(message, (Want, Document, Where)) else Priority.VOTE
+    return Priority.STATE if isinstance(message, (DocumentRequest, Document, StateQuery)) else Priority.VOTE
--- a/ironrail/peers/consensus/policy.py
+++ b/ironrail/peers/consensus/policy.py
@@ -38,7 +38,7 @@
     usual: float
     safe: Literal["low", "high"]
 
-    def meet(self, one: float, other: float) -> float:
+    def safer_of(self, one: float, other: float) -> float:
         """The safer of two values."""
         return min(one, other) if self.safe == "low" else max(one, other)
 
@@ -171,13 +171,13 @@
     return {name: min(one.get(name, math.inf), other.get(name, math.inf)) for name in one | other}
 
 
-def meet(one: Policy, other: Policy, facts: Facts) -> Policy:
+def merge_conservatively(one: Policy, other: Policy, facts: Facts) -> Policy:
     """What both allow. Both must have passed `check`."""
     constants = {}
     for name in one.constants | other.constants:
         bounds = facts.constants[name]
         values = (p.constants.get(name, bounds.usual) for p in (one, other))
-        constants[name] = bounds.meet(*values)
+        constants[name] = bounds.safer_of(*values)
     return Policy(
         version=one.version if one.version == other.version else 0,
         rates=_lower(one.rates, other.rates),
--- a/ironrail/peers/consensus/proposer.py
+++ b/ironrail/peers/consensus/proposer.py
@@ -12,15 +12,15 @@
 from ironrail.errors import IronrailError
 from ironrail.peers.consensus import errors
 from ironrail.peers.consensus import messages as m
-from ironrail.peers.consensus.change import Change, Goal
-from ironrail.peers.consensus.quorum import Reply, sound
+from ironrail.peers.consensus.proposal import Proposal, TargetState
+from ironrail.peers.consensus.quorum import QuorumReply, find_quorum
 
 # seconds until an attempt is repeated, by up to twice that as drawn: two at once mustn't keep step
 AGAIN = 0.4
 PATIENCE = 2.0  # times its deadline that a ticket whose last step was sent out waits to hear what came of it
 
 
-def _held(reply: Reply) -> bool:
+def _held(reply: QuorumReply) -> bool:
     return isinstance(reply.message, m.Promise) and bool(reply.message.held)
 
 
@@ -31,14 +31,14 @@
         """`voters`: of the operator's file; `draw`: from 0 to 1."""
         self.me, self.start, self.voters, self._draw = me, start, voters, draw
         self.epoch = self._number = 0
-        self.known: m.State | None = None  # the latest that is decided, as the room tells
-        self.change: Change | None = None
+        self.known: m.RegisterState | None = None  # the latest that is decided, as the room tells
+        self.change: Proposal | None = None
         self.out: m.Out = []
-        self.decided: list[m.State] = []  # by this one; the room takes them
+        self.decided: list[m.RegisterState] = []  # by this one; the room takes them
 
-    def begin(self, now: float, change: Change) -> None:
+    def begin(self, now: float, change: Proposal) -> None:
         """Take it up, in place of what is under way."""
-        self.change, change.began = change, now
+        self.change, change.began_at = change, now
         self._prepare(now)
 
     def _prepare(self, now: float) -> None:
@@ -47,35 +47,39 @@
             self._number += 1
             change.ballot = m.Ballot(self.epoch, self._number, self.me, self.start)
             change.value, change.replies = None, {}
-            change.again_at = now + AGAIN * (1 + self._draw())
+            change.retry_at = now + AGAIN * (1 + self._draw())
             known = self.known.named if self.known else self.voters
-            change.among = tuple(dict.fromkeys((*known, *change.voters, *change.wider)))
-            self.out += [(voter, m.Prepare(change.ballot, change.among)) for voter in change.among]
+            change.asked_voters = tuple(
+                dict.fromkeys((*known, *change.new_voters, *change.discovered_voters))
+            )
+            self.out += [
+                (voter, m.Prepare(change.ballot, change.asked_voters)) for voter in change.asked_voters
+            ]
 
     def outvoted(self, now: float, promised: m.Ballot) -> None:
         """A higher ballot: at first only news, for it may be long past; later somebody else is faster."""
         self.epoch = max(self.epoch, promised.epoch) if self.known is None else self.epoch
         if promised.epoch == self.epoch:
             self._number = max(self._number, promised.number)
-        if self.change and self.change.unaware:
-            self.change.unaware = False
+        if self.change and self.change.may_restart_at_once:
+            self.change.may_restart_at_once = False
             self._prepare(now)
 
     def promised(self, now: float, voter: int, start: int, message: m.Promise) -> None:
         """A voter's promise; with a majority of them a state is chosen and sent out."""
         change = self.change
-        if not change or change.value or message.ballot != change.ballot or voter not in change.among:
+        if not change or change.value or message.ballot != change.ballot or voter not in change.asked_voters:
             return
-        change.replies[voter] = Reply(start, message.seen, message)
+        change.replies[voter] = QuorumReply(start, message.seen, message)
         told = [r.message for r in change.replies.values() if isinstance(r.message, m.Promise)]
         best = max((p.vouched for p in told), key=lambda v: v.ballot).accepted
         sets = self._asked(change, best)
-        if wider := tuple({v for s in sets for v in s if v not in change.among}):
-            change.wider, change.again_at = change.wider + wider, now
+        if wider := tuple({v for s in sets for v in s if v not in change.asked_voters}):
+            change.discovered_voters, change.retry_at = change.discovered_voters + wider, now
             return
         # any majorities without leases against it will do: each lease needs one of each set it is granted by
         clear = {v: r for v, r in change.replies.items() if not _held(r)}
-        group = sound(clear, sets) or sound(change.replies, sets)
+        group = find_quorum(clear, sets) or find_quorum(change.replies, sets)
         if not group:
             return
         change.refusal = next((promise.refusal for promise in told if promise.refusal), None)
@@ -90,57 +94,59 @@
         clearest = [p for v in group if isinstance(p := change.replies[v].message, m.Promise)]
         value = self._next(change, best, clearest)
         if value and self.change is change:
-            change.sent |= change.goal is Goal.FORWARD
+            change.final_step_sent |= change.target is TargetState.NEW
             self._accept(change, value, final=True)
 
-    def _asked(self, change: Change, best: m.State | None) -> list[m.Voters]:
+    def _asked(self, change: Proposal, best: m.RegisterState | None) -> list[m.Voters]:
         """The sets whose majorities have to have promised: none may have decided what isn't seen."""
         sets = [self.known.voters] if self.known else []
         if best and not (self.known and best.step <= self.known.step):
             sets += best.needed
         # those that are to come have to be there, or nothing is begun that needs them
-        if change.goal is Goal.JOIN:
-            sets += [change.voters] if change.voters else []
-        elif change.goal is Goal.FORWARD and best and best.new:
+        if change.target is TargetState.JOINT:
+            sets += [change.new_voters] if change.new_voters else []
+        elif change.target is TargetState.NEW and best and best.new:
             sets.append(best.new.voters)
         return sets
 
-    def _accept(self, change: Change, value: m.State, final: bool) -> None:
-        change.value, change.final, change.replies = value, final, {}
+    def _accept(self, change: Proposal, value: m.RegisterState, final: bool) -> None:
+        change.value, change.value_is_target, change.replies = value, final, {}
         self.out += [(voter, m.Accept(change.ballot, value)) for voter in value.named]
 
-    def _next(self, change: Change, state: m.State, told: list[m.Promise]) -> m.State | None:
+    def _next(
+        self, change: Proposal, state: m.RegisterState, told: list[m.Promise]
+    ) -> m.RegisterState | None:
         """What follows a decided state, if it is the goal's to change it; else the change has ended."""
         ref = change.ref
         mine = ref is not None and ref.same(state.new) and state.by == (self.me, self.start)
-        match change.goal:
-            case Goal.JOIN if ref and state.new is None and ref.version > state.tried:
-                new = m.Ref(ref.version, ref.digest, change.voters or state.voters)
+        match change.target:
+            case TargetState.JOINT if ref and state.new is None and ref.version > state.tried:
+                new = m.PolicyRef(ref.version, ref.digest, change.new_voters or state.voters)
                 return state.next(state.old, new, (self.me, self.start))
-            case Goal.JOIN | Goal.FORWARD if ref and ref.same(state.old):
+            case TargetState.JOINT | TargetState.NEW if ref and ref.same(state.old):
                 self._end()  # another may have finished its last step, and begun a change from it
-            case Goal.JOIN if mine:
-                change.goal = Goal.FORWARD
+            case TargetState.JOINT if mine:
+                change.target = TargetState.NEW
                 return self._next(change, state, told)
-            case Goal.JOIN if state.new:
+            case TargetState.JOINT if state.new:
                 self._end(errors.BusyError(f"version {state.new.version} is on its way", "policy"))
-            case Goal.JOIN:
+            case TargetState.JOINT:
                 self._end(errors.VersionError(f"version {state.tried} was tried already", "policy"))
-            case Goal.FORWARD if mine and ref:
-                change.held = tuple(sorted({router for p in told for router in p.held}))
+            case TargetState.NEW if mine and ref:
+                change.unacknowledged = tuple(sorted({router for p in told for router in p.held}))
                 if change.refusal:
                     router, _, why = change.refusal
                     self._back(errors.RefusedByError(why, f"router {router}"))
-                elif not change.held:
+                elif not change.unacknowledged:
                     return state.next(state.new or ref)
-            case Goal.FORWARD if ref and change.sent and state.old.version > ref.version:
+            case TargetState.NEW if ref and change.final_step_sent and state.old.version > ref.version:
                 self._end(errors.OpenError("the last step was sent out, its fate is not known", "policy"))
-            case Goal.FORWARD:
+            case TargetState.NEW:
                 self._end(errors.WithdrawnError("was taken back", "policy"))
-            case Goal.BACK if state.new:
+            case TargetState.OLD if state.new:
                 return state.next(state.old)
             case _:
-                self._end(None if ref and ref.same(state.old) else change.why)
+                self._end(None if ref and ref.same(state.old) else change.withdrawal_cause)
         return None
 
     def accepted(self, now: float, voter: int, start: int, message: m.Accepted) -> None:
@@ -148,24 +154,24 @@
         change = self.change
         if not change or not change.value or message.ballot != change.ballot:
             return
-        change.replies[voter] = Reply(start, message.seen, message)
-        if not sound(change.replies, change.value.needed):
+        change.replies[voter] = QuorumReply(start, message.seen, message)
+        if not find_quorum(change.replies, change.value.needed):
             return
-        state, final = change.value, change.final
+        state, final = change.value, change.value_is_target
         self.decided.append(state)
-        self.out += [(v, m.Decided(state)) for v in change.among]
+        self.out += [(v, m.Decided(state)) for v in change.asked_voters]
         change.value, change.ballot = None, m.Ballot()  # late votes count no more
         if not final:
-            change.again_at = now
-        elif change.goal is Goal.JOIN:
-            change.goal, change.again_at = Goal.FORWARD, now  # voters answer once nobody holds it back
+            change.retry_at = now
+        elif change.target is TargetState.JOINT:
+            change.target, change.retry_at = TargetState.NEW, now  # voters answer once nobody holds it back
         else:
-            self._end(change.why)
+            self._end(change.withdrawal_cause)
 
     def _end(self, error: IronrailError | None = None) -> None:
         """Over; a ticket ends with it, if it hasn't ended before."""
-        ticket = self.change.ticket if self.change else None
-        if ticket and ticket.open:
+        ticket = self.change.handle if self.change else None
+        if ticket and ticket.is_open:
             ticket.error, ticket.in_force = error, error is None
         self.change = None
 
@@ -173,31 +179,31 @@
         """The ticket ends, if the last step was never sent out; the register goes back to the old state."""
         change = self.change
         if change:
-            if change.ticket and change.ticket.open and not change.sent:
-                change.ticket.error = error
-            change.goal, change.value, change.ballot = Goal.BACK, None, m.Ballot()
-            change.why = error
+            if change.handle and change.handle.is_open and not change.final_step_sent:
+                change.handle.error = error
+            change.target, change.value, change.ballot = TargetState.OLD, None, m.Ballot()
+            change.withdrawal_cause = error
 
     def wake(self, now: float) -> None:
         """Repeat what had no answer; give up at the deadline."""
         change = self.change
         if not change:
             return
-        if now >= change.deadline and change.ticket and change.ticket.open:
+        if now >= change.deadline and change.handle and change.handle.is_open:
             error = self._late(change)
-            if not change.sent:
+            if not change.final_step_sent:
                 self._back(error)
-                change.again_at = now
-            elif now >= change.began + PATIENCE * (change.deadline - change.began):
-                change.ticket.error = errors.OpenError(
+                change.retry_at = now
+            elif now >= change.began_at + PATIENCE * (change.deadline - change.began_at):
+                change.handle.error = errors.OpenError(
                     "the last step was sent out, its fate is not known", "policy"
                 )
-        if now >= change.again_at:
+        if now >= change.retry_at:
             self._prepare(now)
 
-    def _late(self, change: Change) -> errors.NoMajorityError:
-        if change.held:
-            return errors.NoMajorityError("didn't acknowledge in time", f"routers {change.held}")
+    def _late(self, change: Proposal) -> errors.NoMajorityError:
+        if change.unacknowledged:
+            return errors.NoMajorityError("didn't acknowledge in time", f"routers {change.unacknowledged}")
         return errors.NoMajorityError("no majority answered in time", "voters")
 
     def wake_at(self) -> float:
@@ -205,6 +211,10 @@
         change = self.change
         if not change:
             return math.inf
-        waiting = change.ticket is not None and change.ticket.open
-        late = change.began + PATIENCE * (change.deadline - change.began) if change.sent else change.deadline
-        return min(change.again_at, late if waiting else math.inf)
+        waiting = change.handle is not None and change.handle.is_open
+        late = (
+            change.began_at + PATIENCE * (change.deadline - change.began_at)
+            if change.final_step_sent
+            else change.deadline
+        )
+        return min(change.retry_at, late if waiting else math.inf)
--- a/ironrail/peers/consensus/quorum.py
+++ b/ironrail/peers/consensus/quorum.py
@@ -10,22 +10,24 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Reply:
+class QuorumReply:
     """A voter's word, the process that gave it, and which processes that one had heard last."""
 
     start: int
     seen: m.Seen
-    message: m.Promise | m.Accepted | m.Report
+    message: m.Promise | m.Accepted | m.RecoveryReport
 
 
-def majority(voters: m.Voters) -> int:
+def majority_size(voters: m.Voters) -> int:
     """How many of them."""
     return len(voters) // 2 + 1
 
 
-def sound(replies: Mapping[int, Reply], sets: Iterable[m.Voters]) -> list[int]:
+def find_quorum(replies: Mapping[int, QuorumReply], sets: Iterable[m.Voters]) -> list[int]:
     """Majorities of all these sets in which none knows another one's process as replaced; else empty."""
-    parts = [list(combinations(sorted(replies.keys() & set(s)), majority(s))) for s in dict.fromkeys(sets)]
+    parts = [
+        list(combinations(sorted(replies.keys() & set(s)), majority_size(s))) for s in dict.fromkeys(sets)
+    ]
     seen = {voter: dict(reply.seen) for voter, reply in replies.items()}
     for choice in product(*parts) if parts else ():
         group = sorted({voter for part in choice for voter in part})
--- a/ironrail/peers/messages.py
+++ b/ironrail/peers/messages.py
@@ -1,4 +1,4 @@
-"""The types that the rooms of `ironrail/peers/` and their driver share.
+"""The types that the protocols of `ironrail/peers/` and their driver share.
 
 A router is known by its number among all routers (`settings.me`, the place of its address in `peers`), a hall
 by its name. Times are seconds on the router's own clock, which only advances and is no other router's.
@@ -17,16 +17,16 @@
 
 
 class Topic(IntEnum):
-    """Which room a message is for; rooms are told apart on the wire by it."""
+    """Which protocol a message belongs to; its number on the wire."""
 
-    WIRE = 0  # the wire's own: hellos, echoes
-    ACCORD = 1
-    LATENCY = 2
-    REGIONS = 3
+    TRANSPORT = 0  # the transport's own: hellos, echoes
+    CONSENSUS = 1
+    ZONE_LATENCY = 2
+    STEERING = 3
 
 
 class Priority(IntEnum):
-    """What goes first when more waits than the pace lets out; the last is dropped first."""
+    """The order of sending when more is queued than the rate limit admits; the last is dropped first."""
 
     VOTE = 0  # promises, votes, decisions
     LEASE = 1  # renewals and their answers
@@ -35,8 +35,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Say:
-    """To be sent, whole or not at all: `to` a router's number, or ALL at the price of all."""
+class Outgoing:
+    """To be sent, complete or not at all: `to` is a router's number, or ALL at the cost of one each."""
 
     to: int
     topic: Topic
@@ -45,11 +45,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Heard:
-    """Came whole and unforged from a router's present process.
+class Received:
+    """Received complete and authenticated from the current process of a router.
 
-    `start`: of that process; another one for the same sender is another process that remembers nothing, and
-    one that was replaced is never heard again.
+    `start` is the incarnation of that process: another one for the same sender is another process without its
+    memory; a process that was replaced is never heard again.
     """
 
     sender: int
@@ -59,32 +59,32 @@
 
 @dataclass(frozen=True, slots=True)
 class WakeAt:
-    """To be asked again at this time at the latest."""
+    """The protocol is to be called again at this time at the latest."""
 
     at: float
 
 
-class Room(Protocol):
-    """What the driver asks of each room. A room never waits and never raises on what it hears."""
+class PeerProtocol(Protocol):
+    """The interface of each protocol to its driver. It never blocks, and raises on no message."""
 
     topic: Topic
 
-    def hear(self, now: float, heard: Heard) -> None:
-        """A message for this room. What can't be used is counted and dropped."""
+    def on_message(self, now: float, heard: Received) -> None:
+        """Handle a message. One that can't be used is counted and dropped."""
 
-    def wake(self, now: float) -> None:
-        """Time has passed."""
+    def on_timer(self, now: float) -> None:
+        """Handle the timer: time has passed."""
 
-    def say(self) -> list[Say]:
-        """What is to be sent; asked after each `hear` and `wake`, and empty once taken."""
+    def take_outgoing(self) -> list[Outgoing]:
+        """Return what is to be sent, once; called after each message and timer."""
 
-    def wake_at(self) -> float:
-        """When it wants to be woken, infinite if not."""
+    def next_timer_at(self) -> float:
+        """Return when the timer is due; infinite for never."""
 
 
 @runtime_checkable
-class Stamped(Protocol):
-    """A room whose messages tell when they went, which it can't know as it says them: they may wait."""
+class Timestamped(Protocol):
+    """A protocol whose messages carry the time of sending, unknown until they leave the send queue."""
 
-    def stamped(self, now: float, say: Say) -> Say:
-        """The message as it goes now; of the same length."""
+    def with_timestamp(self, now: float, say: Outgoing) -> Outgoing:
+        """Return the message with the time of sending filled in; of the same length."""
--- a/ironrail/peers/steering/room.py
+++ b/ironrail/peers/steering/room.py
@@ -12,7 +12,7 @@
 from collections.abc import Mapping, Sequence
 
 from ironrail.errors import InputError
-from ironrail.peers.messages import MOST_HALLS, MOST_ROUTERS, Heard, Priority, Say, Topic
+from ironrail.peers.messages import MOST_HALLS, MOST_ROUTERS, Outgoing, Priority, Received, Topic
 from ironrail.peers.steering.expected import EQUAL, NOWHERE, Expected, Hall, Worth
 from ironrail.peers.steering.model import Own, time_left
 from ironrail.peers.steering.proposal import USUAL, Bounds, Past, Proposal, Rows
@@ -49,7 +49,7 @@
 class RegionsRoom:
     """What router `me` sees, hears and says of regions, and what rows it would propose."""
 
-    topic = Topic.REGIONS
+    topic = Topic.STEERING
 
     def __init__(
         self,
@@ -78,7 +78,7 @@
             tuple[int, int], tuple[int, int, float]
         ] = {}  # witness, region: change, copies, at
         self._told_at: dict[int, float] = {}
-        self._out: list[Say] = []
+        self._out: list[Outgoing] = []
         self._tokens, self._tokens_at, self._tick, self._tick_at = 0.0, now, 0, now
         self.unusable = 0  # messages that were no reports of these regions
 
@@ -99,7 +99,7 @@
         """Of a request that has `left` seconds until its reader needs the answer."""
         return time_left(left, self.own.way_back(now, self._regions.numbers.get(region, 0)))
 
-    def hear(self, now: float, heard: Heard) -> None:
+    def on_message(self, now: float, heard: Received) -> None:
         try:
             reports = decode(heard.body, self._regions.digest, len(self._hall_of), len(self._regions.names))
         except ReportError:
@@ -109,7 +109,7 @@
             if report.witness != self._me:  # nobody tells a router what it saw
                 self._pass_on(now, report)
 
-    def wake(self, now: float) -> None:
+    def on_timer(self, now: float) -> None:
         if now >= self._tick_at:
             self._tick_at = now + 1.0
             self._tick += 1
@@ -121,11 +121,11 @@
         if self._waiting and self._tokens > MOST_BODY + ENVELOPE - 1e-6:  # sums round
             self._compose(now)
 
-    def say(self) -> list[Say]:
+    def take_outgoing(self) -> list[Outgoing]:
         out, self._out = self._out, []
         return out
 
-    def wake_at(self) -> float:
+    def next_timer_at(self) -> float:
         if not self._waiting:
             return self._tick_at
         return min(self._tick_at, self._tokens_at + (MOST_BODY + ENVELOPE - self._tokens) / PACE)
@@ -210,4 +210,4 @@
         if taken:
             self._tokens -= len(body) + ENVELOPE
             peer = self._draws.randrange(len(self._hall_of) - 1)
-            self._out.append(Say(peer + (peer >= self._me), self.topic, body, Priority.GOSSIP))
+            self._out.append(Outgoing(peer + (peer >= self._me), self.topic, body, Priority.GOSSIP))
--- a/ironrail/peers/transport/meeting.py
+++ b/ironrail/peers/transport/meeting.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from ironrail.peers.messages import Priority, Say, Topic
+from ironrail.peers.messages import Outgoing, Priority, Topic
 from ironrail.peers.transport.sender import NONCE_AGE, Allowance, Sender
 
 NONCE_BYTES = 8
@@ -76,7 +76,7 @@
         """It has asked."""
         self._due.setdefault(number, Due()).answers = nonce
 
-    def say(self, now: float, senders: Callable[[int], Sender]) -> list[Say]:
+    def say(self, now: float, senders: Callable[[int], Sender]) -> list[Outgoing]:
         """What may go now."""
         said = []
         while self._due and self._pace.permits(now, self._interval, AT_ONCE):
@@ -85,7 +85,7 @@
             self._pace.take(now, self._interval)
             asks = self._question(senders(number), now) if due.asks else b""
             body = Meeting(asks, due.answers).encode()
-            said.append(Say(number, Topic.WIRE, body, Priority.LEASE))
+            said.append(Outgoing(number, Topic.TRANSPORT, body, Priority.LEASE))
         return said
 
     def wake_at(self) -> float:
--- a/ironrail/peers/transport/outbox.py
+++ b/ironrail/peers/transport/outbox.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from ironrail.peers.messages import ALL, Priority, Say
+from ironrail.peers.messages import ALL, Outgoing, Priority
 from ironrail.peers.transport.errors import PaceError, UnsendableError
 from ironrail.peers.transport.layout import MOST_BODY, sealed_size
 
@@ -30,7 +30,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _Waiting:
-    say: Say
+    say: Outgoing
     price: float  # bytes
 
 
@@ -42,7 +42,7 @@
 
     def __init__(
         self,
-        seal: Callable[[Say], list[Send]],
+        seal: Callable[[Outgoing], list[Send]],
         others: int,
         pace: float = PACE,
         burst: float = BURST,
@@ -60,7 +60,7 @@
         self.replaced = dict.fromkeys(Priority, 0)
         self.sent = 0  # bytes, as paid
 
-    def put(self, now: float, say: Say) -> None:
+    def put(self, now: float, say: Outgoing) -> None:
         """To be sent when it can be paid. Of gossip the newest of one (to, topic, first byte) stays."""
         self._earn(now)
         price = sealed_size(len(say.body)) * (self._others if say.to == ALL else 1)
--- a/ironrail/peers/transport/wire.py
+++ b/ironrail/peers/transport/wire.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable
 from enum import IntEnum
 
-from ironrail.peers.messages import ALL, MOST_DATAGRAM, MOST_ROUTERS, Heard, Say, Topic
+from ironrail.peers.messages import ALL, MOST_DATAGRAM, MOST_ROUTERS, Outgoing, Received, Topic
 from ironrail.peers.transport import layout
 from ironrail.peers.transport.errors import StartError, TierError, UnsendableError
 from ironrail.peers.transport.keys import TO_ALL, Keys
@@ -23,7 +23,7 @@
 MEETINGS = 25  # questions and answers a second, 1000 B/s at most: half of the default pace
 TOPICS = frozenset(int(topic) for topic in Topic)
 
-Opened = list[tuple[Topic, Heard]]
+Opened = list[tuple[Topic, Received]]
 
 
 class Reason(IntEnum):
@@ -78,7 +78,7 @@
         self._dropped = [0] * len(Reason)
         self.opened = 0  # datagrams that were taken
 
-    def seal(self, say: Say) -> list[tuple[int, bytes]]:
+    def seal(self, say: Outgoing) -> list[tuple[int, bytes]]:
         """To whom (a number or ALL) and what; to be sent now: it grows old. Raises UnsendableError."""
         to_all = say.to == ALL
         if not to_all and (say.to == self.me or not 0 <= say.to < self.routers):
@@ -105,7 +105,7 @@
         self.opened += 1
         return got
 
-    def say(self, now: float) -> list[Say]:
+    def say(self, now: float) -> list[Outgoing]:
         """Questions and answers of the wire's own that are to go; asked after `open`, and at `wake_at`."""
         self._pieces.forget(now)
         return self._meetings.say(now, self._sender)
@@ -149,7 +149,7 @@
         if datagram[1] not in self._keys:
             return Reason.KEY
         head = layout.read_head(datagram)
-        if head.topic not in TOPICS or (head.topic == Topic.WIRE and (head.to_all or head.piece)):
+        if head.topic not in TOPICS or (head.topic == Topic.TRANSPORT and (head.to_all or head.piece)):
             return Reason.TOPIC
         if head.sender != source or source == self.me or not 0 <= source < self.routers:
             return Reason.SENDER
@@ -166,7 +166,7 @@
             return wrong
         sender.note(head.sequence)
         topic, body = Topic(head.topic), datagram[HEAD_BYTES:-MAC_BYTES]
-        if topic is Topic.WIRE:
+        if topic is Topic.TRANSPORT:
             if (met := decode(body)) is None:
                 return Reason.MALFORMED
             return self._met(now, sender, head, met)
@@ -178,14 +178,14 @@
             if whole is None:
                 return []
             body = whole
-        return [(topic, Heard(head.sender, head.start, body))]
+        return [(topic, Received(head.sender, head.start, body))]
 
     def _from_strange(self, now: float, sender: Sender, head: Head, datagram: bytes) -> Opened | Reason:
         """Of a life not proven: only questions and answers count, the rest hints that it may live."""
         if head.start in sender.replaced:
             return Reason.REPLACED
-        met = decode(datagram[HEAD_BYTES:-MAC_BYTES]) if head.topic == Topic.WIRE else None
-        if head.topic == Topic.WIRE and met is None:
+        met = decode(datagram[HEAD_BYTES:-MAC_BYTES]) if head.topic == Topic.TRANSPORT else None
+        if head.topic == Topic.TRANSPORT and met is None:
             return Reason.MALFORMED
         proves = met is not None and sender.answers(met.answers, now)
         if met is None:
--- a/ironrail/peers/zone_latency/echoes.py
+++ b/ironrail/peers/zone_latency/echoes.py
@@ -10,7 +10,7 @@
 from collections.abc import Sequence
 from dataclasses import replace
 
-from ironrail.peers.messages import Heard, Say, Topic
+from ironrail.peers.messages import Outgoing, Received, Topic
 from ironrail.peers.zone_latency.room import LatencyRoom
 
 UNIT = 50e-6  # seconds: half of what a datagram takes within a hall
@@ -25,7 +25,7 @@
 class Echoing:
     """The room of the map, with round trips measured by its own messages."""
 
-    topic = Topic.LATENCY
+    topic = Topic.ZONE_LATENCY
 
     def __init__(self, room: LatencyRoom, hall_of: Sequence[int]) -> None:
         self.map, self._hall_of = room, hall_of
@@ -37,7 +37,7 @@
         self._turn = False
         self.trips = 0  # round trips that were measured
 
-    def hear(self, now: float, heard: Heard) -> None:
+    def on_message(self, now: float, heard: Received) -> None:
         if len(heard.body) < TRAILER:
             self.map.unusable += 1
             return
@@ -53,18 +53,18 @@
         if sent_at is not None:
             self.trips += 1
             self.map.observe(now, self._hall_of[heard.sender], max(UNIT, now - sent_at - held * UNIT))
-        self.map.hear(now, replace(heard, body=body))
+        self.map.on_message(now, replace(heard, body=body))
 
-    def wake(self, now: float) -> None:
-        self.map.wake(now)
+    def on_timer(self, now: float) -> None:
+        self.map.on_timer(now)
 
-    def say(self) -> list[Say]:
-        return [replace(say, body=say.body + bytes(TRAILER)) for say in self.map.say()]
+    def take_outgoing(self) -> list[Outgoing]:
+        return [replace(say, body=say.body + bytes(TRAILER)) for say in self.map.take_outgoing()]
 
-    def wake_at(self) -> float:
-        return self.map.wake_at()
+    def next_timer_at(self) -> float:
+        return self.map.next_timer_at()
 
-    def stamped(self, now: float, say: Say) -> Say:
+    def with_timestamp(self, now: float, say: Outgoing) -> Outgoing:
         """The message as it goes: asked as it is sealed, since it may have waited."""
         self._number = self._number % (_RANGE - 1) + 1
         sent = self._sent.setdefault(say.to, OrderedDict())
--- a/ironrail/peers/zone_latency/room.py
+++ b/ironrail/peers/zone_latency/room.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable, Sequence
 
 from ironrail.errors import InputError
-from ironrail.peers.messages import MOST_HALLS, Heard, Priority, Say, Topic
+from ironrail.peers.messages import MOST_HALLS, Outgoing, Priority, Received, Topic
 from ironrail.peers.zone_latency.evidence import Evidence
 from ironrail.peers.zone_latency.facts import Facts, HallsSeen
 from ironrail.peers.zone_latency.reports import Report, ReportError, decode, differ, pack
@@ -30,7 +30,7 @@
 class LatencyRoom:
     """What router `me` sees, hears and says of the links between halls."""
 
-    topic = Topic.LATENCY
+    topic = Topic.ZONE_LATENCY
 
     def __init__(
         self,
@@ -55,7 +55,7 @@
         self._sequences: dict[int, int] = {}
         self._told_at: dict[int, float] = {}
         self._renew_at: dict[int, float] = {}
-        self._out: list[Say] = []
+        self._out: list[Outgoing] = []
         self._fresh: HallsSeen | None = None
         self._look_at, self._sweep_at = now, now + SWEEP
         self.unusable = 0  # messages that were no reports
@@ -85,7 +85,7 @@
         if closed is not None:
             self._consider(now, closed)
 
-    def hear(self, now: float, heard: Heard) -> None:
+    def on_message(self, now: float, heard: Received) -> None:
         try:
             reports = decode(heard.body, self._routers, self._halls)
         except ReportError:
@@ -95,7 +95,7 @@
             if report.witness != self._me:  # nobody tells a router what it saw
                 self._spread.note(report.witness, report.to, self.table.merge(now, report))
 
-    def wake(self, now: float) -> None:
+    def on_timer(self, now: float) -> None:
         for hall in self.evidence.close_due(now):
             self._consider(now, hall)
         if now >= self._sweep_at:
@@ -112,7 +112,7 @@
         if self._routers > 1 and now >= self._spread.due():
             body = self._spread.compose(now)
             if body:
-                self._out.append(Say(self._peer(now), self.topic, body, Priority.GOSSIP))
+                self._out.append(Outgoing(self._peer(now), self.topic, body, Priority.GOSSIP))
 
     def _peer(self, now: float) -> int:
         """A drawn one for changes of state, which are to spread; else whoever is preferred."""
@@ -122,11 +122,11 @@
         peer = self._draws.randrange(self._routers - 1)
         return peer + (peer >= self._me)
 
-    def say(self) -> list[Say]:
+    def take_outgoing(self) -> list[Outgoing]:
         out, self._out = self._out, []
         return out
 
-    def wake_at(self) -> float:
+    def next_timer_at(self) -> float:
         due = self._spread.due() if self._routers > 1 else math.inf  # alone it has nobody to tell
         return min(self._look_at, self._sweep_at, self.evidence.due(), due)
 
--- a/ironrail/rehearsal/links/accord_launch.py
+++ b/ironrail/rehearsal/links/accord_launch.py
@@ -8,17 +8,17 @@
 
 import sys
 
-from ironrail.peers.consensus import core
-from ironrail.peers.consensus.room import AccordRoom
+from ironrail.peers.consensus import message_handler
+from ironrail.peers.consensus.consensus_node import ConsensusNode
 from ironrail.rehearsal.links import launch
 
 
 def shorten(deadline: float, left_behind: float, unsettled: float) -> None:
     """Have this process use these."""
-    constants = vars(core)
-    usual, *rest = AccordRoom.propose.__defaults__ or ()
+    constants = vars(message_handler)
+    usual, *rest = ConsensusNode.propose.__defaults__ or ()
     assert usual == constants["DEADLINE"], "the deadline stands elsewhere now"
-    AccordRoom.propose.__defaults__ = (deadline, *rest)
+    ConsensusNode.propose.__defaults__ = (deadline, *rest)
     constants["DEADLINE"], constants["LEFT_BEHIND"] = deadline, left_behind / deadline
     constants["UNSETTLED"] = unsettled
 
--- a/ironrail/rehearsal/links/accord_watch.py
+++ b/ironrail/rehearsal/links/accord_watch.py
@@ -54,7 +54,7 @@
     if len(datagram) < LEAST_DATAGRAM:
         return None
     head = read_head(datagram)
-    if head.topic != Topic.ACCORD or head.piece:
+    if head.topic != Topic.CONSENSUS or head.piece:
         return None
     try:
         return m.decode(datagram[HEAD_BYTES:-MAC_BYTES])
--- a/ironrail/rehearsal/links/tierrouter.py
+++ b/ironrail/rehearsal/links/tierrouter.py
@@ -159,7 +159,7 @@
         policies, now = self.policies, self.system.now()
         if policies._followed is not None and now < policies._until:
             return policies._followed.scope
-        return policies.room.decides_by(now).scope
+        return policies.room.effective_policy(now).scope
 
     def versions(self) -> tuple[int, ...]:
         """The versions of it, nothing where no process goes on."""
--- a/ironrail/rehearsal/links/tierwatch.py
+++ b/ironrail/rehearsal/links/tierwatch.py
@@ -12,8 +12,8 @@
 
 from ironrail.net.peers.policies import Policies
 from ironrail.net.system import System
-from ironrail.peers.consensus.messages import EPOCH, Scope, State
-from ironrail.peers.consensus.stages import apart
+from ironrail.peers.consensus.lease import are_disjoint
+from ironrail.peers.consensus.messages import EPOCH, RegisterState, Scope
 
 MOST_KEPT = 100  # mixed instants of which the words are kept
 
@@ -44,7 +44,7 @@
         self.words: list[str] = []
         self._by: dict[Scope, dict[int, Watched]] = {}  # who decided by this when last looked at
         self._last: dict[int, tuple[Scope, float]] = {}  # and until when by its own clock
-        self._steps: dict[int, State] = {}  # each is decided once
+        self._steps: dict[int, RegisterState] = {}  # each is decided once
         self._documents: dict[int, bytes] = {}  # each version, with its epoch, means one document
 
     def looked(self, router: Watched, settled: Callable[[], None]) -> None:
@@ -67,14 +67,14 @@
 
     def _compare(self, router: Watched, scope: Scope) -> None:
         for other, them in self._by.items():
-            if not apart(scope, other):
+            if not are_disjoint(scope, other):
                 continue
             for one in list(them.values()):
-                if apart(scope, one.scope()):
+                if are_disjoint(scope, one.scope()):
                     self._note(f"{router.name} decides by {scope}, {one.name} by {other}")
                     self.mixed += 1
 
-    def _register(self, router: Watched, known: State) -> None:
+    def _register(self, router: Watched, known: RegisterState) -> None:
         if (held := self._steps.get(known.step)) is known:
             return
         if self._steps.setdefault(known.step, known) != known:
--- a/tests/peers/consensus/explorer.py
+++ b/tests/peers/consensus/explorer.py
@@ -13,10 +13,10 @@
 
 from ironrail.errors import RefusedError
 from ironrail.peers.consensus import messages as m
-from ironrail.peers.consensus.conf import Conf
+from ironrail.peers.consensus.configuration import ConsensusConfig
 from ironrail.peers.consensus.errors import OpenError
-from ironrail.peers.consensus.stages import apart
-from ironrail.peers.messages import Heard
+from ironrail.peers.consensus.lease import are_disjoint
+from ironrail.peers.messages import Received
 
 from tests.peers.consensus.still import DRIFT, LEASE, Saved, Still
 from tests.peers.consensus.watching import FACTS, FLOOR, Broken, policy
@@ -85,8 +85,15 @@
         if event[0] == "start":
             disk = self.bounds.disk and me in self.fast
             direct = self.bounds.direct
-            conf = Conf(
-                me, event[1], self.bounds.routers, self.voters, LEASE, DRIFT, direct=direct, disk=disk
+            conf = ConsensusConfig(
+                me,
+                event[1],
+                self.bounds.routers,
+                self.voters,
+                LEASE,
+                DRIFT,
+                max_direct_routers=direct,
+                persists_records=disk,
             )
             room = self.room(conf, FACTS, FLOOR, now, record=event[2])
             room.tickets = ()
@@ -94,26 +101,26 @@
             room = self.rooms.load(node)
         match event:
             case ("hear", sender, start, body):
-                room.hear(now, Heard(sender, start, body))
-            case ("wake",) if room.wake_at() <= now:
-                room.wake(now)
+                room.on_message(now, Received(sender, start, body))
+            case ("wake",) if room.next_timer_at() <= now:
+                room.on_timer(now)
             case ("propose", version, *voters):
                 try:
                     room.tickets += (room.propose(now, policy(version), self.bounds.deadline, *voters),)
                 except RefusedError:
                     self.ended["at once"] = self.ended.get("at once", 0) + 1
             case ("found",):
-                room.found(now, 1, policy(1))
-        while keeps := room.keeps():
+                room.bootstrap(now, 1, policy(1))
+        while keeps := room.take_records():
             for keep in keeps:
                 room.record = keep.record
-                room.kept(now, keep.token)
-        out = tuple((me, room.conf.start, say.to, say.body) for say in room.say())
+                room.on_record_written(now, keep.token)
+        out = tuple((me, room.conf.start, say.to, say.body) for say in room.take_outgoing())
         decided = tuple(body for _, _, _, body in out if isinstance(m.decode(body), m.Decided))
         refused = tuple(t.ref.version for t in room.tickets if t.error and not isinstance(t.error, OpenError))
-        done = tuple(t for t in room.tickets if t.open)
+        done = tuple(t for t in room.tickets if t.is_open)
         for t in room.tickets:
-            if not t.open:
+            if not t.is_open:
                 name = type(t.error).__name__ if t.error else "in force"
                 self.ended[name] = self.ended.get(name, 0) + 1
         room.tickets = done
@@ -126,7 +133,7 @@
         nodes = (*state.nodes[:me], node, *state.nodes[me + 1 :])
         known = dict.fromkeys((*state.decided, *decided))
         if len(known) > len(state.decided):
-            by_step: dict[int, m.State] = {}
+            by_step: dict[int, m.RegisterState] = {}
             for body in known:
                 message = m.decode(body)
                 assert isinstance(message, m.Decided)
@@ -147,11 +154,11 @@
                 key = (node, state.tick)
                 if key not in self.scope:
                     room = self.rooms.load(node)
-                    self.scope[key] = room.decides_by(self.clock(me, state.tick)).scope
+                    self.scope[key] = room.effective_policy(self.clock(me, state.tick)).scope
                 scopes.add(self.scope[key])
         scopes.discard(())
         for one in scopes:
-            if any(apart(one, other) for other in scopes):
+            if any(are_disjoint(one, other) for other in scopes):
                 raise Broken(f"tick {state.tick}: decided by {scopes}")
             if len(one) == 1 and one[0] % m.EPOCH in state.refused:
                 raise Broken(f"tick {state.tick}: by {one}, which was refused")
--- a/tests/peers/consensus/moved.py
+++ b/tests/peers/consensus/moved.py
@@ -6,30 +6,32 @@
 
 import pytest
 from ironrail.peers.consensus import messages as m
-from ironrail.peers.consensus.change import Change
-from ironrail.peers.consensus.leasing import Leasing
-from ironrail.peers.consensus.memory import Memory
+from ironrail.peers.consensus.acceptor_recovery import AcceptorRecovery
+from ironrail.peers.consensus.lease import LeaseHolder
+from ironrail.peers.consensus.node_state import NodeState
+from ironrail.peers.consensus.proposal import Proposal
 from ironrail.peers.consensus.proposer import Proposer
-from ironrail.peers.consensus.stages import Holder
 
 Patch = pytest.MonkeyPatch
 
 
 def forward_by_new_alone(patch: Patch) -> None:
     """Only a majority of the new set is asked for the step to it."""
-    patch.setattr(m.State, "needed", property(lambda self: (self.old.voters,)))
+    patch.setattr(m.RegisterState, "needed", property(lambda self: (self.old.voters,)))
 
 
 def majority_of_all(patch: Patch) -> None:
     """Old and new voters are counted as one set."""
-    patch.setattr(m.State, "needed", property(lambda self: (self.named if self.left else self.old.voters,)))
+    patch.setattr(
+        m.RegisterState, "needed", property(lambda self: (self.named if self.left else self.old.voters,))
+    )
 
 
 def removed_still_counted(patch: Patch) -> None:
     """Promises of the voters that the operator's file names are as good as those in force."""
     before = Proposer._asked
 
-    def asked(self: Proposer, change: Change, best: m.State | None) -> list[m.Voters]:
+    def asked(self: Proposer, change: Proposal, best: m.RegisterState | None) -> list[m.Voters]:
         old = len(change.replies.keys() & set(self.voters)) > len(self.voters) // 2
         return [self.voters] if old else before(self, change, best)
 
@@ -39,7 +41,7 @@
 def found_state_not_heeded(patch: Patch) -> None:
     """A proposer asks the voters that it knows, also where it finds that there are others by now."""
 
-    def asked(self: Proposer, change: Change, best: m.State | None) -> list[m.Voters]:
+    def asked(self: Proposer, change: Proposal, best: m.RegisterState | None) -> list[m.Voters]:
         return [self.known.voters if self.known else self.voters]
 
     patch.setattr(Proposer, "_asked", asked)
@@ -47,31 +49,35 @@
 
 def old_grants_forgotten(patch: Patch) -> None:
     """In the joint state only the new voters grant leases."""
-    patch.setattr(Holder, "own_end", lambda self, scope: self._end_by(self.voters.get(scope[-1], ()), scope))
+    patch.setattr(
+        LeaseHolder, "own_expiry", lambda self, scope: self._end_by(self.voters.get(scope[-1], ()), scope)
+    )
 
 
 def new_grants_forgotten(patch: Patch) -> None:
     """In the joint state only the old voters grant leases."""
-    patch.setattr(Holder, "own_end", lambda self, scope: self._end_by(self.voters.get(scope[0], ()), scope))
+    patch.setattr(
+        LeaseHolder, "own_expiry", lambda self, scope: self._end_by(self.voters.get(scope[0], ()), scope)
+    )
 
 
 def votes_before_it_holds(patch: Patch) -> None:
     """A router that is named as a voter takes the state that it knows for what it voted."""
-    before = Leasing._be_voter
+    before = NodeState._be_voter
 
-    def be_voter(self: Leasing, now: float) -> None:
+    def be_voter(self: NodeState, now: float) -> None:
         new = not self.voter
         before(self, now)
         if new and self.voter and self.known:
             ballot = m.Ballot(self.known.step // m.EPOCH)
-            self.voter._stand(m.Vouched(ballot, ballot, self.known))
+            self.voter._stand(m.AcceptorState(ballot, ballot, self.known))
 
-    patch.setattr(Leasing, "_be_voter", be_voter)
+    patch.setattr(NodeState, "_be_voter", be_voter)
 
 
 def asks_the_file(patch: Patch) -> None:
     """A voter without a memory is content with the voters of its file."""
-    patch.setattr(Memory, "_asked", lambda self, state: ((0, 1, 2),))
+    patch.setattr(AcceptorRecovery, "_asked", lambda self, state: ((0, 1, 2),))
 
 
 DECIDED_BY_3_AND_4 = (
@@ -95,9 +101,10 @@
 )
 # a new voter forgets what it voted, and hears of the old ones, and of a new one that didn't vote
 FORGOTTEN = (
-    f"{DECIDED_BY_3_AND_4}, 3 crash, 3>0 Recover, 3>1 Recover, 3>5 Recover, 0>3 Report, 1>3 Report, "
-    "5>3 Report, 7>3 Prepare, 7>5 Prepare, 3>7 Promise, 5>7 Promise, 7>3 Accept, 7>5 Accept, 3>7 Accepted, "
-    "5>7 Accepted"
+    f"{DECIDED_BY_3_AND_4}, 3 crash, 3>0 RecoveryRequest, 3>1 RecoveryRequest, 3>5 RecoveryRequest, "
+    "0>3 RecoveryReport, 1>3 RecoveryReport, "
+    "5>3 RecoveryReport, 7>3 Prepare, 7>5 Prepare, 3>7 Promise, 5>7 Promise, 7>3 Accept, 7>5 Accept, "
+    "3>7 Accepted, 5>7 Accepted"
 )
 ALL: list[Callable[[Patch], None]] = [
     forward_by_new_alone, majority_of_all, removed_still_counted,
--- a/tests/peers/consensus/still.py
+++ b/tests/peers/consensus/still.py
@@ -5,26 +5,26 @@
 import pickle
 from typing import Any
 
-from ironrail.peers.consensus import core, leasing, memory, proposer
-from ironrail.peers.consensus.library import Library
-from ironrail.peers.consensus.room import AccordRoom
+from ironrail.peers.consensus import acceptor_recovery, message_handler, node_state, proposer
+from ironrail.peers.consensus.consensus_node import ConsensusNode
+from ironrail.peers.consensus.document_store import DocumentStore
 
 from tests.peers.consensus.watching import FACTS, FLOOR
 
 LEASE, DRIFT = 2.0, 0.1
 EVERY_TICK = {
-    (leasing, "RENEWALS"): 2,
-    (leasing, "SOON"): 1.0,
-    (leasing, "MOST_VAIN"): 0,
-    (core, "FETCH_EVERY"): 1.0,
-    (core, "UNSETTLED"): 4.0,
-    (core, "LEFT_BEHIND"): 0.3,
+    (node_state, "RENEWALS"): 2,
+    (node_state, "SOON"): 1.0,
+    (node_state, "MOST_VAIN"): 0,
+    (message_handler, "FETCH_EVERY"): 1.0,
+    (message_handler, "UNSETTLED"): 4.0,
+    (message_handler, "LEFT_BEHIND"): 0.3,
     (proposer, "AGAIN"): 0.9,
-    (memory, "RECOVER_EVERY"): 0.9,
+    (acceptor_recovery, "RECOVER_EVERY"): 0.9,
 }
 
 
-class Still(AccordRoom):
+class Still(ConsensusNode):
     """Without chance; it remembers its tickets."""
 
     tickets: tuple[Any, ...] = ()
@@ -33,7 +33,7 @@
         return 0.0
 
 
-class Shelf(Library):
+class Shelf(DocumentStore):
     """It has every document."""
 
     def missing(self, states: Any) -> list[bytes]:
@@ -41,7 +41,7 @@
         return []
 
 
-class Bare(AccordRoom):
+class Bare(ConsensusNode):
     """Without leases and chance."""
 
     def __init__(self, *given: Any, **named: Any) -> None:
--- a/tests/peers/consensus/test_checks.py
+++ b/tests/peers/consensus/test_checks.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 import pytest
-from ironrail.peers.consensus import core
+from ironrail.peers.consensus import message_handler
 
 from tests.peers.consensus import mistakes, runs
 from tests.peers.consensus.explorer import Bounds, Explorer
@@ -71,7 +71,7 @@
 def left_soon() -> object:
     """The voters come before the proposer, which was cut off, is back."""
     with pytest.MonkeyPatch.context() as patch:
-        patch.setattr(core, "LEFT_BEHIND", 0.15)
+        patch.setattr(message_handler, "LEFT_BEHIND", 0.15)
         return Explorer(Bounds(kinds="cut", deadline=2.0)).run()
 
 
--- a/tests/peers/consensus/test_door.py
+++ b/tests/peers/consensus/test_door.py
@@ -7,7 +7,7 @@
 import orjson
 from ironrail.net.peers.policies import Place, Policies
 from ironrail.operator_file import Peers
-from ironrail.peers.messages import Heard
+from ironrail.peers.messages import Received
 from ironrail.policy.settings import Settings
 
 ROUTERS = 5
@@ -38,11 +38,13 @@
         while self.now < end:
             self.now += 0.05
             for policies in self.all:
-                if policies.room.wake_at() <= self.now:
-                    policies.room.wake(self.now)
-            while said := [(p.room, say) for p in self.all for say in p.room.say()]:
+                if policies.room.next_timer_at() <= self.now:
+                    policies.room.on_timer(self.now)
+            while said := [(p.room, say) for p in self.all for say in p.room.take_outgoing()]:
                 for room, say in said:
-                    self.all[say.to].room.hear(self.now, Heard(room.conf.me, room.conf.start, say.body))
+                    self.all[say.to].room.on_message(
+                        self.now, Received(room.conf.router, room.conf.start, say.body)
+                    )
 
     def page(self, me: int) -> Any:
         """What it tells."""
--- a/tests/peers/consensus/test_moves.py
+++ b/tests/peers/consensus/test_moves.py
@@ -10,9 +10,9 @@
 from ironrail.errors import InputError
 from ironrail.peers.consensus import errors
 from ironrail.peers.consensus import messages as m
-from ironrail.peers.consensus.change import Goal
-from ironrail.peers.consensus.register import Voter
-from ironrail.peers.consensus.stages import Holder
+from ironrail.peers.consensus.acceptor import Acceptor
+from ironrail.peers.consensus.lease import LeaseHolder
+from ironrail.peers.consensus.proposal import TargetState
 
 from tests.peers.consensus import moved
 from tests.peers.consensus.explorer import Bounds, Explorer
@@ -22,12 +22,12 @@
 from tests.peers.consensus.watching import Broken
 from tests.peers.consensus.world import World, policy
 
-JOINERS = {6: Goal.JOIN, 7: Goal.JOIN, 0: Goal.JOIN}
+JOINERS = {6: TargetState.JOINT, 7: TargetState.JOINT, 0: TargetState.JOINT}
 
 
 @pytest.mark.parametrize(
     ("goals", "how", "states"),
-    [({4: Goal.FORWARD}, {}, 316), ({4: Goal.FORWARD, 0: Goal.JOIN}, {"late": (0,)}, 1_714)],
+    [({4: TargetState.NEW}, {}, 316), ({4: TargetState.NEW, 0: TargetState.JOINT}, {"late": (0,)}, 1_714)],
 )
 def test_decides_once_while_voters_change(goals: Any, how: Any, states: int) -> None:
     assert Moves((1, 2, 3), goals, **how).run() > 0.8 * states
@@ -51,7 +51,7 @@
 
 
 def rivals() -> int:
-    return Moves((3, 4, 5), {6: Goal.FORWARD, 7: Goal.BACK}).follow(moved.OLD_BESIDE_NEW)
+    return Moves((3, 4, 5), {6: TargetState.NEW, 7: TargetState.OLD}).follow(moved.OLD_BESIDE_NEW)
 
 
 FOUND: list[tuple[Callable[[pytest.MonkeyPatch], None], Callable[[], object]]] = [
@@ -148,30 +148,30 @@
 
 
 def test_a_renewal_takes_a_majority_of_each_set() -> None:
-    holder = Holder(3.0)
-    holder.ask(0.0, PLAIN)
+    holder = LeaseHolder(3.0)
+    holder.next_request(0.0, PLAIN)
     sets = ((0, 1, 2), (2, 3, 4))
     for voter, fresh in ((0, False), (1, False), (2, False), (3, True)):
-        holder.granted(0.1, voter, 1)
-        assert holder.fresh(sets) is fresh
-    holder.ask(1.0, PLAIN)
-    assert not holder.fresh(sets)
+        holder.on_granted(0.1, voter, 1)
+        assert holder.is_renewed(sets) is fresh
+    holder.next_request(1.0, PLAIN)
+    assert not holder.is_renewed(sets)
 
 
 def test_founding_for_others_than_are_in_force_is_nothing() -> None:
-    voter = Voter(0, 1, (0, 1, 2), 0.0, 1.0, None, False)
-    voter.learned(PLAIN.next(PLAIN.old, m.Ref(2, b"x" * 16, (3, 4, 5))))
-    voter.offered(m.State(2 * m.EPOCH, PLAIN.old))
+    voter = Acceptor(0, 1, (0, 1, 2), 0.0, 1.0, None, False)
+    voter.learned(PLAIN.next(PLAIN.old, m.PolicyRef(2, b"x" * 16, (3, 4, 5))))
+    voter.offered(m.RegisterState(2 * m.EPOCH, PLAIN.old))
     assert voter.offer is None
     voter.learned(PLAIN)
-    voter.offered(m.State(2 * m.EPOCH, PLAIN.old))
+    voter.offered(m.RegisterState(2 * m.EPOCH, PLAIN.old))
     assert voter.offer
 
 
 def test_records_of_before_name_the_files_voters() -> None:
-    old = msgspec.structs.replace(PLAIN, old=m.Ref(1, b"x" * 16))
-    record = msgspec.msgpack.encode(m.Vouched(m.Ballot(1), m.Ballot(1), old))
-    accepted = Voter(0, 1, (0, 1, 2), 0.0, 1.0, record, False).vouched.accepted
+    old = msgspec.structs.replace(PLAIN, old=m.PolicyRef(1, b"x" * 16))
+    record = msgspec.msgpack.encode(m.AcceptorState(m.Ballot(1), m.Ballot(1), old))
+    accepted = Acceptor(0, 1, (0, 1, 2), 0.0, 1.0, record, False).vouched.accepted
     assert accepted and accepted.voters == (0, 1, 2)
 
 
--- a/tests/peers/consensus/test_policy.py
+++ b/tests/peers/consensus/test_policy.py
@@ -40,7 +40,7 @@
 @given(policies, policies, policies)
 def test_meet_is_a_meet(one: p.Policy, other: p.Policy, third: p.Policy) -> None:
     def both(a: p.Policy, b: p.Policy) -> p.Policy:
-        return p.meet(a, b, FACTS)
+        return p.merge_conservatively(a, b, FACTS)
 
     assert both(one, one) == one
     assert both(one, other) == both(other, one)
@@ -64,7 +64,7 @@
     one = p.Policy(1, {"t": 5}, {"a": 0.5}, {"a": 0.2}, frozenset("x"), steered, high)
     rates = {"t": 3.0, "u": 9.0}
     other = p.Policy(2, rates, {"b": 0.1}, {"a": 0.1}, frozenset("z"), elsewhere, {"low": 2})
-    met = p.meet(one, other, FACTS)
+    met = p.merge_conservatively(one, other, FACTS)
     assert met.rates == {"t": 3, "u": 9} and met.shed == {"a": 0.5, "b": 0.1} and met.further == {"a": 0.1}
     assert met.emptied == set("xz") and met.steering == {"r": {"y": 0.5}}
     assert met.constants == {"low": 2, "high": 8} and met.version == 0
--- a/tests/peers/consensus/test_room.py
+++ b/tests/peers/consensus/test_room.py
@@ -7,16 +7,16 @@
 from ironrail.peers.consensus import errors
 from ironrail.peers.consensus import messages as m
 from ironrail.peers.consensus import policy as p
-from ironrail.peers.consensus.conf import Conf
-from ironrail.peers.consensus.room import AccordRoom
-from ironrail.peers.messages import Heard
+from ironrail.peers.consensus.configuration import ConsensusConfig
+from ironrail.peers.consensus.consensus_node import ConsensusNode
+from ironrail.peers.messages import Received
 
 from tests.peers.consensus.world import FACTS, FLOOR, World, policy
 
 
 def versions(world: World) -> set[tuple[int, ...]]:
     """What routers decide by."""
-    return {node.room.decides_by(world.clock(node)).versions for node in world.nodes.values()}
+    return {node.room.effective_policy(world.clock(node)).versions for node in world.nodes.values()}
 
 
 def test_takes_hold_everywhere() -> None:
@@ -52,10 +52,10 @@
     world.cut = {frozenset((4, other)) for other in range(4)}
     asked = world.now
     ticket = world.propose(3, policy(2))
-    while ticket and ticket.open:
+    while ticket and ticket.is_open:
         world.run(0.1)
     assert ticket and ticket.in_force and world.now - asked > 2
-    found = world.nodes[4].room.decides_by(world.clock(world.nodes[4]))
+    found = world.nodes[4].room.effective_policy(world.clock(world.nodes[4]))
     assert found.versions == () and found.policy.rates == FLOOR.rates
     world.cut = set()
     world.run(3)
@@ -77,11 +77,11 @@
     world = World(5).up()
     ticket = world.propose(3, policy(2), deadline=5)
     change = world.nodes[3].room.proposer.change
-    while not change.sent:
+    while not change.final_step_sent:
         world.run(0.005)
     world.cut = {frozenset((3, b)) for b in range(5)}
     world.run(4)
-    assert ticket and ticket.open
+    assert ticket and ticket.is_open
     world.run(8)
     assert isinstance(ticket.error, errors.OpenError)
 
@@ -92,7 +92,7 @@
     world.propose(3, policy(2))
     world.run(2)
     room = world.nodes[0].room
-    assert any(isinstance(t, errors.KeepingError) for t in room.troubles(world.clock(world.nodes[0])))
+    assert any(isinstance(t, errors.KeepingError) for t in room.faults(world.clock(world.nodes[0])))
     assert versions(world) == {(1,)}  # it serves on
     world.keep_fails = 0.0
     world.run(8)
@@ -105,7 +105,7 @@
         world.crash(voter, forget=True, back_in=0.0)
     world.run(10)
     room = world.nodes[0].room
-    troubles = room.troubles(world.clock(world.nodes[0]))
+    troubles = room.faults(world.clock(world.nodes[0]))
     assert any(isinstance(t, errors.LostError) for t in troubles) and versions(world) == {()}
     world.found(4, 2, policy(1))
     world.run(25)
@@ -124,23 +124,23 @@
 
 def test_starts_not_ready_or_on_the_floor() -> None:
     for floor in (False, True):
-        room = AccordRoom(Conf(3, 1, 4, (0, 1, 2), start_on_floor=floor), FACTS, FLOOR, 0.0)
-        assert room.decides_by(1.0).policy == (FLOOR if floor else None)
+        room = ConsensusNode(ConsensusConfig(3, 1, 4, (0, 1, 2), starts_on_fallback=floor), FACTS, FLOOR, 0.0)
+        assert room.effective_policy(1.0).policy == (FLOOR if floor else None)
         with pytest.raises(errors.UnreadyError):
             room.propose(1.0, policy(2))
 
 
 def test_what_makes_no_sense_is_counted() -> None:
-    room = AccordRoom(Conf(0, 1, 4, (0, 1, 2)), FACTS, FLOOR, 0.0)
-    for body in (b"", b"\xc1", b"\x91\x63", m.encode(m.Want(b"x" * 16))[:-1]):
-        room.hear(0.0, Heard(3, 9, body))
-    assert room.unusable == 4 and not room.say()
+    room = ConsensusNode(ConsensusConfig(0, 1, 4, (0, 1, 2)), FACTS, FLOOR, 0.0)
+    for body in (b"", b"\xc1", b"\x91\x63", m.encode(m.DocumentRequest(b"x" * 16))[:-1]):
+        room.on_message(0.0, Received(3, 9, body))
+    assert room.unusable == 4 and not room.take_outgoing()
 
 
 @pytest.mark.parametrize("voters", [(0, 1), (0, 0, 1), (0, 1, 9), tuple(range(9))])
 def test_voters_that_cannot_be(voters: tuple[int, ...]) -> None:
     with pytest.raises(InputError):
-        Conf(0, 1, 5, voters)
+        ConsensusConfig(0, 1, 5, voters)
 
 
 def test_messages_are_small() -> None:
@@ -160,6 +160,6 @@
     assert (
         sizes.pop("Document") < 100
         and max(sizes.values()) < 200
-        and sizes["Ask"] < 80
-        and sizes["Answer"] < 100
+        and sizes["LeaseRequest"] < 80
+        and sizes["LeaseReply"] < 100
     )
--- a/tests/peers/consensus/votes.py
+++ b/tests/peers/consensus/votes.py
@@ -12,16 +12,16 @@
 import msgspec
 from ironrail.peers.consensus import messages as m
 from ironrail.peers.consensus import policy as p
-from ironrail.peers.consensus.change import Change, Goal, Ticket
-from ironrail.peers.consensus.conf import Conf
-from ironrail.peers.messages import Heard
+from ironrail.peers.consensus.configuration import ConsensusConfig
+from ironrail.peers.consensus.proposal import Proposal, ProposalHandle, TargetState
+from ironrail.peers.messages import Received
 
 from tests.peers.consensus.still import Bare, Saved
 from tests.peers.consensus.watching import FACTS, FLOOR, Broken, policy
 
 BEFORE, NOW = -9.0, 0.0  # leases of before have run out
 VOTERS = (0, 1, 2)
-UNSENT = (m.Decided, m.Outvoted, m.Document)  # here every room has every document
+UNSENT = (m.Decided, m.BallotRejected, m.Document)  # here every room has every document
 
 
 class State(NamedTuple):
@@ -59,7 +59,9 @@
 
     def start(self, me: int, start: int, record: bytes | None = None) -> Any:
         """A process without a memory, or with what its disk has."""
-        conf = Conf(me, start, max(3, *self.askers) + 1, VOTERS, 1.0, 0.0, disk=self.disk and me in VOTERS)
+        conf = ConsensusConfig(
+            me, start, max(3, *self.askers) + 1, VOTERS, 1.0, 0.0, persists_records=self.disk and me in VOTERS
+        )
         room = self.room(conf, FACTS, FLOOR, BEFORE, record=record)
         room.record, room.writing = record, ()
         return room
@@ -72,7 +74,9 @@
         ref = room.library.add(policy(version))
         room.proposer.epoch = 1
         # that it comes again is among the bounds, at any time: not by itself as well
-        room.proposer.begin(NOW, Change(Goal.JOIN, ref, Ticket(ref), unaware=False))
+        room.proposer.begin(
+            NOW, Proposal(TargetState.JOINT, ref, ProposalHandle(ref), may_restart_at_once=False)
+        )
         room._settle(NOW)
 
     def local(self, me: int, node: int, event: Any) -> tuple[int, tuple[Any, ...], tuple[bytes, ...]]:
@@ -82,26 +86,26 @@
             room = self.rooms.load(node)
             match event:
                 case ("hear", sender, start, body):
-                    room.hear(NOW, Heard(sender, start, body))
+                    room.on_message(NOW, Received(sender, start, body))
                 case ("again",):
                     room.proposer._prepare(NOW)
                     room._settle(NOW)
                 case ("kept",):
                     keep, *room.writing = room.writing
                     room.record = keep.record
-                    room.kept(NOW, keep.token)
+                    room.on_record_written(NOW, keep.token)
                 case ("crash", start):
                     room = self.start(me, start, room.record)
                     self.told(room)
-                    room.wake(BEFORE)
+                    room.on_timer(BEFORE)
                     # leases aren't asked for here, by which others hear of it
                     if room.voter and room.voter.standing:
-                        room._to_voters(m.Recover(0))
+                        room._to_voters(m.RecoveryRequest(0))
                         room._settle(NOW)
                     if me in self.askers:  # and it is asked again, for something else
                         self.propose(room, 12 + me)
-            room.writing = (*room.writing, *room.keeps())
-            out = tuple((me, room.conf.start, say.to, say.body) for say in room.say())
+            room.writing = (*room.writing, *room.take_records())
+            out = tuple((me, room.conf.start, say.to, say.body) for say in room.take_outgoing())
             decided = tuple(mail[3] for mail in out if isinstance(m.decode(mail[3]), m.Decided))
             sent = tuple(mail for mail in out if not isinstance(m.decode(mail[3]), UNSENT))
             self.memo[key] = (self.rooms.save(room), sent, decided)
@@ -112,7 +116,7 @@
         node, sent, decided = self.local(me, state.nodes[me], event)
         told = state.decided.union(decided)
         if len(told) > len(state.decided):
-            steps: dict[int, m.State] = {}
+            steps: dict[int, m.RegisterState] = {}
             for body in told:
                 message = m.decode(body)
                 assert isinstance(message, m.Decided)
@@ -142,7 +146,7 @@
                     void = not change or change.ballot != message.ballot
                 case m.Prepare() | m.Accept():
                     void = voter and voter.standing and message.ballot < voter.vouched.promised
-                case m.Report():
+                case m.RecoveryReport():
                     heard = voter and voter.seen.get(mail[0]) == mail[1]
                     void = heard and (voter.standing or message.nonce != voter.nonce)
                 case _:
@@ -189,12 +193,12 @@
 
     def begin(self) -> State:
         """The voters stand, have heard each other, and are asked at once."""
-        first = m.State(m.EPOCH, m.Ref(1, p.digest(policy(1)), VOTERS), tried=1)
+        first = m.RegisterState(m.EPOCH, m.PolicyRef(1, p.digest(policy(1)), VOTERS), tried=1)
         rooms = []
         for me in range(max(3, *self.askers) + 1):
             room = self.start(me, me + 1)
             if room.voter:
-                room.voter.vouched = m.Vouched(m.Ballot(1), m.Ballot(1), first)
+                room.voter.vouched = m.AcceptorState(m.Ballot(1), m.Ballot(1), first)
                 room.voter.standing = True
                 room.voter.seen = {0: 1, 1: 2, 2: 3}
             room._learn(BEFORE, first)
@@ -203,9 +207,11 @@
                 room.record = msgspec.msgpack.encode(room.voter.vouched)
             if me in self.askers:
                 self.propose(room, 2 + me)
-            room.writing = tuple(room.keeps())
+            room.writing = tuple(room.take_records())
             rooms.append(room)
-        mail = frozenset((r.conf.me, r.conf.start, say.to, say.body) for r in rooms for say in r.say())
+        mail = frozenset(
+            (r.conf.router, r.conf.start, say.to, say.body) for r in rooms for say in r.take_outgoing()
+        )
         nodes = tuple(self.rooms.save(r) for r in rooms)
         return State(nodes, (frozenset(),) * len(rooms), mail, len(rooms), *self.bounds, frozenset())
 
--- a/tests/peers/consensus/walk.py
+++ b/tests/peers/consensus/walk.py
@@ -92,5 +92,5 @@
     world.run(AT_ONCE)
     if not ticket or not ticket.in_force or len(set(world.scopes().values())) > 1:
         raise Broken(f"no change {AT_ONCE} s after it was asked for: {ticket} {world.scopes()}")
-    if any(asked.open and node.died > world.now for asked, node in world.askers):
+    if any(asked.is_open and node.died > world.now for asked, node in world.askers):
         raise Broken("a ticket that never ended")
--- a/tests/peers/consensus/watching.py
+++ b/tests/peers/consensus/watching.py
@@ -9,10 +9,10 @@
 
 from ironrail.peers.consensus import messages as m
 from ironrail.peers.consensus import policy as p
-from ironrail.peers.consensus.change import Ticket
-from ironrail.peers.consensus.conf import Conf
+from ironrail.peers.consensus.configuration import ConsensusConfig
 from ironrail.peers.consensus.errors import OpenError
-from ironrail.peers.consensus.stages import apart
+from ironrail.peers.consensus.lease import are_disjoint
+from ironrail.peers.consensus.proposal import ProposalHandle
 
 FACTS = p.Facts(titles=frozenset({"fonts"}), halls=frozenset({"north"}))
 FLOOR = p.Policy(version=1, rates={"fonts": 1.0})
@@ -31,7 +31,7 @@
 class Node:
     """A process at a router's place."""
 
-    conf: Conf
+    conf: ConsensusConfig
     room: Any  # an AccordRoom, or what a test puts in its place
     rate: float
     offset: float
@@ -54,11 +54,11 @@
         self.lives: dict[tuple[int, int], Node] = {}
         self.ghosts: list[Node] = []  # stopped, and another process has their place
         self.documents: dict[bytes, p.Policy] = {}
-        self.decided: dict[int, m.State] = {}
+        self.decided: dict[int, m.RegisterState] = {}
         self.digests: dict[tuple[int, int], bytes] = {}
         self.named: dict[tuple[int, int], m.Voters] = {}  # who grants leases for a version
-        self.tickets: list[Ticket] = []
-        self.askers: list[tuple[Ticket, Node]] = []
+        self.tickets: list[ProposalHandle] = []
+        self.askers: list[tuple[ProposalHandle, Node]] = []
 
     def clock(self, node: Node) -> float:
         """Its own."""
@@ -83,7 +83,7 @@
         processes = [*self.nodes.items(), *((-1 - i, ghost) for i, ghost in enumerate(self.ghosts))]
         found = {}
         for me, node in processes:
-            by = node.room.decides_by(self.clock(node))
+            by = node.room.effective_policy(self.clock(node))
             if by.scope:
                 found[me] = by.scope
                 for version in by.scope:
@@ -94,10 +94,10 @@
 
     def backed(self, node: Node, scope: m.Scope) -> bool:
         """Whether a majority of each version's voters keeps others from what is apart from this scope."""
-        lent = node.room.holder.lent
+        lent = node.room.holder.delegated
         lives = [life for life in self.lives if life[0] in lent]
         sets = {self.named[divmod(version, m.EPOCH)] for version in scope}
-        lives = [(node.conf.me, node.conf.start), *lives]
+        lives = [(node.conf.router, node.conf.start), *lives]
         return any(all(self.granted(life, scope, voters) for voters in sets) for life in lives)
 
     def granted(self, life: tuple[int, int], scope: m.Scope, voters: m.Voters) -> bool:
@@ -112,7 +112,11 @@
                 backing += 1  # it forgot that it was one, and will be quiet once it is told
                 continue
             entry = part.grants.entries.get(life)
-            holds = entry is not None and scope in {n.scope for n in entry.notes} and now < entry.until
+            holds = (
+                entry is not None
+                and scope in {n.scope for n in entry.scoped_steps}
+                and now < entry.expires_at
+            )
             backing += holds or now < part.quiet_until
         return backing > len(voters) // 2
 
@@ -124,7 +128,7 @@
                 raise Broken(f"at {self.now}: router {me} decides by {scope} without a majority's lease")
         if len(set(scopes.values())) > 1:
             for (a, one), (b, other) in itertools.combinations(scopes.items(), 2):
-                if apart(one, other):
+                if are_disjoint(one, other):
                     raise Broken(f"at {self.now}: router {a} decides by {one}, {b} by {other}")
         alive = {t.ref for t in self.tickets if t.error is None or isinstance(t.error, OpenError)}
         dead = {t.ref.digest for t in self.tickets if t.ref not in alive}
--- a/tests/peers/consensus/world.py
+++ b/tests/peers/consensus/world.py
@@ -11,10 +11,10 @@
 
 from ironrail.errors import RefusedError
 from ironrail.peers.consensus import policy as p
-from ironrail.peers.consensus.change import Ticket
-from ironrail.peers.consensus.conf import Conf
-from ironrail.peers.consensus.room import AccordRoom
-from ironrail.peers.messages import Heard, Topic
+from ironrail.peers.consensus.configuration import ConsensusConfig
+from ironrail.peers.consensus.consensus_node import ConsensusNode
+from ironrail.peers.consensus.proposal import ProposalHandle
+from ironrail.peers.messages import Received, Topic
 
 from tests.peers.consensus.watching import FACTS, FLOOR, Broken, Node, Watch, policy
 
@@ -33,7 +33,7 @@
         slow: float = 0.02,
         drift: float = 0.01,
         direct: int = 32,
-        rooms: Callable[..., Any] = AccordRoom,
+        rooms: Callable[..., Any] = ConsensusNode,
         facts: Callable[[int], p.Facts] = lambda _: FACTS,
     ) -> None:
         super().__init__()
@@ -53,7 +53,14 @@
     def start(self, me: int, record: bytes | None = None) -> Node:
         """A new process, which remembers nothing but its disk."""
         rate = 1 + self.random.uniform(-self.drift, self.drift)
-        conf = Conf(me, next(self.starts), self.routers, self.voters, direct=self.direct, disk=self.disk)
+        conf = ConsensusConfig(
+            me,
+            next(self.starts),
+            self.routers,
+            self.voters,
+            max_direct_routers=self.direct,
+            persists_records=self.disk,
+        )
         node = Node(conf, None, rate, self.random.uniform(0, 1000), self.now, disk=record)
         node.room = self.rooms(conf, self.facts(me), FLOOR, self.clock(node), seed=conf.start, record=record)
         self.nodes[me] = self.lives[me, conf.start] = node
@@ -86,11 +93,11 @@
     def settle(self, node: Node) -> None:
         """Carry out what a room wants."""
         room = node.room
-        for keep in room.keeps():
+        for keep in room.take_records():
             self.at(self.random.uniform(0.0, self.keep_slow), lambda k=keep: self.keep(node, k))  # type: ignore[misc]
-        for say in room.say():
+        for say in room.take_outgoing():
             self.send(node, say.to, say.body)
-        wake = room.wake_at()
+        wake = room.next_timer_at()
         if wake < node.waking or node.waking <= self.clock(node):
             node.waking = wake
             self.at(max(0.0, (wake - self.clock(node)) / node.rate) + 1e-9, lambda: self.wake(node))
@@ -99,15 +106,15 @@
         if node.died < math.inf:
             return
         if self.random.random() < self.keep_fails:
-            node.room.keep_failed(self.clock(node), keep.token)
+            node.room.on_record_failed(self.clock(node), keep.token)
         else:
             node.disk = keep.record
-            node.room.kept(self.clock(node), keep.token)
+            node.room.on_record_written(self.clock(node), keep.token)
         self.settle(node)
 
     def send(self, node: Node, to: int, body: bytes) -> None:
         """Over a network that may do anything but forge."""
-        me, start = node.conf.me, node.conf.start
+        me, start = node.conf.router, node.conf.start
         self.sent += 1
         self.bytes += len(body)
         self.watch_sent(node, body)
@@ -126,7 +133,7 @@
         if node.proven.get(me, start) != start:
             node.replaced.add(node.proven[me])
         node.proven[me] = start
-        node.room.hear(self.clock(node), Heard(me, start, body))
+        node.room.on_message(self.clock(node), Received(me, start, body))
         self.settle(node)
 
     def wake(self, node: Node) -> None:
@@ -136,7 +143,7 @@
             self.at(node.paused_until - self.now, lambda: self.wake(node))
             return
         node.waking = math.inf
-        node.room.wake(self.clock(node))
+        node.room.on_timer(self.clock(node))
         self.settle(node)
 
     def run(self, seconds: float) -> None:
@@ -153,13 +160,13 @@
 
     def propose(
         self, me: int, wanted: p.Policy, deadline: float = 20.0, voters: tuple[int, ...] = ()
-    ) -> Ticket | None:
+    ) -> ProposalHandle | None:
         """Ask a router for a change; nothing if it refuses at once."""
         node = self.nodes.get(me)
         if node is None or node.paused_until > self.now:
             return None
         try:
-            ticket: Ticket = node.room.propose(self.clock(node), wanted, deadline, voters)
+            ticket: ProposalHandle = node.room.propose(self.clock(node), wanted, deadline, voters)
         except RefusedError:
             return None
         self.documents[ticket.ref.digest] = wanted
@@ -172,7 +179,7 @@
         """The operator's hand."""
         node = self.nodes[me]
         self.documents[p.digest(wanted)] = wanted
-        node.room.found(self.clock(node), epoch, wanted)
+        node.room.bootstrap(self.clock(node), epoch, wanted)
         self.settle(node)
 
     def up(self, version: int = 1) -> World:
@@ -183,7 +190,7 @@
         return self
 
 
-assert AccordRoom.topic == Topic.ACCORD
+assert ConsensusNode.topic == Topic.CONSENSUS
 
 
 __all__ = ["FACTS", "FLOOR", "Broken", "Node", "World", "policy"]
--- a/tests/peers/fuzz/accord.py
+++ b/tests/peers/fuzz/accord.py
@@ -8,9 +8,9 @@
 from ironrail.errors import IronrailError
 from ironrail.peers.consensus import messages as m
 from ironrail.peers.consensus import policy as p
-from ironrail.peers.consensus.conf import Conf
-from ironrail.peers.consensus.room import AccordRoom
-from ironrail.peers.messages import Heard
+from ironrail.peers.consensus.configuration import ConsensusConfig
+from ironrail.peers.consensus.consensus_node import ConsensusNode
+from ironrail.peers.messages import Received
 
 from tests.peers.consensus.watching import FACTS, FLOOR, policy
 from tests.peers.fuzz.base import Attack, idle, must, size_of
@@ -43,7 +43,7 @@
 
     def come_up(self) -> None:
         """Found it, and let them talk until they decide: lies are more than noise only then."""
-        self.rooms[0].found(self.now, 1, policy(1))
+        self.rooms[0].bootstrap(self.now, 1, policy(1))
         self.settle(0)
         for _ in range(self.draws.choice((60, 150, 300))):
             self.now += 0.05
@@ -51,26 +51,31 @@
                 self.tell(*self.waiting.pop(0))
             while self.keeps:
                 at, keep = self.keeps.pop(0)
-                self.rooms[at].kept(self.now, keep.token)
+                self.rooms[at].on_record_written(self.now, keep.token)
                 self.settle(at)
             for me, room in self.rooms.items():
-                if room.wake_at() <= self.now:
-                    room.wake(self.now)
+                if room.next_timer_at() <= self.now:
+                    room.on_timer(self.now)
                     self.settle(me)
         self.recorded = self.recorded[-KEPT:]
 
-    def room(self, me: int, record: bytes | None = None) -> AccordRoom:
+    def room(self, me: int, record: bytes | None = None) -> ConsensusNode:
         disk = self.disk and me in self.voters
-        conf = Conf(
-            me, self.starts[me], self.routers, self.voters, direct=self.draws.choice((32, 4)), disk=disk
+        conf = ConsensusConfig(
+            me,
+            self.starts[me],
+            self.routers,
+            self.voters,
+            max_direct_routers=self.draws.choice((32, 4)),
+            persists_records=disk,
         )
-        return AccordRoom(conf, FACTS, FLOOR, self.now, conf.start, record)
+        return ConsensusNode(conf, FACTS, FLOOR, self.now, conf.start, record)
 
     def settle(self, me: int) -> None:
         """Take what a room says; to whom nobody is it is lost."""
         room = self.rooms[me]
-        self.keeps += [(me, keep) for keep in room.keeps()]
-        for say in room.say():
+        self.keeps += [(me, keep) for keep in room.take_records()]
+        for say in room.take_outgoing():
             self.said += len(say.body)
             self.recorded[self.draws.randrange(len(self.recorded))] = say.body
             if len(self.recorded) < KEPT:
@@ -83,7 +88,7 @@
         room = self.rooms[to]
         before, known = room.unusable, room.known
         self.heard += len(body)
-        self.timed(room.hear, self.now, Heard(sender, start, body))
+        self.timed(room.on_message, self.now, Received(sender, start, body))
         if room.unusable > before:
             must(room.known is known, "believed what makes no sense")
         self.settle(to)
@@ -98,13 +103,13 @@
                 self.lie(me)
             case 11 | 12 | 13 | 14:
                 self.now += draws.choice((0.0, 0.01, 0.3, 1.0))
-                self.timed(self.rooms[me].wake, self.now)
+                self.timed(self.rooms[me].on_timer, self.now)
                 self.settle(me)
             case 15 if draws.random() < 0.2:
                 self.now += draws.choice((5.0, 60.0, 1e5))
             case 16 if self.keeps:
                 at, keep = self.keeps.pop(draws.choice((0, -1)))
-                told = draws.choice((self.rooms[at].kept, self.rooms[at].keep_failed))
+                told = draws.choice((self.rooms[at].on_record_written, self.rooms[at].on_record_failed))
                 told(self.now, keep.token)
                 self.settle(at)
             case 17:
@@ -129,7 +134,7 @@
                 body = old
             case 2:  # a document that somebody may have been made to want
                 wanted = policy(draws.randrange(1, 2000), draws.random())
-                self.tell(to, *self.liar(), m.encode(m.Offer(_state(draws, wanted))))
+                self.tell(to, *self.liar(), m.encode(m.BootstrapOffer(_state(draws, wanted))))
                 body = m.encode(m.Document(p.encode(wanted)))
             case _:
                 body = spoil_packed(draws, old, self.recorded)
@@ -144,7 +149,7 @@
         room, self.version = self.rooms[me], self.version + self.draws.choice((0, 1, 1))
         try:
             if self.draws.random() < 0.3:
-                room.found(self.now, self.draws.choice((1, 2, 2**20 - 1)), policy(self.version))
+                room.bootstrap(self.now, self.draws.choice((1, 2, 2**20 - 1)), policy(self.version))
             else:
                 room.propose(self.now, policy(self.version), self.draws.choice((0.5, 20.0)))
         except IronrailError:
@@ -153,9 +158,9 @@
 
     def end(self) -> None:
         for me, room in self.rooms.items():
-            room.troubles(self.now)
-            room.decides_until(self.now)
-            decided = room.decides_by(self.now)
+            room.faults(self.now)
+            room.effective_until(self.now)
+            decided = room.effective_policy(self.now)
             must(decided.policy is None or p.check(decided.policy, FACTS) is None, "decides by what it can't")
             documents = room.library._documents
             must(all(p.digest(d) == name for name, d in documents.items()), "a document under another's name")
@@ -164,27 +169,37 @@
             if room.voter:
                 must(len(room.voter.grants.entries) <= 4 * self.routers, "lives without end")
                 must(len(room.voter._held) <= HELD, f"held without end = {len(room.voter._held)}")
-            room.keeps()
+            room.take_records()
             must((size := size_of(room)) < BYTES, f"bytes without end = {size} at {me}")
             self.now = max(self.now, idle(room, self.now))
 
 
-def _state(draws: random.Random, wanted: p.Policy) -> m.State:
-    ref = m.Ref(wanted.version, p.digest(wanted))
-    return m.State(draws.choice((1, 2, 3)) * m.EPOCH + draws.randrange(4), ref, tried=ref.version)
+def _state(draws: random.Random, wanted: p.Policy) -> m.RegisterState:
+    ref = m.PolicyRef(wanted.version, p.digest(wanted))
+    return m.RegisterState(draws.choice((1, 2, 3)) * m.EPOCH + draws.randrange(4), ref, tried=ref.version)
 
 
 def _samples() -> list[m.Message]:
     """One of each, so that none has to come up by itself."""
-    ref, ballot = m.Ref(2, bytes(16)), m.Ballot(1, 1, 3, 1)
-    state = m.State(m.EPOCH + 1, ref, m.Ref(3, b"x" * 16), 3, (3, 1))
+    ref, ballot = m.PolicyRef(2, bytes(16)), m.Ballot(1, 1, 3, 1)
+    state = m.RegisterState(m.EPOCH + 1, ref, m.PolicyRef(3, b"x" * 16), 3, (3, 1))
     seen = ((0, 1), (1, 1), (2, 1))
-    vouched, note = m.Vouched(ballot, ballot, state), m.Note(state.step, state.scope)
+    vouched, note = m.AcceptorState(ballot, ballot, state), m.ScopedStep(state.step, state.scope)
     return [
-        m.Prepare(ballot, (0, 1, 2)), m.Promise(ballot, vouched, 1, seen, (3,), (3, 2, "no")),
-        m.Outvoted(ballot, ballot), m.Accept(ballot, state), m.Accepted(ballot, seen), m.Blocked(ballot),
-        m.Decided(state), m.Recover(7, (0, 1, 2)), m.Report(7, True, seen, vouched, state), m.Offer(state),
-        m.Founded(state, seen), m.Ask(9, note, note, 1, (3, 2, "no"), 3),
-        m.Answer(9, True, True, 1, state, 2.0), m.Want(bytes(16)), m.Document(p.encode(policy(3))),
-        m.Where(3),
-    ]  # fmt: skip
+        m.Prepare(ballot, (0, 1, 2)),
+        m.Promise(ballot, vouched, 1, seen, (3,), (3, 2, "no")),
+        m.BallotRejected(ballot, ballot),
+        m.Accept(ballot, state),
+        m.Accepted(ballot, seen),
+        m.AcceptBlocked(ballot),
+        m.Decided(state),
+        m.RecoveryRequest(7, (0, 1, 2)),
+        m.RecoveryReport(7, True, seen, vouched, state),
+        m.BootstrapOffer(state),
+        m.Bootstrapped(state, seen),
+        m.LeaseRequest(9, note, note, 1, (3, 2, "no"), 3),
+        m.LeaseReply(9, True, True, 1, state, 2.0),
+        m.DocumentRequest(bytes(16)),
+        m.Document(p.encode(policy(3))),
+        m.StateQuery(3),
+    ]
--- a/tests/peers/fuzz/base.py
+++ b/tests/peers/fuzz/base.py
@@ -118,12 +118,12 @@
     """Wake a room when it wants it, with nothing heard; the time then. Its says are left for the caller."""
     began = now
     for _ in range(IDLE_WAKES):
-        at = room.wake_at()
+        at = room.next_timer_at()
         must(not math.isnan(at), "wake_at is no time")
         if at == float("inf"):
             return now
         now = max(now + LEAST_WAIT, at)
-        room.wake(now)
+        room.on_timer(now)
     must(now - began >= IDLE_SECONDS, f"wakes without end = {IDLE_WAKES} in {now - began:.3f} s")
     return now
 
--- a/tests/peers/fuzz/gossip.py
+++ b/tests/peers/fuzz/gossip.py
@@ -6,7 +6,7 @@
 import random
 from typing import Any
 
-from ironrail.peers.messages import Heard
+from ironrail.peers.messages import Received
 from ironrail.peers.steering.expected import Hall, Standing
 from ironrail.peers.steering.regions import Regions
 from ironrail.peers.steering.room import MOST_WAITING, RegionsRoom
@@ -64,11 +64,11 @@
                 self.recorded = [*self.recorded[-20:], body]
                 self.heard += len(body)
                 own = self.own()
-                heard = Heard(draws.randrange(self.routers), draws.randrange(1, 2**48), body)
-                self.timed(self.room.hear, self.now, heard)
+                heard = Received(draws.randrange(self.routers), draws.randrange(1, 2**48), body)
+                self.timed(self.room.on_message, self.now, heard)
                 kept = zip(own, self.own(), strict=True)  # others may take its place, none speaks for it
                 must(all(new in (old, None) for old, new in kept), "told by others what it saw")
-                must(not self.room.say(), "answers at once")  # so no datagram makes it say one
+                must(not self.room.take_outgoing(), "answers at once")  # so no datagram makes it say one
             case 4 | 5:
                 self.see()
             case 6:
@@ -79,18 +79,18 @@
             case _ if draws.random() < 0.1:
                 before = self.now
                 self.now = idle(self.room, self.now)
-                said = sum(len(say.body) for say in self.room.say())
+                said = sum(len(say.body) for say in self.room.take_outgoing())
                 must(said <= 2000 * (self.now - before) + 500, f"says more than its pace = {said}")
 
     def wake(self, now: float) -> None:
-        self.timed(self.room.wake, now)
-        for say in self.room.say():
+        self.timed(self.room.on_timer, now)
+        for say in self.room.take_outgoing():
             self.said += len(say.body)
             must(len(say.body) <= 200 and 0 <= say.to < self.routers and say.to != self.me, "no such say")
 
     def end(self) -> None:
         self.now = idle(self.room, self.now)
-        self.room.say()
+        self.room.take_outgoing()
         must((size := size_of(self.room)) < BYTES, f"bytes without end = {size}")
 
 
--- a/tests/peers/fuzz/papers.py
+++ b/tests/peers/fuzz/papers.py
@@ -16,7 +16,7 @@
 from ironrail.peers.consensus import messages as m
 from ironrail.peers.consensus import policy as p
 from ironrail.peers.consensus.errors import PolicyError
-from ironrail.peers.messages import Heard
+from ironrail.peers.messages import Received
 from ironrail.policy.settings import RequestClass, Settings
 
 from tests.peers.consensus.watching import FACTS, policy
@@ -52,7 +52,7 @@
         self.store, self.path = FolderStore(Path(self.folder.name)), Path(self.folder.name) / policies.RECORD
         vouched = [one.vouched for one in _samples() if isinstance(one, m.Promise)]
         self.runner = asyncio.Runner()
-        self.whole = [msgspec.msgpack.encode(v) for v in (*vouched, m.Vouched())]
+        self.whole = [msgspec.msgpack.encode(v) for v in (*vouched, m.AcceptorState())]
 
     def step(self) -> None:
         draws = self.draws
@@ -72,9 +72,9 @@
     async def _start(self) -> None:
         """As a voter does, on a loop."""
         told = place(self.store)
-        told.room.wake(1.0)
-        told.room.hear(1.0, Heard(1, 1, m.encode(m.Prepare(m.Ballot(1, 9, 1, 1)))))
-        told.room.keeps()
+        told.room.on_timer(1.0)
+        told.room.on_message(1.0, Received(1, 1, m.encode(m.Prepare(m.Ballot(1, 9, 1, 1)))))
+        told.room.take_records()
         must(told.page().status == 200, "no page")
         told.stop()
 
@@ -118,8 +118,11 @@
         must(p.encode(got) == data and p.normal(got) == got, "another form")
         if p.check(got, FACTS) is None:
             other = policy(5)
-            must(p.meet(got, other, FACTS) == p.meet(other, got, FACTS), "a meet that depends on the order")
-            must(p.meet(got, got, FACTS) == got, "a meet with itself that is another")
+            must(
+                p.merge_conservatively(got, other, FACTS) == p.merge_conservatively(other, got, FACTS),
+                "a meet that depends on the order",
+            )
+            must(p.merge_conservatively(got, got, FACTS) == got, "a meet with itself that is another")
 
 
 class Posts(Papers):
--- a/tests/peers/fuzz/wires.py
+++ b/tests/peers/fuzz/wires.py
@@ -4,7 +4,7 @@
 
 import random
 
-from ironrail.peers.messages import ALL, MOST_DATAGRAM, Priority, Say, Topic
+from ironrail.peers.messages import ALL, MOST_DATAGRAM, Outgoing, Priority, Topic
 from ironrail.peers.transport import layout
 from ironrail.peers.transport.keys import TO_ALL, Keys
 from ironrail.peers.transport.outbox import BURST, MOST_SAYS, MOST_WAITING, Outbox
@@ -16,7 +16,7 @@
 
 KEYS, WRONG = Keys(1, {1: b"a secret of the tier"}), Keys(1, {1: b"a secret of nobody's"})
 ROUTERS, LIAR = 6, 5
-ROOMS = [topic for topic in Topic if topic is not Topic.WIRE]
+ROOMS = [topic for topic in Topic if topic is not Topic.TRANSPORT]
 
 
 class Wires(Attack):
@@ -69,7 +69,7 @@
                 body = b"%d " % self.count + draws.randbytes(size)
                 sender = self.lives[me]
                 self.sent.setdefault((me, sender.start), set()).add(body[: layout.MOST_BODY])
-                say = Say(draws.choice((0, 0, ALL)), draws.choice(ROOMS), body[: layout.MOST_BODY])
+                say = Outgoing(draws.choice((0, 0, ALL)), draws.choice(ROOMS), body[: layout.MOST_BODY])
                 sealed = [(me, datagram) for _, datagram in sender.seal(say)]
                 self.recorded = [*self.recorded[-200:], *sealed]
                 for source, datagram in sealed if draws.random() < 0.8 else draws.sample(sealed, len(sealed)):
@@ -138,7 +138,7 @@
         if draws.random() < 0.7:
             size = draws.choice((0, 50, 200, 234, layout.MOST_BODY, layout.MOST_BODY + 1))
             to = draws.choice((ALL, 1, self.others, self.others + 1, 0, -7))
-            say = Say(to, draws.choice(ROOMS), draws.randbytes(size), draws.choice(list(Priority)))
+            say = Outgoing(to, draws.choice(ROOMS), draws.randbytes(size), draws.choice(list(Priority)))
             self.box.put(self.now, say)
         else:
             self.now += draws.choice((0.0, 1e-9, 0.002, 1.0, 500.0))
--- a/tests/peers/steering/test_room.py
+++ b/tests/peers/steering/test_room.py
@@ -4,7 +4,7 @@
 import tracemalloc
 
 import pytest
-from ironrail.peers.messages import Heard, Room, Say
+from ironrail.peers.messages import Outgoing, PeerProtocol, Received
 from ironrail.peers.steering.expected import Hall
 from ironrail.peers.steering.regions import Regions
 from ironrail.peers.steering.reports import MOST_BODY, Report, Summary, encode
@@ -31,17 +31,17 @@
     def __init__(self) -> None:
         self.now = 0.0
         self.rooms = [room(me) for me in range(len(HALL_OF))]
-        self.sent: list[tuple[float, int, Say]] = []
+        self.sent: list[tuple[float, int, Outgoing]] = []
 
     def until(self, end: float) -> None:
-        while (at := min(r.wake_at() for r in self.rooms)) <= end:
+        while (at := min(r.next_timer_at() for r in self.rooms)) <= end:
             at = self.now = max(at, self.now)  # what lies in the past is wanted at once
             for me, one in enumerate(self.rooms):
-                if one.wake_at() <= at:
-                    one.wake(at)
-                    for say in one.say():
+                if one.next_timer_at() <= at:
+                    one.on_timer(at)
+                    for say in one.take_outgoing():
                         self.sent.append((at, me, say))
-                        self.rooms[say.to].hear(at, Heard(me, 1, say.body))
+                        self.rooms[say.to].on_message(at, Received(me, 1, say.body))
         self.now = end
 
 
@@ -75,13 +75,15 @@
         Report(w, 1, r, 1, Summary(20, 20, 20, 0, 0, ()).pack(), 0.0) for w in range(1, 20) for r in range(8)
     ]
     for n in range(0, len(words), 8):
-        one.hear(0.0, Heard(1, 1, encode(REGIONS.digest, words[n : n + 8])[0]))
+        one.on_message(0.0, Received(1, 1, encode(REGIONS.digest, words[n : n + 8])[0]))
     changed = words[3]._replace(sequence=2, values=Summary(21, 20, 20, 0, 0, ()).pack())
     one._waiting.clear()
     small, large = words[2], words[9]
     for word, rtt in ((small, 21), (large, 40)):
         values = Summary(rtt, 20, 20, 0, 0, ()).pack()
-        one.hear(1.0, Heard(1, 1, encode(REGIONS.digest, [word._replace(sequence=2, values=values)])[0]))
+        one.on_message(
+            1.0, Received(1, 1, encode(REGIONS.digest, [word._replace(sequence=2, values=values)])[0])
+        )
     order = sorted(one._waiting, key=lambda k: -one._waiting[k][0])
     assert order[0] == (large.witness, large.region) and changed.sequence == 2
 
@@ -92,16 +94,16 @@
     for w in range(1, 20):
         for r in range(256):
             word = Report(w, 1, r, 1, Summary(20, 20, 20, 0, 0, ()).pack(), 0.0)
-            one.hear(0.0, Heard(w, 1, encode(regions.digest, [word])[0]))
+            one.on_message(0.0, Received(w, 1, encode(regions.digest, [word])[0]))
     assert len(one._waiting) <= MOST_WAITING
 
 
 def test_strangers_words_and_words_about_oneself_are_not_taken() -> None:
     one, other = room(0), Regions({"r0": ["10.0.0.0/8"]})
     mine = Report(0, 9, 1, 9, Summary(1, 1, 1, 0, 0, ()).pack(), 0.0)
-    one.hear(0.0, Heard(1, 1, encode(REGIONS.digest, [mine])[0]))
-    one.hear(0.0, Heard(1, 1, encode(other.digest, [mine._replace(witness=1)])[0]))
-    one.hear(0.0, Heard(1, 1, b"rubbish"))
+    one.on_message(0.0, Received(1, 1, encode(REGIONS.digest, [mine])[0]))
+    one.on_message(0.0, Received(1, 1, encode(other.digest, [mine._replace(witness=1)])[0]))
+    one.on_message(0.0, Received(1, 1, b"rubbish"))
     assert not one.cells(0.0) and one.unusable == 2
 
 
@@ -122,8 +124,8 @@
     serve(one, 0.0, "r1", 0.02)
     assert one.time_left(0.0, "r1", 0.1) == pytest.approx(0.085, abs=0.0015)
     assert one.time_left(0.0, "r2", 0.1) == 0.1
-    face: Room = one
-    assert face.wake_at() < 10.0
+    face: PeerProtocol = one
+    assert face.next_timer_at() < 10.0
 
 
 def test_what_cant_be_used_is_refused() -> None:
--- a/tests/peers/test_fuzz.py
+++ b/tests/peers/test_fuzz.py
@@ -12,12 +12,12 @@
 from ironrail.net.peers.record_store import FolderStore, RecordError
 from ironrail.peers.consensus import messages as m
 from ironrail.peers.consensus import policy as p
-from ironrail.peers.consensus.conf import Conf
+from ironrail.peers.consensus.acceptor import MOST_HELD
+from ironrail.peers.consensus.configuration import ConsensusConfig
+from ironrail.peers.consensus.consensus_node import ConsensusNode
+from ironrail.peers.consensus.document_store import MOST_KEPT
 from ironrail.peers.consensus.errors import RecordFormError
-from ironrail.peers.consensus.library import MOST_KEPT
-from ironrail.peers.consensus.register import MOST_HELD
-from ironrail.peers.consensus.room import AccordRoom
-from ironrail.peers.messages import Heard
+from ironrail.peers.messages import Received
 from ironrail.peers.steering import reports as regions
 from ironrail.peers.steering.regions import Regions
 from ironrail.peers.steering.room import LEFT_WAITING, MOST_WAITING, RegionsRoom
@@ -64,20 +64,22 @@
     assert len(figures.found) == 1 and "--seed 7" in next(iter(figures.found.values()))
 
 
-def voter(disk: bool = False, record: bytes | None = None) -> AccordRoom:
-    return AccordRoom(Conf(0, 1, 5, (0, 1, 2), disk=disk), FACTS, FLOOR, 0.0, 1, record)
+def voter(disk: bool = False, record: bytes | None = None) -> ConsensusNode:
+    return ConsensusNode(
+        ConsensusConfig(0, 1, 5, (0, 1, 2), persists_records=disk), FACTS, FLOOR, 0.0, 1, record
+    )
 
 
-def standing(disk: bool) -> AccordRoom:
+def standing(disk: bool) -> ConsensusNode:
     first = m.Ballot(1)
-    state = m.State(m.EPOCH, m.Ref(1, p.digest(policy(1))), tried=1)
-    return voter(disk, msgspec.msgpack.encode(m.Vouched(first, first, state)))
+    state = m.RegisterState(m.EPOCH, m.PolicyRef(1, p.digest(policy(1))), tried=1)
+    return voter(disk, msgspec.msgpack.encode(m.AcceptorState(first, first, state)))
 
 
 def test_arrays_within_arrays_are_counted_and_do_not_raise() -> None:
     room = voter()
-    room.hear(0.0, Heard(3, 9, b"\x93\x0e\xc4\x10" + bytes(16) + b"\x91" * 3600 + b"\x90"))
-    assert room.unusable == 1 and not room.say()
+    room.on_message(0.0, Received(3, 9, b"\x93\x0e\xc4\x10" + bytes(16) + b"\x91" * 3600 + b"\x90"))
+    assert room.unusable == 1 and not room.take_outgoing()
 
 
 def test_documents_that_a_member_makes_a_voter_want_are_bounded() -> None:
@@ -85,9 +87,9 @@
     wanted = [policy(2 + n) for n in range(1000)]
     for one in wanted:
         accept = m.Accept(m.Ballot(1, 0, 3, 9), _state(random.Random(1), one))
-        room.hear(0.0, Heard(3, 9, m.encode(accept)))
-        room.hear(0.0, Heard(3, 9, m.encode(m.Document(p.encode(one)))))
-        room.say()
+        room.on_message(0.0, Received(3, 9, m.encode(accept)))
+        room.on_message(0.0, Received(3, 9, m.encode(m.Document(p.encode(one)))))
+        room.take_outgoing()
     assert len(room.library._documents) == MOST_KEPT
     assert room.library.get(p.digest(wanted[-1]))
 
@@ -104,21 +106,21 @@
 def test_a_disk_that_hangs_makes_a_voter_hold_a_bounded_number_of_words() -> None:
     room = standing(disk=True)
     for number in range(1, 1000):
-        room.hear(0.0, Heard(3, 9, m.encode(m.Prepare(m.Ballot(1, number, 3, 9)))))
-    keeps = room.keeps()
-    assert room.voter and len(room.voter._held) == MOST_HELD and not room.say()
-    room.kept(0.0, keeps[-1].token)
-    told = [m.decode(say.body) for say in room.say()]
+        room.on_message(0.0, Received(3, 9, m.encode(m.Prepare(m.Ballot(1, number, 3, 9)))))
+    keeps = room.take_records()
+    assert room.voter and len(room.voter._held) == MOST_HELD and not room.take_outgoing()
+    room.on_record_written(0.0, keeps[-1].token)
+    told = [m.decode(say.body) for say in room.take_outgoing()]
     assert len(told) == MOST_HELD and isinstance(told[-1], m.Promise) and told[-1].ballot.number == 999
 
 
 def test_a_refusal_of_any_length_does_not_make_a_promise_too_long_to_be_sent() -> None:
     room = voter()
-    note = m.Note(m.EPOCH, (m.EPOCH + 1,))
-    ask = m.Ask(1, note, None, 0, (3, m.EPOCH + 2, "x" * 81), None)
-    room.hear(0.0, Heard(3, 9, m.encode(ask)))
+    note = m.ScopedStep(m.EPOCH, (m.EPOCH + 1,))
+    ask = m.LeaseRequest(1, note, None, 0, (3, m.EPOCH + 2, "x" * 81), None)
+    room.on_message(0.0, Received(3, 9, m.encode(ask)))
     assert room.unusable == 1
-    room.hear(0.0, Heard(3, 9, m.encode(msgspec.structs.replace(ask, refuses=(3, 9, "x" * 80)))))
+    room.on_message(0.0, Received(3, 9, m.encode(msgspec.structs.replace(ask, refuses=(3, 9, "x" * 80)))))
     assert room.unusable == 1
 
 
@@ -132,7 +134,7 @@
         policies = place(store)
         assert not policies.room.voter.standing and b"Move the file away" in policies.page().body  # type: ignore[union-attr]
         policies.stop()
-    store.write("accord", msgspec.msgpack.encode(m.Vouched()))
+    store.write("accord", msgspec.msgpack.encode(m.AcceptorState()))
     whole = (tmp_path / "accord").read_bytes()
     (tmp_path / "accord").write_bytes(whole[:-1])
     with pytest.raises(RecordError):
@@ -165,15 +167,15 @@
 
 def test_a_body_longer_than_any_router_says_is_not_read() -> None:
     one = LatencyRoom(0.0, 0, 1, ["a", "b"], [0, 1], random.Random(1))
-    one.hear(0.0, Heard(1, 9, encode(reports(200), 3696)[0]))
+    one.on_message(0.0, Received(1, 9, encode(reports(200), 3696)[0]))
     assert one.unusable == 1 and len(one.table) == 0
-    one.hear(0.0, Heard(1, 9, encode(reports(200), MOST_BODY)[0]))
+    one.on_message(0.0, Received(1, 9, encode(reports(200), MOST_BODY)[0]))
     assert one.unusable == 1 and len(one.table) == 1
     other = RegionsRoom(0.0, 0, 1, known := Regions({}), ["a"], [0, 0], [], random.Random(1))
     words = [regions.Report(1, 9, 0, n, bytes(4), 0.0) for n in range(200)]
-    other.hear(0.0, Heard(1, 9, regions.encode(known.digest, words, 3696)[0]))
+    other.on_message(0.0, Received(1, 9, regions.encode(known.digest, words, 3696)[0]))
     assert other.unusable == 1
-    other.hear(0.0, Heard(1, 9, regions.encode(known.digest, words)[0]))
+    other.on_message(0.0, Received(1, 9, regions.encode(known.digest, words)[0]))
     assert other.unusable == 1 and other.table.held(1, 0)
 
 
@@ -185,7 +187,7 @@
         room.table._words.clear()
         for region in range(256):
             word = regions.Report(witness, 1, region, 1, bytes(4), 0.0)
-            room.hear(float(region), Heard(witness, 1, regions.encode(known.digest, [word])[0]))
+            room.on_message(float(region), Received(witness, 1, regions.encode(known.digest, [word])[0]))
             sizes.append(len(room._waiting))
     assert max(sizes) == MOST_WAITING
     after = [after for before, after in zip(sizes, sizes[1:], strict=False) if after < before]
@@ -194,24 +196,24 @@
 
 def test_a_router_alone_does_not_wake_without_end() -> None:
     room = LatencyRoom(5.0, 0, 1, ["a"], [0], random.Random(1))
-    room.wake(5.0)
-    assert room.wake_at() > 5.0
+    room.on_timer(5.0)
+    assert room.next_timer_at() > 5.0
 
 
 def test_more_is_not_kept_of_a_thousand_routers_of_many_lives() -> None:
     """Five lives of each within a lease, at a voter: entries, bytes, and the CPU of one more."""
-    room = AccordRoom(Conf(0, 1, 1000, (0, 1, 2)), FACTS, FLOOR, 0.0)
-    note = m.Note(2**62, (2**62, 2**62))
+    room = ConsensusNode(ConsensusConfig(0, 1, 1000, (0, 1, 2)), FACTS, FLOOR, 0.0)
+    note = m.ScopedStep(2**62, (2**62, 2**62))
     for life in range(5):
         for router in range(3, 1000):
-            ask = m.Ask(1, note, note, 0, (router, 2**62, "\U0001f682" * 80), 999)
-            room.hear(0.0, Heard(router, 2**47 + life, m.encode(ask)))
-        room.say()
+            ask = m.LeaseRequest(1, note, note, 0, (router, 2**62, "\U0001f682" * 80), 999)
+            room.on_message(0.0, Received(router, 2**47 + life, m.encode(ask)))
+        room.take_outgoing()
     assert room.voter and len(room.voter.grants.entries) == 4 * 997
     assert size_of(room) < 6e6
     began = time.thread_time()
     for life in range(200):
-        room.hear(1.0, Heard(9, life, m.encode(ask)))
+        room.on_message(1.0, Received(9, life, m.encode(ask)))
     assert time.thread_time() - began < 0.1  # a look at all of them took 1 ms each
-    room.hear(1e6, Heard(9, 1, m.encode(ask)))
+    room.on_message(1e6, Received(9, 1, m.encode(ask)))
     assert len(room.voter.grants.entries) == 4 * 997 - 3  # what ran out makes room
--- a/tests/peers/transport/test_wire_bodies.py
+++ b/tests/peers/transport/test_wire_bodies.py
@@ -7,7 +7,7 @@
 import pytest
 from hypothesis import given
 from hypothesis import strategies as st
-from ironrail.peers.messages import ALL, MOST_DATAGRAM, Heard, Say, Topic
+from ironrail.peers.messages import ALL, MOST_DATAGRAM, Outgoing, Received, Topic
 from ironrail.peers.transport.errors import UnsendableError
 from ironrail.peers.transport.layout import MOST_BODY, ROOM, sealed_size
 from ironrail.peers.transport.wire import Reason
@@ -18,19 +18,19 @@
     st.sampled_from([ROOM - 1, ROOM, ROOM + 1, MOST_BODY - 1, MOST_BODY]).map(bytes),
     st.integers(0, MOST_BODY).map(lambda size: random.Random(size).randbytes(size)),
 )
-ROOMS = st.sampled_from([topic for topic in Topic if topic is not Topic.WIRE])
+ROOMS = st.sampled_from([topic for topic in Topic if topic is not Topic.TRANSPORT])
 
 
 @given(st.lists(st.tuples(BODIES, ROOMS, st.sampled_from([1, ALL])), max_size=6))
 def test_bodies_come_as_they_went(said: list[tuple[bytes, Topic, int]]) -> None:
     sender, receiver = met()
     for body, topic, to in said:
-        sealed = sender.seal(Say(to, topic, body))
+        sealed = sender.seal(Outgoing(to, topic, body))
         assert {where for where, _ in sealed} == {to}
         assert max(len(d) for _, d in sealed) <= MOST_DATAGRAM
         assert sum(len(d) for _, d in sealed) == sealed_size(len(body))
         got = [item for _, d in sealed for item in receiver.open(1.0, 0, d)]
-        assert got == [(topic, Heard(0, sender.start, body))]
+        assert got == [(topic, Received(0, sender.start, body))]
     assert not any(receiver.dropped().values())
 
 
@@ -92,9 +92,9 @@
 
 def test_what_no_datagram_carries_is_refused() -> None:
     for say in (
-        Say(0, Topic.ACCORD, b""),
-        Say(3, Topic.ACCORD, b""),
-        Say(1, Topic.ACCORD, bytes(MOST_BODY + 1)),
+        Outgoing(0, Topic.CONSENSUS, b""),
+        Outgoing(3, Topic.CONSENSUS, b""),
+        Outgoing(1, Topic.CONSENSUS, bytes(MOST_BODY + 1)),
     ):
         with pytest.raises(UnsendableError):
             wire(0).seal(say)
--- a/tests/peers/transport/test_wire_bounds.py
+++ b/tests/peers/transport/test_wire_bounds.py
@@ -47,7 +47,7 @@
     assert heard(1.0, receiver, 0, *(d for pieces in cut for d in pieces[1:])) == bodies[1:]
 
 
-def flood(receiver: Wire, forger: Wire, source: int, count: int, topic: Topic = Topic.ACCORD) -> int:
+def flood(receiver: Wire, forger: Wire, source: int, count: int, topic: Topic = Topic.CONSENSUS) -> int:
     """Datagrams with a wrong MAC, from 1.0 to 3.0. Returns how many were checked."""
     before = receiver.dropped()[Reason.MAC]
     for i in range(count + 50):  # the last ones all at the end
@@ -69,7 +69,7 @@
     assert heard(9.0, receiver, 2, *datagrams(other, b"no longer")) == [b"no longer"]
 
 
-@pytest.mark.parametrize("topic", [Topic.ACCORD, Topic.WIRE])
+@pytest.mark.parametrize("topic", [Topic.CONSENSUS, Topic.TRANSPORT])
 def test_who_cannot_read_the_traffic_shuts_out_nobody(topic: Topic) -> None:
     """Neither a life that is proven nor, after a question, one that has just begun."""
     sender, receiver = met()
@@ -126,5 +126,5 @@
 def test_whoever_has_the_key_and_talks_nonsense_is_counted() -> None:
     sender, receiver = met()
     for body in (b"", b"\x00", b"\x01short", b"\x04" + bytes(8), b"\x03" + bytes(8)):
-        assert heard(0.0, receiver, 0, *datagrams(sender, body, topic=Topic.WIRE)) == []
+        assert heard(0.0, receiver, 0, *datagrams(sender, body, topic=Topic.TRANSPORT)) == []
     assert receiver.dropped()[Reason.MALFORMED] == 5
--- a/tests/peers/transport/test_wire_outbox.py
+++ b/tests/peers/transport/test_wire_outbox.py
@@ -6,7 +6,7 @@
 import random
 
 import pytest
-from ironrail.peers.messages import ALL, MOST_ROUTERS, Priority, Say, Topic
+from ironrail.peers.messages import ALL, MOST_ROUTERS, Outgoing, Priority, Topic
 from ironrail.peers.transport.errors import PaceError
 from ironrail.peers.transport.layout import MOST_BODY, sealed_size
 from ironrail.peers.transport.outbox import BURST, MOST_SAYS, MOST_WAITING, PACE, Outbox
@@ -17,8 +17,8 @@
     return Outbox(wire(0, routers=routers).seal, routers - 1)
 
 
-def say(body: bytes = b"x", priority: Priority = Priority.VOTE, to: int = 1) -> Say:
-    return Say(to, Topic.ACCORD, body, priority)
+def say(body: bytes = b"x", priority: Priority = Priority.VOTE, to: int = 1) -> Outgoing:
+    return Outgoing(to, Topic.CONSENSUS, body, priority)
 
 
 def bodies(box: Outbox, now: float) -> list[bytes]:
--- a/tests/peers/zone_latency/fleet.py
+++ b/tests/peers/zone_latency/fleet.py
@@ -5,7 +5,7 @@
 import math
 import random
 
-from ironrail.peers.messages import Heard
+from ironrail.peers.messages import Received
 from ironrail.peers.zone_latency.room import LatencyRoom
 
 STEP = 0.05  # seconds
@@ -23,7 +23,7 @@
         self.rooms = [self.make(r) for r in range(routers)]
         self.times: dict[tuple[int, int], float] = {}  # one way: how many times slower; infinite if cut
         self.dead: set[int] = set()
-        self._later: list[tuple[float, int, int, int, Heard | None]] = []
+        self._later: list[tuple[float, int, int, int, Received | None]] = []
 
     def make(self, router: int) -> LatencyRoom:
         draws = random.Random(f"{router} {self.draws.random()}")
@@ -47,11 +47,11 @@
                     continue
                 if round(self.now / STEP + r) % 2 == 0:
                     self._sample(r, self.draws.randrange(self.halls))
-                room.wake(self.now)
-                for say in room.say():
+                room.on_timer(self.now)
+                for say in room.take_outgoing():
                     way = self.times.get((self.hall_of[r], self.hall_of[say.to]), 1.0)
                     if way < math.inf and self.draws.random() >= self.loss:
-                        heard = Heard(r, self.starts[r], say.body)
+                        heard = Received(r, self.starts[r], say.body)
                         self._later.append((self.now + STEP, say.to, r, 0, heard))
 
     def _sample(self, router: int, to: int) -> None:
@@ -70,7 +70,7 @@
             if heard is None:
                 self.rooms[to].lost(self.now, hall)
             else:
-                self.rooms[to].hear(self.now, heard)
+                self.rooms[to].on_message(self.now, heard)
 
     def states(self, a: int, b: int) -> list[int]:
         """What each router's map says of a link."""
--- a/tests/peers/zone_latency/test_echoes.py
+++ b/tests/peers/zone_latency/test_echoes.py
@@ -3,7 +3,7 @@
 import random
 
 import pytest
-from ironrail.peers.messages import Heard, Say
+from ironrail.peers.messages import Outgoing, Received
 from ironrail.peers.zone_latency.echoes import MOST_HOLD, TRAILER, Echoing
 from ironrail.peers.zone_latency.evidence import Evidence
 from ironrail.peers.zone_latency.room import LatencyRoom
@@ -17,12 +17,12 @@
 
 
 def pass_on(sender: Echoing, me: int, receiver: Echoing, to: int, sent: float, came: float) -> None:
-    say = sender.stamped(sent, Say(to, sender.topic, bytes(TRAILER)))
-    receiver.hear(came, Heard(me, 1, say.body))
+    say = sender.with_timestamp(sent, Outgoing(to, sender.topic, bytes(TRAILER)))
+    receiver.on_message(came, Received(me, 1, say.body))
 
 
 def sampled(room: Echoing) -> dict[int, float]:
-    room.map.wake(1000.0)
+    room.map.on_timer(1000.0)
     return {hall: sight.usual for hall, sight in room.map.evidence.sights.items()}
 
 
@@ -37,16 +37,16 @@
 def test_a_message_is_answered_once_and_none_that_was_not_sent_or_was_held_for_long() -> None:
     one, other, third = echoing(0), echoing(1), echoing(3)
     pass_on(one, 0, other, 1, 10.0, 10.02)
-    say = other.stamped(10.1, Say(0, other.topic, bytes(TRAILER)))
+    say = other.with_timestamp(10.1, Outgoing(0, other.topic, bytes(TRAILER)))
     for _ in range(2):
-        one.hear(10.12, Heard(1, 1, say.body))
+        one.on_message(10.12, Received(1, 1, say.body))
     pass_on(other, 1, one, 0, 10.2, 10.22)  # answers nothing
-    one.hear(10.3, Heard(3, 1, say.body))  # numbers of another's way
+    one.on_message(10.3, Received(3, 1, say.body))  # numbers of another's way
     assert one.trips == 1
     pass_on(one, 0, third, 3, 20.0, 20.02)
     pass_on(third, 3, one, 0, 20.03 + MOST_HOLD, 20.05 + MOST_HOLD)
     assert one.trips == 1
-    one.hear(30.0, Heard(1, 1, b"short"))
+    one.on_message(30.0, Received(1, 1, b"short"))
     assert one.map.unusable == 1
 
 
@@ -60,7 +60,7 @@
         to = room.map.prefer(now + 0.02)
         if to is not None:
             asked.append(HALL_OF[to])
-            room.stamped(now + 0.03, Say(to, room.topic, bytes(TRAILER)))
+            room.with_timestamp(now + 0.03, Outgoing(to, room.topic, bytes(TRAILER)))
     assert len(asked) == 6 and asked in ([1, 2] * 3, [2, 1] * 3)
     room.map.prefer(90.0)
     assert room.map.prefer(90.0) is None  # nobody spoke lately
--- a/tests/peers/zone_latency/test_room.py
+++ b/tests/peers/zone_latency/test_room.py
@@ -6,7 +6,7 @@
 
 import pytest
 from ironrail.errors import InputError
-from ironrail.peers.messages import Heard
+from ironrail.peers.messages import Received
 from ironrail.peers.zone_latency.facts import HallLink, HallsSeen
 from ironrail.peers.zone_latency.reports import Report, encode, pack
 from ironrail.peers.zone_latency.room import LatencyRoom
@@ -24,8 +24,8 @@
 
 
 def told(room: LatencyRoom, now: float, *reports: Report) -> HallsSeen | None:
-    room.hear(now, Heard(1, 1, encode(reports)[0]))
-    room.wake(now)
+    room.on_message(now, Received(1, 1, encode(reports)[0]))
+    room.on_timer(now)
     return room.facts()
 
 
@@ -57,7 +57,7 @@
         now = step * 0.01
         room.observe(now, draws.randrange(3), draws.choice([0.001, 0.5]))
         told(room, now, word(1 + 3 * (step % 60), step, draws.randrange(60), Link(1 + step % 3)))
-        sent += sum(len(say.body) + OVERHEAD for say in room.say())
+        sent += sum(len(say.body) + OVERHEAD for say in room.take_outgoing())
     assert 0.5 * RATE * 20.0 < sent <= RATE * 20.0 + 256
 
 
@@ -154,7 +154,7 @@
     room = alone()
     told(room, 1.0, word(0, 9, 30))
     assert room.estimate(1.0, 0, 1).witnesses == 0
-    room.hear(1.0, Heard(1, 1, b"\xff" * 9))
+    room.on_message(1.0, Received(1, 1, b"\xff" * 9))
     assert room.unusable == 1
 
 
@@ -165,7 +165,7 @@
     for witness in range(1, 1000):
         words = [word(witness, 1, 30)._replace(to=to, start=2**40) for to in range(50)]
         for part in (words[:25], words[25:]) if witness < 60 else ():  # more rumours than are kept
-            room.hear(1.0, Heard(1, 1, encode(part)[0]))
+            room.on_message(1.0, Received(1, 1, encode(part)[0]))
         for report in words:
             room.table.merge(1.0, report)
     for to in range(50):
--- a/tests/readers_router.py
+++ b/tests/readers_router.py
@@ -13,7 +13,7 @@
 from ironrail.net.peers import readers as driver
 from ironrail.operator_file import Operator, Peers
 from ironrail.peers.consensus import policy as p
-from ironrail.peers.consensus.room import DecidedBy
+from ironrail.peers.consensus.consensus_node import DecidedBy
 from ironrail.peers.steering.carried import place
 from ironrail.peers.steering.expected import Hall
 
--- a/tests/rehearsal/links/test_accord_faults.py
+++ b/tests/rehearsal/links/test_accord_faults.py
@@ -69,7 +69,9 @@
 class Killer:
     """Kills a proposer when it first asks for a state that is looked for; so many of those messages pass."""
 
-    def __init__(self, stage: Stage, router: str, when: Callable[[m.State, int], bool], passing: int) -> None:
+    def __init__(
+        self, stage: Stage, router: str, when: Callable[[m.RegisterState, int], bool], passing: int
+    ) -> None:
         self._stage, self._router, self._when, self._passing = stage, router, when, passing
         self._killed: int | None = None
         self.version = 0  # that it was asked for
@@ -104,11 +106,11 @@
         self._stage.end(self._killed)
 
 
-def joins(state: m.State, version: int) -> bool:
+def joins(state: m.RegisterState, version: int) -> bool:
     return state.new is not None and state.new.version == version
 
 
-def last_step(state: m.State, version: int) -> bool:
+def last_step(state: m.RegisterState, version: int) -> bool:
     return state.new is None and state.old.version == version
 
 
--- a/tests/rehearsal/links/test_tier.py
+++ b/tests/rehearsal/links/test_tier.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 import pytest
-from ironrail.peers.consensus.grants import Grants
+from ironrail.peers.consensus.lease_table import LeaseTable
 from ironrail.rehearsal.links.drawn import draw_plan
 from ironrail.rehearsal.links.paths import Path
 from ironrail.rehearsal.links.plan import Kind, link_fault
@@ -74,10 +74,10 @@
         fault = link_fault(Kind.CUT, "routers <> routers", 0.0, LONG)
         tier.begin(fault, Path(frozenset(tier.names[10:12]), frozenset(tier.names), both=True))
 
-        def none(grants: Grants, now: float, scope: Any) -> list[int]:
+        def none(grants: LeaseTable, now: float, scope: Any) -> list[int]:
             return []
 
-        monkeypatch.setattr(Grants, "against", none)
+        monkeypatch.setattr(LeaseTable, "holders_against", none)
         changed(tier, 2, range(3), within=2.9)
         assert tier.watch.mixed > 0
         assert "decides by" in tier.watch.words[0]
--- a/tests/test_readers.py
+++ b/tests/test_readers.py
@@ -30,7 +30,7 @@
     assert isinstance(one, One) and 0.0 < one.rtt < 0.1  # of loopback, by the kernel
     room, now = world.readers.room, world.node._system.now()
     for tick in range(1, 7):
-        room.wake(now + tick)
+        room.on_timer(now + tick)
     world.readers._cells_at = -1e9
     status, body = await world.ask("regions")
     told = json.loads(body)
--- a/tests/test_stored_forms.py
+++ b/tests/test_stored_forms.py
@@ -14,36 +14,36 @@
 from ironrail.access_log.keep import Keeper, Line, RequestOutcome
 from ironrail.net.peers.record_store import FolderStore
 from ironrail.peers.consensus import messages as m
-from ironrail.peers.messages import Heard, Topic
+from ironrail.peers.messages import Received, Topic
 from ironrail.peers.zone_latency import reports as latency_reports
 
 from tests.wire_tier import datagrams, meet, wire
 
 FORMS = Path(__file__).with_name("stored_forms.json")
 
-OLD = m.Ref(3, bytes(range(16)), (0, 1, 2))
-NEW = m.Ref(4, bytes(range(16, 32)), (0, 1, 3))
-STATE = m.State(m.EPOCH + 7, OLD, NEW, tried=4, by=(2, 1_796_020_200_000), left=(0, 1, 4))
+OLD = m.PolicyRef(3, bytes(range(16)), (0, 1, 2))
+NEW = m.PolicyRef(4, bytes(range(16, 32)), (0, 1, 3))
+STATE = m.RegisterState(m.EPOCH + 7, OLD, NEW, tried=4, by=(2, 1_796_020_200_000), left=(0, 1, 4))
 BALLOT = m.Ballot(m.EPOCH, 9, 2, 1_796_020_200_000)
-RECORD = m.Vouched(BALLOT, m.Ballot(m.EPOCH, 8, 1, 5), STATE)
+RECORD = m.AcceptorState(BALLOT, m.Ballot(m.EPOCH, 8, 1, 5), STATE)
 SEEN = ((0, 11), (1, 12))
 MESSAGES: dict[str, m.Message] = {
     "prepare": m.Prepare(BALLOT, (0, 1, 2)),
     "promise": m.Promise(BALLOT, RECORD, 6, SEEN, (5,), (2, 4, "no such class")),
-    "outvoted": m.Outvoted(BALLOT, BALLOT),
+    "outvoted": m.BallotRejected(BALLOT, BALLOT),
     "accept": m.Accept(BALLOT, STATE),
     "accepted": m.Accepted(BALLOT, SEEN),
-    "blocked": m.Blocked(BALLOT),
+    "blocked": m.AcceptBlocked(BALLOT),
     "decided": m.Decided(STATE),
-    "recover": m.Recover(77, (0, 1)),
-    "report": m.Report(77, True, SEEN, RECORD, STATE),
-    "offer": m.Offer(STATE),
-    "founded": m.Founded(STATE, SEEN),
-    "ask": m.Ask(5, m.Note(6, (3,)), m.Note(7, (3, 4)), 7, (1, 4, "too few"), 3),
-    "answer": m.Answer(5, True, False, 1, STATE, 2.5),
-    "want": m.Want(bytes(16)),
+    "recover": m.RecoveryRequest(77, (0, 1)),
+    "report": m.RecoveryReport(77, True, SEEN, RECORD, STATE),
+    "offer": m.BootstrapOffer(STATE),
+    "founded": m.Bootstrapped(STATE, SEEN),
+    "ask": m.LeaseRequest(5, m.ScopedStep(6, (3,)), m.ScopedStep(7, (3, 4)), 7, (1, 4, "too few"), 3),
+    "answer": m.LeaseReply(5, True, False, 1, STATE, 2.5),
+    "want": m.DocumentRequest(bytes(16)),
     "document": m.Document(b"a document"),
-    "where": m.Where(9),
+    "where": m.StateQuery(9),
 }
 REPORTS = [
     latency_reports.Report(1, 1_796_020_200, 2, 300, 0x012345, 1.25),
@@ -97,7 +97,7 @@
     meet(0.0, first, second)
     bodies = [bytes.fromhex(form) for name, form in KNOWN.items() if name.startswith("datagram ")]
     opened = [item for datagram in bodies for item in second.open(0.0, 0, datagram)]
-    assert opened == [(Topic.ACCORD, Heard(0, first.start, b"a body of some length" * 30))]
+    assert opened == [(Topic.CONSENSUS, Received(0, first.start, b"a body of some length" * 30))]
 
 
 def test_reports_of_latency_of_the_release_before_are_read() -> None:
--- a/tests/wire_tier.py
+++ b/tests/wire_tier.py
@@ -5,13 +5,13 @@
 from collections.abc import Callable
 from hashlib import sha256
 
-from ironrail.peers.messages import Heard, Say, Topic
+from ironrail.peers.messages import Outgoing, Received, Topic
 from ironrail.peers.transport.keys import Keys
 from ironrail.peers.transport.wire import Reason, Wire
 
 OLD, NEW = b"an old secret of the tier", b"a new secret of the tier"
 KEYS = Keys(1, {1: OLD})
-Opened = list[tuple[Topic, Heard]]
+Opened = list[tuple[Topic, Received]]
 
 
 def draws(seed: str) -> Callable[[int], bytes]:
@@ -56,8 +56,8 @@
     return first, second
 
 
-def datagrams(sender: Wire, body: bytes, to: int = 1, topic: Topic = Topic.ACCORD) -> list[bytes]:
-    return [datagram for _, datagram in sender.seal(Say(to, topic, body))]
+def datagrams(sender: Wire, body: bytes, to: int = 1, topic: Topic = Topic.CONSENSUS) -> list[bytes]:
+    return [datagram for _, datagram in sender.seal(Outgoing(to, topic, body))]
 
 
 def heard(now: float, receiver: Wire, sender: int, *datagrams: bytes) -> list[bytes]:
