--- a/benchmarks/fleet_cost.py
+++ b/benchmarks/fleet_cost.py
@@ -75,7 +75,7 @@
         for n in range(40):
             state = EndpointState.DRAINING if n % 2 == 0 else EndpointState.READY
             router.handle(1000.0, EndpointListUpdate(EndpointListKind.DELTA, (replace(one, state=state),)))
-            router._build_ring()
+            router.requests.build_ring_if_stale()
         return 40
 
     return cpu(work)
@@ -103,7 +103,7 @@
 def homes(caches: tuple[Endpoint, ...], size: int) -> list[str]:
     router = make_router(size, 1)
     router.handle(1000.0, EndpointListUpdate(EndpointListKind.FULL, caches))
-    router._build_ring()
+    router.requests.build_ring_if_stale()
     sends = []
     for n in range(KEYS):
         held = f"k{n}"
--- a/ironrail/net/dispatch/dispatcher.py
+++ b/ironrail/net/dispatch/dispatcher.py
@@ -78,7 +78,7 @@
 
     def gauges(self) -> dict[str, int]:
         """What is true now, of all that operators may ask for."""
-        listed, avoided = self._router.listed(self._now())
+        listed, avoided = self._router.server_counts(self._now())
         return {"inflight": len(self._held), "hosts_listed": listed, "hosts_down": avoided}
 
     def metrics(self) -> bytes:
@@ -200,8 +200,8 @@
         match action:
             case SendAttempt():
                 self._send(action)
-            case SetTimer(delay, token):
-                self._loop.call_later(delay, self._feed, TimerFired(token))
+            case SetTimer(delay, timer):
+                self._loop.call_later(delay, self._feed, TimerFired(timer))
             case CancelAttempt(name, number):
                 self._cancel(name, number)
             case RejectRequest(name) if name in self._held:
--- a/ironrail/policy/actions.py
+++ b/ironrail/policy/actions.py
@@ -1,4 +1,4 @@
-"""Actions: all that the policy may ask for.
+"""Actions: the orders that the policy gives.
 
 `router.Router.handle` returns them, and its host carries them out in order. Times are seconds.
 """
@@ -7,36 +7,40 @@
 
 from dataclasses import dataclass, field
 
+from ironrail.policy.timers import Timer
+
 
 @dataclass(slots=True, frozen=True)
 class SendAttempt:
-    """Start an attempt; a request's attempts are numbered from 0 in the order sent."""
+    """Send a request to a server. Emitted for first attempts, retries and hedged requests alike."""
 
     request_id: str
     server: str
-    timeout: float | None = None  # None: until the client gives up
-    attempt_number: int = field(default=0, compare=False)  # its number
-    send_within: float | None = None  # seconds in which its last byte is sent, or nothing of it
+    timeout: float | None = None  # seconds; None: until the client stops waiting
+    # of this request, from 0 in the order sent
+    attempt_number: int = field(default=0, compare=False)
+    # seconds in which its last byte is to be sent, or nothing of it; None: no bound
+    send_within: float | None = None
 
 
 @dataclass(slots=True, frozen=True)
 class RejectRequest:
-    """Final answer: not done, and trying again is harmless, best after a while."""
+    """Answer that the request was not carried out and may safely be retried."""
 
     request_id: str
-    retry_after: float | None = None  # seconds to stay away
+    retry_after: float | None = None  # seconds that the client is asked to wait
 
 
 @dataclass(slots=True, frozen=True)
 class FailRequest:
-    """Final answer that promises nothing."""
+    """Answer that the request failed; whether it took effect is unknown."""
 
     request_id: str
 
 
 @dataclass(slots=True, frozen=True)
 class CancelAttempt:
-    """Stop waiting for an attempt; whether the server stops work is its own matter."""
+    """Stop waiting for an attempt; its server may go on with it. It still ends with an event."""
 
     request_id: str
     attempt_number: int
@@ -44,27 +48,27 @@
 
 @dataclass(slots=True, frozen=True)
 class CloseIdleConnections:
-    """Close the connections to a server that are not in use."""
+    """Close the connections to a server that carry no attempt: they are likely broken."""
 
     server: str
 
 
 @dataclass(slots=True, frozen=True)
 class SetTimer:
-    """Ask for a `TimerFired` after a delay in seconds."""
+    """Emit `TimerFired` with this timer after a delay."""
 
-    delay: float
-    token: str
+    delay: float  # seconds
+    timer: Timer
 
 
 @dataclass(slots=True, frozen=True)
 class FetchEndpointList:
-    """Ask for the list and its changes from now on."""
+    """Call discovery for the endpoint list, and watch it from then on."""
 
 
 @dataclass(slots=True, frozen=True)
 class LogMessage:
-    """One line for staff."""
+    """Write a line to the log."""
 
     text: str
 
--- a/ironrail/policy/candidate_selection.py
+++ b/ironrail/policy/candidate_selection.py
@@ -5,6 +5,7 @@
 import math
 from bisect import bisect_left
 
+from ironrail.policy.attempts_in_flight import AttemptsInFlight
 from ironrail.policy.concurrency_limit import ConcurrencyLimiter
 from ironrail.policy.discovery_freshness import DiscoveryFreshness
 from ironrail.policy.hash_ring import EPSILON, HashRing
@@ -27,14 +28,17 @@
         self,
         servers: dict[str, Server],
         ring: HashRing,
-        attempts: RetryPolicy,
+        attempts_in_flight: AttemptsInFlight,
+        retry_policy: RetryPolicy,
         limits: ConcurrencyLimiter,
         cold: SlowStart,
         health: OutlierDetection,
         asking: DiscoveryFreshness,
         links: ZoneLatency,
     ) -> None:
-        self.servers, self.ring, self.attempts = servers, ring, attempts
+        self.servers, self.ring = servers, ring
+        self.attempts_in_flight = attempts_in_flight
+        self.retry_policy = retry_policy
         self.limits, self.cold, self.health, self.asking = limits, cold, health, asking
         self.links = links
 
@@ -56,7 +60,7 @@
         count, among = len(places), len(self.ring.points)
         start = bisect_left(places, (self.ring.hash(held.key), ""))
         mean = (
-            self.attempts.ring_load + 1
+            self.attempts_in_flight.cache_count + 1
         ) / among  # with this one, as a cap of 0 would pass over all
         cap = math.ceil((1 + EPSILON) * mean + CHANCE * math.sqrt(mean))
         # guards open connections while connects are in vain: servers with one first, for part of the ring
@@ -108,7 +112,7 @@
         ):
             return False
         if (
-            self.links.known and self.links.suspected(server) and held.open_attempts()
+            self.links.known and self.links.suspected(server) and held.open_attempt_count()
         ):  # no second copy there
             return False
         if not self.asking.trusts(now, server):
@@ -116,4 +120,4 @@
         cost, cold = held.request.work_hint or 1.0, self.cold.share(now, server) < 1.0
         if cold and not self.cold.bears(now, server, cost, self.ring.weight(server)):
             return False
-        return self.attempts.permits(now, held, server)
+        return self.retry_policy.may_send(now, held, server)
--- a/ironrail/policy/concurrency_limit.py
+++ b/ironrail/policy/concurrency_limit.py
@@ -9,7 +9,14 @@
 from ironrail.policy.events import AttemptEnded, AttemptStatus
 from ironrail.policy.hash_ring import CROWD
 from ironrail.policy.settings import Settings
-from ironrail.policy.state import ANSWERED, SMOOTHING, Attempt, Server
+from ironrail.policy.state import (
+    ANSWERED_STATUSES,
+    SMOOTHING_FACTOR,
+    AbandonedAttempt,
+    Attempt,
+    Server,
+)
+from ironrail.policy.timers import OriginPauseEnded
 
 ORIGIN_CROWD = 32  # routers with a fetch each that the origin bears
 # by each good answer till the first cut: a restart under load can't wait for seconds
@@ -33,7 +40,7 @@
 
     def full(self, now: float, server: Server) -> bool:
         """Whether it has all that may be out, with what was given up: it is worked on all the same."""
-        while server.abandoned and server.abandoned[0][1] <= now:
+        while server.abandoned and server.abandoned[0].counted_until <= now:
             server.abandoned.popleft()
         return server.in_flight + len(server.abandoned) >= server.concurrency_limit
 
@@ -41,10 +48,13 @@
         """Guards servers that go on with what was given up: hundreds of routers kept queues of it full."""
         server = attempt.server
         if status in (AttemptStatus.TIMEOUT, AttemptStatus.CANCELLED):
-            server.abandoned.append((attempt.sent_at, now + attempt.latency_objective))
+            counted_until = now + attempt.latency_objective
+            server.abandoned.append(AbandonedAttempt(attempt.sent_at, counted_until))
         # it takes them in turn, so what was sent before is done; one that is full answers out of turn
-        elif status in ANSWERED and status is not AttemptStatus.BUSY and server.abandoned:
-            server.abandoned = deque(x for x in server.abandoned if x[0] > attempt.sent_at)
+        elif status in ANSWERED_STATUSES and status is not AttemptStatus.BUSY and server.abandoned:
+            server.abandoned = deque(
+                given_up for given_up in server.abandoned if given_up.sent_at > attempt.sent_at
+            )
 
     def learn(self, now: float, attempt: Attempt, event: AttemptEnded, out: list[Action]) -> None:
         """Adapt what this router has out at a server: less when it is slow or full, else a little more."""
@@ -52,9 +62,11 @@
         # an origin that stopped refuses at once; behind a cut a connect takes longer to fail
         shut = status is AttemptStatus.CONNECT_FAILED and latency <= 2 * self._tick
         refused = status is AttemptStatus.BUSY or shut and not server.is_cache
-        server.mean_latency += 0.0 if refused else SMOOTHING * (latency - server.mean_latency)
+        server.mean_latency += (
+            0.0 if refused else SMOOTHING_FACTOR * (latency - server.mean_latency)
+        )
         # on average, as one heavy request says nothing of a server
-        server.slowness += SMOOTHING * (
+        server.slowness += SMOOTHING_FACTOR * (
             max(0.0, latency - attempt.link_delay) / attempt.latency_target - server.slowness
         )
         if refused or server.slowness > 1.0:
@@ -90,4 +102,4 @@
             server.concurrency_limit < 1.0
         ):  # hundreds of routers with one fetch each are too many: kept by pauses
             server.paused_until = now + attempt.latency_target * (1 / server.concurrency_limit - 1)
-            out.append(SetTimer(server.paused_until - now, "origin"))
+            out.append(SetTimer(server.paused_until - now, OriginPauseEnded()))
--- a/ironrail/policy/endpoints.py
+++ b/ironrail/policy/endpoints.py
@@ -7,33 +7,33 @@
 
 
 class EndpointState(Enum):
-    """A listed server's state."""
+    """The state of a listed server."""
 
     READY = "ready"
-    DRAINING = "draining"
+    DRAINING = "draining"  # finishes what it has, and gets no new attempts
     REMOVED = "gone"
 
 
 class EndpointListKind(Enum):
-    """How a list event relates to the list already held."""
+    """How an endpoint list update relates to the list that is known, or how a call for it failed."""
 
-    DELTA = "delta"
+    DELTA = "delta"  # a watch event: only the endpoints that changed
     FULL = "full"
-    CACHED = "saved"
-    FAILED = "failed"  # a call got no answer, or was refused
-    MALFORMED = "spoilt"  # an answer began and broke off, or can't be used
-    WATCH_TIMED_OUT = "silent"  # a watch said nothing when its wait was over, and is given up
-    RELOCATED = "moved"  # it is told elsewhere from now on, and has to be asked for there
+    CACHED = "saved"  # complete, but it may be old
+    FAILED = "failed"  # the call was refused or got no answer
+    MALFORMED = "spoilt"  # the answer broke off, or can't be used
+    WATCH_TIMED_OUT = "silent"  # the watch got no answer, not even an empty one, in its time
+    RELOCATED = "moved"  # discovery has another address now, where the list has to be fetched
 
 
 @dataclass(slots=True, frozen=True)
 class Endpoint:
-    """One line of the list of servers."""
+    """One server of the endpoint list."""
 
     name: str
     state: EndpointState = EndpointState.READY
-    kind: str = ""
+    kind: str = ""  # its hardware; one kind marks the origins
     zone: str = ""
     cell: int = 0
-    weight: float = 0.0
-    started_at: float = 0.0  # time of the latest start; 0 is long ago
+    weight: float = 0.0  # relative capacity; 0: not stated
+    started_at: float = 0.0  # time of the latest start; 0: long ago
--- a/ironrail/policy/events.py
+++ b/ironrail/policy/events.py
@@ -1,6 +1,7 @@
-"""Events: all that the policy is told.
+"""Events: the past facts that the policy decides by.
 
-A host hands them to `router.Router.handle`, one by one. Times are seconds on one clock that only advances.
+A host hands them to `router.Router.handle`, one by one: the daemon's dispatcher, or the simulator.
+Times are seconds on one clock that only advances.
 """
 
 from __future__ import annotations
@@ -11,25 +12,26 @@
 from enum import Enum
 
 from ironrail.policy.endpoints import Endpoint, EndpointListKind
+from ironrail.policy.timers import Timer
 
 
 class AttemptStatus(Enum):
     """How an attempt ended."""
 
     OK = "ok"
-    ERROR = "error"
-    BUSY = "full"
+    ERROR = "error"  # the server answered with an error, or with what can't be read
+    BUSY = "full"  # the server rejected it
     TIMEOUT = "timeout"
     CONNECT_FAILED = "connect_failed"
-    RESET = "reset"
+    RESET = "reset"  # the connection was closed before the answer was complete
     CANCELLED = "cancelled"
-    CANCELLED_BEFORE_SEND = "moot"
+    CANCELLED_BEFORE_SEND = "moot"  # cancelled while it waited for a connection
     MISS = "miss"
-    NOT_SENT = "unsent"  # taken back, as it is not to begin any more: tells nothing of the server
+    NOT_SENT = "unsent"  # withdrawn by the host; says nothing of the server
 
 
 class LinkState(Enum):
-    """How the link to a hall is."""
+    """State of the link to a zone."""
 
     UNKNOWN = "unknown"
     GOOD = "good"
@@ -39,64 +41,61 @@
 
 @dataclass(slots=True, frozen=True)
 class ZoneLink:
-    """The link from the router's hall to one; of an unknown one all figures are the worst there are."""
+    """The link from the router's zone to another; an unknown one has the worst figures."""
 
     state: LinkState = LinkState.UNKNOWN
     fastest: float = math.inf  # seconds of a quick round trip
-    median: float = math.inf  # seconds, the median
-    loss_ratio: float = 1.0  # share of round trips
-    age: float = math.inf  # seconds since the evidence, as this was told
+    median: float = math.inf  # seconds of the median round trip
+    loss_ratio: float = 1.0  # of round trips
+    age: float = math.inf  # seconds since the evidence, when the event was emitted
 
 
 @dataclass(slots=True, frozen=True)
 class EndpointListUpdate:
-    """News of the list of servers."""
+    """Discovery has received an endpoint list or a watch event, or a call for it has failed."""
 
     kind: EndpointListKind
     endpoints: tuple[Endpoint, ...] = ()
-    # seconds in which news may have been missed, if that counts as told soon
+    # seconds for which updates may have been missed; None if that does not limit their staleness
     uncertain_for: float | None = None
 
 
 @dataclass(slots=True, frozen=True)
 class PolicyOverridesChanged:
-    """What the operators have all routers decide by from now on; rows that are absent forbid nothing."""
+    """The operators' policy has changed. Emitted by the peers' runtime; what is absent is not limited."""
 
-    drained_zones: frozenset[str] = frozenset()  # zones whose servers take nothing new
-    shed_thresholds: Mapping[str, float] = field(
-        default_factory=dict
-    )  # class: the excess from which on it is shed
-    retry_ratios: Mapping[str, float] = field(
-        default_factory=dict
-    )  # class: share of further attempts
-    tenant_rates: Mapping[str, float] = field(
-        default_factory=dict
-    )  # title: requests a second, of all routers
+    drained_zones: frozenset[str] = frozenset()  # zones whose servers get no new attempts
+    # by request class: the excess load, as a fraction, from which on it is shed
+    shed_thresholds: Mapping[str, float] = field(default_factory=dict)
+    # by request class: the fraction of the retry budget that it may use
+    retry_ratios: Mapping[str, float] = field(default_factory=dict)
+    # by tenant: requests per second, of all routers together
+    tenant_rates: Mapping[str, float] = field(default_factory=dict)
 
 
 @dataclass(slots=True, frozen=True)
 class ZoneLinksChanged:
-    """How far the halls are from here from now on; told anew only where that has changed."""
+    """The links to other zones have changed. Emitted by the peers' runtime, on changes alone."""
 
     links: Mapping[str, ZoneLink] = field(default_factory=dict)  # by zone
 
 
 @dataclass(slots=True, frozen=True)
 class RequestReceived:
-    """A client's request; it is owed exactly one final answer within `time_left`."""
+    """A client's request has arrived; it is owed exactly one final answer within `time_left`."""
 
     request_id: str
     class_name: str
-    time_left: float
-    key: str | None = None
-    work_hint: float | None = None
+    time_left: float  # seconds until its client stops waiting
+    key: str | None = None  # on the hash ring; None: its id is used
+    work_hint: float | None = None  # expected work; 1 is that of a mean request
     is_write: bool = False
-    tenant: str = ""  # whose traffic it is
+    tenant: str = ""
 
 
 @dataclass(slots=True, frozen=True)
 class StreamingStarted:
-    """The answer of an attempt has begun to flow to the client."""
+    """The host has begun to send the answer of an attempt on to the client."""
 
     request_id: str
     attempt_number: int
@@ -104,34 +103,34 @@
 
 @dataclass(slots=True, frozen=True)
 class AttemptEnded:
-    """The end of an attempt; `closed` when the request itself has ended."""
+    """An attempt has ended. The host emits exactly one for each `SendAttempt`."""
 
     request_id: str
     attempt_number: int
     status: AttemptStatus
-    request_ended: bool = False
-    latency: float = 0.0
+    request_ended: bool = False  # with it the request: it was answered, or its client is gone
+    latency: float = 0.0  # seconds from the send to the end
 
 
 @dataclass(slots=True, frozen=True)
 class ClientDisconnected:
-    """The client left; nothing is owed any more."""
+    """The client has left; it is owed no answer. Emitted by the host."""
 
     request_id: str
 
 
 @dataclass(slots=True, frozen=True)
 class DeadlineReached:
-    """The client stops waiting now, and no attempt is out any more."""
+    """The client stops waiting now, and no attempt is in flight. Emitted by the host."""
 
     request_id: str
 
 
 @dataclass(slots=True, frozen=True)
 class TimerFired:
-    """A timer set earlier is due."""
+    """A timer that `SetTimer` asked for is due. Emitted by the host."""
 
-    token: str
+    timer: Timer
 
 
 Event = (
--- /dev/null
+++ b/ironrail/policy/hedging.py
@@ -0,0 +1,53 @@
+"""Hedging: when is an attempt overdue, and may another server be asked beside or instead?
+
+A server that accepts work and answers nothing would hold a request until its client gives up. Half
+of the latency objective without an answer is taken for a loss, unless the whole fleet is slow: then
+a hedged request would add to the overload.
+"""
+
+from __future__ import annotations
+
+from ironrail.policy.outlier_detection import OutlierDetection
+from ironrail.policy.retry_policy import RetryPolicy
+from ironrail.policy.settings import Idempotency
+from ironrail.policy.state import Attempt, PendingRequest, Server
+
+HEDGE_DELAY_FRACTION = 0.5  # of the latency objective: leaves time for another attempt
+MAX_LINK_DELAY_FRACTION = 0.5  # of the latency objective, that a slow link adds to that
+
+
+def hedge_delay(latency_objective: float, link_delay: float) -> float:
+    """Return the seconds without an answer after which an attempt is overdue.
+
+    Args:
+        latency_objective: Of the request's class, in seconds.
+        link_delay: Seconds by which the link to the server delays its answer.
+    """
+    max_link_delay = MAX_LINK_DELAY_FRACTION * latency_objective
+    return HEDGE_DELAY_FRACTION * latency_objective + min(link_delay, max_link_delay)
+
+
+def can_be_overdue(pending: PendingRequest, server: Server) -> bool:
+    """Return whether an attempt gets a hedge timer.
+
+    None does that must not run twice, and none at the origin, which is slow by nature.
+    """
+    return server.is_cache and pending.request_class.idempotency is not Idempotency.UNSAFE
+
+
+class HedgingPolicy:
+    """Decides what becomes of an attempt whose hedge timer fires."""
+
+    def __init__(self, retry_policy: RetryPolicy, outlier_detection: OutlierDetection) -> None:
+        self._retry_policy = retry_policy
+        self._outlier_detection = outlier_detection
+
+    def may_overtake(self, now: float, pending: PendingRequest, attempt: Attempt) -> bool:
+        """Return whether a request may be sent again while this attempt of it is overdue."""
+        if pending.is_queued or pending.is_streaming or pending.needs_origin:
+            return False
+        if not self._outlier_detection.calm(attempt.latency_objective):
+            return False
+        if pending.open_attempt_count() > 1:
+            return False
+        return self._retry_policy.has_attempts_left(now, pending)
--- a/ironrail/policy/membership.py
+++ b/ironrail/policy/membership.py
@@ -10,6 +10,7 @@
 from ironrail.policy.events import EndpointListUpdate
 from ironrail.policy.settings import Settings
 from ironrail.policy.state import Server
+from ironrail.policy.timers import EndpointListPollDue
 
 
 class Membership:
@@ -21,7 +22,7 @@
         self._settings, self._draws, self._asking = settings, draws, asking
         self.servers: dict[str, Server] = {}  # the same one for good
 
-    def listed(self, now: float) -> tuple[int, int]:
+    def server_counts(self, now: float) -> tuple[int, int]:
         """Servers in the list, and those that nothing is sent to now: drained, or lost not long ago."""
         ready = EndpointState.READY
         avoided = sum(
@@ -40,7 +41,7 @@
         if event.kind in NO_LIST:
             if self._settings.polls_endpoint_list:
                 pause = self._asking.failed(now, event.kind, self._draws, event.uncertain_for)
-                out.append(SetTimer(pause, "list") if pause else FetchEndpointList())
+                out.append(SetTimer(pause, EndpointListPollDue()) if pause else FetchEndpointList())
                 out.append(LogMessage(f"list out of reach, {self._asking.failures} in a row"))
             return False
         if event.kind is not EndpointListKind.DELTA:
@@ -69,4 +70,4 @@
 
     def _ask_first(self, out: list[Action]) -> None:
         pause = self._asking.first(self._draws)
-        out.append(SetTimer(pause, "list") if pause else FetchEndpointList())
+        out.append(SetTimer(pause, EndpointListPollDue()) if pause else FetchEndpointList())
--- a/ironrail/policy/origin_queue.py
+++ b/ironrail/policy/origin_queue.py
@@ -1,65 +1,106 @@
-"""Requests that wait for a place at the origin: worth first, or writes wait behind misses; then age."""
+"""The queue for the origin: requests that wait until an origin may be sent another one.
+
+Requests that no server is known for wait here too, until the next endpoint list. One that is
+rejected or failed from here did not get its turn in time.
+"""
 
 from __future__ import annotations
 
 import heapq
+from collections.abc import Iterable
+from dataclasses import dataclass, field
 
 from ironrail.policy.endpoints import EndpointState
 from ironrail.policy.state import PendingRequest, Server
 
-# times the usual latency that must be left: a fetch given up midway is not even stored
-FETCH_ROOM = 2.0
+# mean latencies of the origin that have to be left: a fetch that is given up midway is lost work
+FETCH_LATENCY_FACTOR = 2.0
+WRITE_LATENCY_FACTOR = 1.0
+MAX_STALE_FACTOR = 2  # entries of the queue for each pending request before stale ones are dropped
+
+
+@dataclass(slots=True, frozen=True, order=True)
+class QueueEntry:
+    """A place in the queue: the highest priority weight first, then the oldest."""
+
+    negative_priority: float
+    sequence_number: int
+    pending: PendingRequest = field(compare=False)
 
 
 class OriginQueue:
-    """What waits, and when the origin may be sent the first of it."""
+    """The requests that wait; it alone writes `PendingRequest.is_queued`.
+
+    A request that leaves out of turn stays in the heap as a stale entry, which is skipped later.
+    """
 
     def __init__(self) -> None:
-        self._waiting: list[tuple[float, int, PendingRequest]] = []
-        self._added = 0
+        self._entries: list[QueueEntry] = []
+        self._sequence_number = 0
 
     def __len__(self) -> int:
-        return len(self._waiting)
-
-    def add(self, held: PendingRequest, most: int) -> None:
-        """Let a request wait; `most` requests are held at all."""
-        held.is_queued = True
-        self._added += 1
-        heapq.heappush(self._waiting, (-held.request_class.priority_weight, self._added, held))
-        # guards against requests long ended piling up behind those of more worth
-        if len(self._waiting) > 2 * most:
-            self._waiting = [q for q in self._waiting if q[2].is_queued]
-            heapq.heapify(self._waiting)
-
-    def clear(self) -> None:
-        """Whatever waits is looked at anew."""
-        self._waiting = []
-
-    def take(self, now: float, servers: dict[str, Server]) -> tuple[PendingRequest, Server] | None:
-        """The next request, and the least loaded origin, where that may be sent to."""
-        while self._waiting:
-            origins = [
-                s
-                for s in servers.values()
-                if not s.is_cache and s.endpoint.state is EndpointState.READY
-            ]
-            origin = min(origins, key=lambda s: s.in_flight, default=None)
-            if (
-                origin is None
-                or origin.in_flight >= origin.concurrency_limit
-                or now < origin.paused_until
-            ):
-                return None
-            held = heapq.heappop(self._waiting)[2]
-            if held.is_queued:
-                held.is_queued = False
-                return held, origin
+        return len(self._entries)
+
+    def push(self, pending: PendingRequest, pending_count: int) -> None:
+        """Let a request wait.
+
+        Args:
+            pending: The request.
+            pending_count: Pending requests of the router, which bound the size of the queue.
+        """
+        pending.is_queued = True
+        self._sequence_number += 1
+        priority = pending.request_class.priority_weight
+        heapq.heappush(self._entries, QueueEntry(-priority, self._sequence_number, pending))
+        if len(self._entries) > MAX_STALE_FACTOR * pending_count:
+            self._entries = [entry for entry in self._entries if entry.pending.is_queued]
+            heapq.heapify(self._entries)
+
+    def pop(self) -> PendingRequest | None:
+        """Remove and return the first request that still waits."""
+        while self._entries:
+            pending = heapq.heappop(self._entries).pending
+            if pending.is_queued:
+                pending.is_queued = False
+                return pending
         return None
 
+    def discard(self, pending: PendingRequest) -> None:
+        """Let a request wait no longer; it may not be in the queue at all."""
+        pending.is_queued = False
+
+    def clear(self, pending_requests: Iterable[PendingRequest]) -> list[PendingRequest]:
+        """Empty the queue and return those of the pending requests that waited, oldest first."""
+        self._entries = []
+        waiting = [pending for pending in pending_requests if pending.is_queued]
+        for pending in waiting:
+            pending.is_queued = False
+        return waiting
+
+
+def available_origin(now: float, servers: Iterable[Server]) -> Server | None:
+    """Return the least loaded origin if it may be sent another attempt now."""
+    origins = [
+        server
+        for server in servers
+        if not server.is_cache and server.endpoint.state is EndpointState.READY
+    ]
+    origin = min(origins, key=lambda server: server.in_flight, default=None)
+    if origin is None or now < origin.paused_until:
+        return None
+    if origin.in_flight >= origin.concurrency_limit:
+        return None
+    return origin
+
+
+def can_finish_in_time(now: float, pending: PendingRequest, origin: Server) -> bool:
+    """Return whether an attempt at the origin is likely to be answered in time.
 
-def in_time(now: float, held: PendingRequest, origin: Server) -> bool:
-    """No fetch that can't be back in time, but for one to learn by; writes store nothing."""
-    room = 1.0 if held.request.is_write else FETCH_ROOM
-    return (
-        origin.in_flight == 0 or now + room * origin.mean_latency < held.give_up_at
-    ) and now < held.give_up_at
+    An idle origin is tried in any case, so that its latency is learned anew.
+    """
+    if now >= pending.give_up_at:
+        return False
+    if origin.in_flight == 0:
+        return True
+    factor = WRITE_LATENCY_FACTOR if pending.request.is_write else FETCH_LATENCY_FACTOR
+    return now + factor * origin.mean_latency < pending.give_up_at
--- a/ironrail/policy/outlier_detection.py
+++ b/ironrail/policy/outlier_detection.py
@@ -11,7 +11,7 @@
 from ironrail.policy.policy_overrides import PolicyOverrides
 from ironrail.policy.settings import Settings
 from ironrail.policy.slow_start import SlowStart
-from ironrail.policy.state import ANSWERED, SMOOTHING, Attempt, Server
+from ironrail.policy.state import ANSWERED_STATUSES, SMOOTHING_FACTOR, Attempt, Server
 
 CALM = 1 / 4  # of the aim: with a usual latency above, being late means a crowd rather than a loss
 CROWDED = 1.5  # sends for each answer in good time; more are shed before they cost anything
@@ -73,7 +73,7 @@
 
     def learn(self, now: float, attempt: Attempt, event: AttemptEnded, out: list[Action]) -> None:
         """From the end of an attempt, which is no longer counted as out."""
-        server, answered = attempt.server, event.status in ANSWERED
+        server, answered = attempt.server, event.status in ANSWERED_STATUSES
         if answered and server.is_cache:
             self._hear(now, attempt, event)
         # what a cold server does not answer still weighs on it, however crowded the others are
@@ -132,7 +132,7 @@
             attempt.server.proven_at = max(attempt.server.proven_at, attempt.sent_at)
         self._cold.carried(fade, attempt.cost if carried else 0.0)
         took = max(0.0, event.latency - attempt.link_delay)
-        self.latency += 0.0 if full else SMOOTHING / 4 * (took - self.latency)
+        self.latency += 0.0 if full else SMOOTHING_FACTOR / 4 * (took - self.latency)
 
     def _note(self, sign: str, seen: bool) -> None:
-        self.signs[sign] += SMOOTHING / 2 * (seen - self.signs[sign])
+        self.signs[sign] += SMOOTHING_FACTOR / 2 * (seen - self.signs[sign])
--- /dev/null
+++ b/ironrail/policy/retry_budget.py
@@ -0,0 +1,66 @@
+"""The retry budget: how many further attempts the requests of one router may share.
+
+It bounds the load that retries and hedged requests add when servers fail, so that an overload does
+not feed itself. A request that ends for want of budget was rejected or failed although its class
+would have permitted another attempt.
+"""
+
+from __future__ import annotations
+
+from collections import deque
+
+from ironrail.policy.policy_overrides import PolicyOverrides
+from ironrail.policy.settings import RetryBudgetSettings, Settings
+from ironrail.policy.state import PendingRequest
+
+# where the settings state no budget, over the duration of a slow start
+DEFAULT_RETRY_RATIO = 0.2  # further attempts for each request
+DEFAULT_RESERVE_ATTEMPTS = 10.0  # covers what is in flight at a server that is lost
+
+
+class RetryBudget:
+    """Allows `reserve + ratio x requests` further attempts in any `window` seconds.
+
+    An attempt is charged to the budget unless its request has a retry token left. A request has one
+    token for its first attempt, and gets one for each miss: a fetch after a miss is regular work.
+    """
+
+    def __init__(self, settings: Settings, policy_overrides: PolicyOverrides) -> None:
+        self.settings = settings.retry_budget or RetryBudgetSettings(
+            DEFAULT_RESERVE_ATTEMPTS, DEFAULT_RETRY_RATIO, settings.slow_start_duration
+        )
+        self._policy_overrides = policy_overrides
+        self._request_times = deque[float]()  # within the window
+        self._charge_times = deque[float]()  # within the window
+
+    def on_request(self, now: float) -> None:
+        """Count a new request, admitted or not."""
+        self._request_times.append(now)
+
+    def on_miss(self, pending: PendingRequest) -> None:
+        """Grant the request a free attempt to fetch what the cache lacks."""
+        pending.retry_tokens += 1
+
+    def allows_attempt(self, now: float, pending: PendingRequest) -> bool:
+        """Return whether the request may have another attempt, free or charged."""
+        window_start = now - self.settings.window
+        _discard_until(window_start, self._request_times)
+        _discard_until(window_start, self._charge_times)
+        if pending.retry_tokens > 0:
+            return True
+        allowed = self.settings.reserve + self.settings.ratio * len(self._request_times)
+        allowed *= self._policy_overrides.further(pending.request_class.name)
+        return len(self._charge_times) + 1 <= allowed
+
+    def on_attempt_sent(self, now: float, pending: PendingRequest) -> None:
+        """Take a token of the request or, if it has none left, charge the budget."""
+        if pending.retry_tokens > 0:
+            pending.retry_tokens -= 1
+        else:
+            self._charge_times.append(now)
+
+
+def _discard_until(time: float, times: deque[float]) -> None:
+    """Drop what has left the window."""
+    while times and times[0] <= time:
+        times.popleft()
--- a/ironrail/policy/retry_policy.py
+++ b/ironrail/policy/retry_policy.py
@@ -1,170 +1,124 @@
-"""Attempts of requests: which ones their class and the budget permit, and what is out."""
+"""The retry policy: may this request be sent (again), to this server, or be rejected?
 
-from __future__ import annotations
+An attempt that may have run on a server must not take effect twice. The answer depends on the
+idempotency of the request's class:
+
+* safe: it may be sent anywhere, and rejected at any time;
+* idempotency key: it may be sent again within `idempotency_window` seconds of the first attempt
+  that may have run, to servers of the same idempotency scope; it may be rejected where the scope is
+  all servers, as a repeat by the client then meets its key;
+* unsafe: once it may have run it is neither sent again nor rejected, but failed.
+"""
 
-import math
-from collections import deque
+from __future__ import annotations
 
-from ironrail.policy.actions import Action, CloseIdleConnections, SendAttempt, SetTimer
 from ironrail.policy.endpoints import Endpoint
-from ironrail.policy.events import AttemptEnded, AttemptStatus
-from ironrail.policy.outlier_detection import OutlierDetection
-from ironrail.policy.policy_overrides import PolicyOverrides
-from ironrail.policy.settings import Idempotency, IdempotencyScope, RetryBudgetSettings, Settings
+from ironrail.policy.events import AttemptStatus
+from ironrail.policy.retry_budget import RetryBudget
+from ironrail.policy.settings import Idempotency, IdempotencyScope, Settings
 from ironrail.policy.state import Attempt, PendingRequest, Server
-from ironrail.policy.zone_latency import ZoneLatency
-
-CACHE_TARGET = 0.25  # of the aim: answers slower than this on average mean that too many are out
-ORIGIN_TARGET = 0.5  # the same for the origin, which is slow by nature
-# where no budget is stated: enough for a server lost, too few to feed an overload
-RETRY_SHARE = 0.2
-# and these many over a ramp besides, so that those of a lost server can all go at once
-RETRIES_SAVED = 10.0
-OVERDUE = 0.5  # of the aim without an answer: in time for another attempt
-# of the aim that a long link puts that off: what is out for an aim is late in any case
-MOST_LATER = 0.5
-UNHEARD = (AttemptStatus.TIMEOUT, AttemptStatus.CANCELLED, AttemptStatus.CANCELLED_BEFORE_SEND)
-BROKEN = (
-    AttemptStatus.RESET,
-    AttemptStatus.ERROR,
-    AttemptStatus.CANCELLED,
-)  # the server may be well
-NEVER_RAN = (
-    AttemptStatus.BUSY,
-    AttemptStatus.CONNECT_FAILED,
-    AttemptStatus.CANCELLED_BEFORE_SEND,
-    AttemptStatus.MISS,
-    AttemptStatus.NOT_SENT,
-)
-
-
-def group_of(
-    group: IdempotencyScope, entry: Endpoint
-) -> str | int:  # of those that know a keyed request
-    return (
-        entry.zone
-        if group is IdempotencyScope.ZONE
-        else entry.cell
-        if group is IdempotencyScope.CELL
-        else ""
-    )
 
 
 class RetryPolicy:
-    """All attempts of this router that are out, and the budget of further ones."""
-
-    def __init__(
-        self,
-        settings: Settings,
-        health: OutlierDetection,
-        guide: PolicyOverrides,
-        links: ZoneLatency,
-    ) -> None:
-        self._settings, self._health, self._guide, self._links = settings, health, guide, links
-        self.out: dict[tuple[str, int], Attempt] = {}  # by request and number
-        self.ring_load = 0  # of them, those at caches
-        self.budget = settings.retry_budget or RetryBudgetSettings(
-            RETRIES_SAVED, RETRY_SHARE, settings.slow_start_duration
-        )
-        self.taken, self.further = (
-            deque[float](),
-            deque[float](),
-        )  # times of what the stated budget counts
-
-    def affords(self, now: float, held: PendingRequest) -> bool:
-        """Guards against feeding an overload: the stated budget of further attempts, or one of our own."""
-        since = now - self.budget.window
-        for times in (
-            self.taken,
-            self.further,
-        ):  # at every send, or they would grow as long as all is well
-            while times and times[0] <= since:
-                times.popleft()
-        if held.retry_tokens > 0:
+    """Decides on further attempts of a request, and on its rejection."""
+
+    def __init__(self, settings: Settings, retry_budget: RetryBudget) -> None:
+        self._cache_aside = settings.cache_aside
+        self._hedging_allowed = settings.hedging_allowed
+        self._max_attempts = settings.max_attempts
+        self._retry_budget = retry_budget
+
+    def has_attempts_left(self, now: float, pending: PendingRequest) -> bool:
+        """Return whether the attempt count and the retry budget permit another attempt."""
+        if len(pending.attempts) >= self._max_attempts:
+            return False
+        return self._retry_budget.allows_attempt(now, pending)
+
+    def may_send(self, now: float, pending: PendingRequest, server: Server) -> bool:
+        """Return whether the next attempt of the request may go to this server."""
+        if not self.has_attempts_left(now, pending):
+            return False
+        if not self._hedging_allowed and pending.open_attempt_count():
+            return False
+        return _may_repeat(now, pending, server.endpoint)
+
+    def may_reject(self, pending: PendingRequest) -> bool:
+        """Return whether the client may safely retry: a repeat can't take effect twice."""
+        request_class = pending.request_class
+        if request_class.idempotency is Idempotency.SAFE:
             return True
-        allowed = self.budget.reserve + self.budget.ratio * len(self.taken)
-        return len(self.further) + 1 <= allowed * self._guide.further(held.request_class.name)
-
-    def spent(self, now: float, held: PendingRequest) -> bool:
-        """Whether no further attempt of a request may be sent, wherever to."""
-        return len(held.attempts) >= self._settings.max_attempts or not self.affords(now, held)
-
-    def permits(self, now: float, held: PendingRequest, server: Server | None) -> bool:
-        """What the class still permits: another send to this server or, with None, a refusal."""
-        kind = held.request_class
-        if server is not None:
-            second = not self._settings.hedging_allowed and held.open_attempts()
-            if self.spent(now, held) or second:
-                return False
-        ran = [a for a in held.attempts if a.may_have_run]
-        if kind.idempotency is Idempotency.SAFE or not ran:
+        if not _attempts_that_may_have_run(pending):
             return True
-        if kind.idempotency is Idempotency.UNSAFE or server is None:
-            return (
-                kind.idempotency is Idempotency.IDEMPOTENCY_KEY
-                and kind.idempotency_scope is IdempotencyScope.ALL
-            )
-        if now >= min(a.sent_at for a in ran) + kind.idempotency_window:
-            return False
-        return {group_of(kind.idempotency_scope, a.server.endpoint) for a in ran} == {
-            group_of(kind.idempotency_scope, server.endpoint)
-        }
-
-    def send(self, now: float, held: PendingRequest, server: Server, out: list[Action]) -> None:
-        """The next attempt of a request goes to this server."""
-        name, number, conf = held.request.request_id, len(held.attempts), self._settings
-        target, aim = (
-            CACHE_TARGET if server.is_cache else ORIGIN_TARGET,
-            held.request_class.latency_objective,
-        )
-        idle = 0.0 if server.in_flight else now - server.last_used_at
-        if not self._health.linked(now, server):
-            if idle <= conf.connection_idle_timeout:
-                out.append(CloseIdleConnections(server.endpoint.name))
-            idle = math.inf
-        kind, ran = held.request_class, [a.sent_at for a in held.attempts if a.may_have_run]
-        within = (
-            min(ran) + kind.idempotency_window - now
-            if ran and kind.idempotency is Idempotency.IDEMPOTENCY_KEY
-            else None
-        )
-        attempt = Attempt(
-            server, target * aim, aim, held.request.work_hint or 1.0, now, idle, OVERDUE * aim
-        )
-        if self._links.known and server.is_cache:
-            attempt.link_delay, attempt.round_trip = (
-                self._links.adds(server),
-                self._links.trip(server),
-            )
-            attempt.hedge_delay += min(attempt.link_delay, MOST_LATER * aim)
-        server.last_used_at = now
-        self.out[name, number] = attempt
-        held.attempts.append(attempt)
-        if held.retry_tokens == 0:
-            self.further.append(now)
-        held.retry_tokens = max(0, held.retry_tokens - 1)
-        server.in_flight += 1
-        server.in_flight_work += attempt.cost
-        self.ring_load += server.is_cache
-        server.slow_start_tokens -= attempt.cost
-        out.append(
-            SendAttempt(name, server.endpoint.name, attempt_number=number, send_within=within)
+        return (
+            request_class.idempotency is Idempotency.IDEMPOTENCY_KEY
+            and request_class.idempotency_scope is IdempotencyScope.ALL
         )
-        if server.is_cache and held.request_class.idempotency is not Idempotency.UNSAFE:
-            out.append(SetTimer(attempt.hedge_delay, f"late:{name}:{number}"))
 
-    def ended(self, event: AttemptEnded) -> Attempt | None:
-        """The attempt that an outcome is of, no longer counted as out; None if there is no such."""
-        attempt = self.out.pop((event.request_id, event.attempt_number), None)
-        if attempt is None:
+    def send_within(self, now: float, pending: PendingRequest) -> float | None:
+        """Return the seconds left in which the next attempt has to be sent; None without bound."""
+        request_class = pending.request_class
+        if request_class.idempotency is not Idempotency.IDEMPOTENCY_KEY:
             return None
-        status, server = event.status, attempt.server
-        attempt.is_open = False
-        soon = event.latency < attempt.hedge_delay
-        attempt.connection_broke = status in BROKEN and soon
-        attempt.unanswered = status in UNHEARD and not soon
-        attempt.may_have_run = status not in NEVER_RAN
-        server.in_flight -= 1
-        server.in_flight_work -= attempt.cost
-        self.ring_load -= server.is_cache
-        return attempt
+        may_have_run = _attempts_that_may_have_run(pending)
+        if not may_have_run:
+            return None
+        return _first_sent_at(may_have_run) + request_class.idempotency_window - now
+
+    def calls_for_attempt(self, pending: PendingRequest, status: AttemptStatus) -> bool:
+        """Return whether an attempt that ended without the answer is followed by another one now.
+
+        While another attempt is in flight its answer is awaited; but where requests may be hedged
+        a miss goes on to the origin at once.
+        """
+        if pending.is_queued or pending.is_streaming:
+            return False
+        if not pending.open_attempt_count():
+            return True
+        missed = status is AttemptStatus.MISS and self._hedging_allowed
+        return missed and not pending.needs_origin
+
+    def on_attempt_failed(
+        self, pending: PendingRequest, attempt: Attempt, status: AttemptStatus
+    ) -> None:
+        """Settle what the next attempt may use: a free one after a miss, the origin or a cache.
+
+        With cache-aside the other caches lack the key, so the origin is next; only after a broken
+        connection the same cache is asked again, as it most likely still has the key.
+        """
+        if status is AttemptStatus.MISS:
+            self._retry_budget.on_miss(pending)
+        if self._cache_aside and not attempt.connection_broke:
+            pending.needs_origin = True
+
+
+def _attempts_that_may_have_run(pending: PendingRequest) -> list[Attempt]:
+    return [attempt for attempt in pending.attempts if attempt.may_have_run]
+
+
+def _first_sent_at(attempts: list[Attempt]) -> float:
+    return min(attempt.sent_at for attempt in attempts)
+
+
+def _may_repeat(now: float, pending: PendingRequest, endpoint: Endpoint) -> bool:
+    """Return whether an attempt at this server can't make the request take effect twice."""
+    request_class = pending.request_class
+    if request_class.idempotency is Idempotency.SAFE:
+        return True
+    may_have_run = _attempts_that_may_have_run(pending)
+    if not may_have_run:
+        return True
+    if request_class.idempotency is Idempotency.UNSAFE:
+        return False
+    if now >= _first_sent_at(may_have_run) + request_class.idempotency_window:
+        return False
+    scope = request_class.idempotency_scope
+    return all(_share_keys(scope, attempt.server.endpoint, endpoint) for attempt in may_have_run)
+
+
+def _share_keys(scope: IdempotencyScope, one: Endpoint, other: Endpoint) -> bool:
+    """Return whether two servers know each other's idempotency keys."""
+    if scope is IdempotencyScope.ZONE:
+        return one.zone == other.zone
+    if scope is IdempotencyScope.CELL:
+        return one.cell == other.cell
+    return True
--- a/ironrail/policy/router.py
+++ b/ironrail/policy/router.py
@@ -1,18 +1,22 @@
 """Every decision of a router, as a state machine without I/O.
 
 Events (`ironrail/policy/events.py`) go in, actions (`ironrail/policy/actions.py`) come out. Each module
-beside this one decides one thing and keeps the state it needs.
+beside this one decides one thing and owns the state that it needs. The router wires these parts and
+hands each event to those that it concerns.
 """
 
 from __future__ import annotations
 
 import random
 
-from ironrail.policy import actions
-from ironrail.policy.actions import Action
+from ironrail.policy.actions import Action, FetchEndpointList
+from ironrail.policy.admission import AdmissionControl
+from ironrail.policy.attempt_sender import AttemptSender
+from ironrail.policy.attempts_in_flight import AttemptsInFlight
 from ironrail.policy.candidate_selection import CandidateSelection
 from ironrail.policy.concurrency_limit import ConcurrencyLimiter
 from ironrail.policy.discovery_freshness import DiscoveryFreshness
+from ironrail.policy.event_context import EventContext
 from ironrail.policy.events import (
     AttemptEnded,
     AttemptStatus,
@@ -27,14 +31,24 @@
     ZoneLinksChanged,
 )
 from ironrail.policy.hash_ring import HashRing
+from ironrail.policy.hedging import HedgingPolicy
 from ironrail.policy.membership import Membership
-from ironrail.policy.origin_queue import OriginQueue, in_time
+from ironrail.policy.origin_queue import OriginQueue
 from ironrail.policy.outlier_detection import OutlierDetection
 from ironrail.policy.policy_overrides import PolicyOverrides
+from ironrail.policy.request_lifecycle import RequestLifecycle
+from ironrail.policy.retry_budget import RetryBudget
 from ironrail.policy.retry_policy import RetryPolicy
-from ironrail.policy.settings import Idempotency, RequestClass, Settings
+from ironrail.policy.settings import Settings
 from ironrail.policy.slow_start import SlowStart
-from ironrail.policy.state import PendingRequest
+from ironrail.policy.state import Attempt, PendingRequest
+from ironrail.policy.timers import (
+    EndpointListPollDue,
+    HedgeDue,
+    OriginPauseEnded,
+    QueueWaitExpired,
+    Timer,
+)
 from ironrail.policy.zone_latency import ZoneLatency
 
 
@@ -43,207 +57,148 @@
 
     def __init__(self, settings: Settings, seed: int, now: float) -> None:
         self.settings = settings
-        self.now, self.random = now, random.Random(seed)
-        self.out: list[Action] = []  # answers to the event in hand
-        self.held: dict[str, PendingRequest] = {}
-        self.asking = DiscoveryFreshness(settings)
-        self.news = Membership(settings, self.random, self.asking)
-        self.servers = self.news.servers
-        self.cold = SlowStart(settings, self.random, now)
-        self.guide = PolicyOverrides(settings)
-        self.health = OutlierDetection(settings, self.random, now, self.cold, self.guide)
-        self.limits = ConcurrencyLimiter(settings)
-        self.links = ZoneLatency()
-        self.attempts = RetryPolicy(settings, self.health, self.guide, self.links)
-        self.ring = HashRing(settings, self.cold, self.guide)
-        parts = self.attempts, self.limits, self.cold, self.health, self.asking, self.links
-        self.walk = CandidateSelection(self.servers, self.ring, *parts)
-        self.queue = OriginQueue()  # for a place at the origin
+        self.context = EventContext(now)
+        self._random = random.Random(seed)
+        self._wire_fleet(now)
+        self._wire_requests()
+
+    def _wire_fleet(self, now: float) -> None:
+        """Create the parts that know the servers, and what the operators override."""
+        settings = self.settings
+        self.policy_overrides = PolicyOverrides(settings)
+        self.zone_latency = ZoneLatency()
+        self.discovery_freshness = DiscoveryFreshness(settings)
+        self.membership = Membership(settings, self._random, self.discovery_freshness)
+        self.servers = self.membership.servers
+        self.slow_start = SlowStart(settings, self._random, now)
+        self.ring = HashRing(settings, self.slow_start, self.policy_overrides)
+        self.concurrency_limiter = ConcurrencyLimiter(settings)
+        self.outlier_detection = OutlierDetection(
+            settings, self._random, now, self.slow_start, self.policy_overrides
+        )
+
+    def _wire_requests(self) -> None:
+        """Create the parts that decide on requests and their attempts."""
+        settings = self.settings
+        self.admission = AdmissionControl(self.outlier_detection, self.policy_overrides)
+        self.attempts_in_flight = AttemptsInFlight()
+        self.retry_budget = RetryBudget(settings, self.policy_overrides)
+        self.retry_policy = RetryPolicy(settings, self.retry_budget)
+        self.hedging = HedgingPolicy(self.retry_policy, self.outlier_detection)
+        self.origin_queue = OriginQueue()
+        self.candidate_selection = CandidateSelection(
+            self.servers,
+            self.ring,
+            self.attempts_in_flight,
+            self.retry_policy,
+            self.concurrency_limiter,
+            self.slow_start,
+            self.outlier_detection,
+            self.discovery_freshness,
+            self.zone_latency,
+        )
+        self.requests = RequestLifecycle(
+            settings=settings,
+            context=self.context,
+            random=self._random,
+            servers=self.servers,
+            ring=self.ring,
+            admission=self.admission,
+            attempts_in_flight=self.attempts_in_flight,
+            retry_budget=self.retry_budget,
+            retry_policy=self.retry_policy,
+            hedging=self.hedging,
+            origin_queue=self.origin_queue,
+            candidate_selection=self.candidate_selection,
+            attempt_sender=self._new_attempt_sender(),
+            outlier_detection=self.outlier_detection,
+        )
+
+    def _new_attempt_sender(self) -> AttemptSender:
+        return AttemptSender(
+            self.settings,
+            self.attempts_in_flight,
+            self.retry_budget,
+            self.retry_policy,
+            self.outlier_detection,
+            self.zone_latency,
+        )
+
+    @property
+    def now(self) -> float:
+        """Seconds on the host's clock, of the latest event."""
+        return self.context.now
+
+    @property
+    def pending_requests(self) -> dict[str, PendingRequest]:
+        """The requests that are owed their final answers, by request id."""
+        return self.requests.pending_requests
 
     def handle(self, now: float, event: Event) -> list[Action]:
-        """Take one event and answer with actions, to be carried out in order."""
-        self.now, self.out = now, []
+        """Take one event and return the actions that answer it, to be carried out in order."""
+        self.context.begin(now)
         match event:
             case AttemptEnded():
-                self._on_outcome(event)
+                self._on_attempt_ended(event)
             case RequestReceived():
-                self._on_request(event)
-            case TimerFired(token) if token.startswith("late:"):
-                self._on_overdue(*token[5:].rsplit(":", 1))
-            case TimerFired():
-                self._on_timer(event)
+                self.requests.on_request_received(event)
+            case TimerFired(timer):
+                self._on_timer_fired(timer)
             case EndpointListUpdate():
-                self._on_list(event)
+                self._on_endpoint_list_update(event)
             case PolicyOverridesChanged():
-                self.guide.follow(event)
-                self.ring.stale = True
+                self._on_policy_overrides_changed(event)
             case ZoneLinksChanged():
-                self.links.follow(event)
-            case ClientDisconnected(name) if name in self.held:
-                self._forget(self.held[name])
-            case DeadlineReached(name) if (
-                name in self.held
-            ):  # its own timer may be due an instant later
-                self._end(self.held[name])
-            case StreamingStarted(name, number) if name in self.held:
-                self._on_streaming(self.held[name], number)
-        return self.out
-
-    def listed(self, now: float) -> tuple[int, int]:
-        """Servers in the list, and those that nothing is sent to now: drained, or lost not long ago."""
-        return self.news.listed(now)
-
-    def _on_list(self, event: EndpointListUpdate) -> None:
-        if not self.news.take(self.now, event, self.out):
-            return
-        self.ring.stale = True
-        self.queue.clear()
-        for held in [h for h in self.held.values() if h.is_queued]:
-            held.is_queued = False
-            self._advance(held)
-
-    def _build_ring(self) -> None:
-        self.out += self.ring.build(self.now, self.servers)
-
-    def _on_request(self, request: RequestReceived) -> None:
-        conf = self.settings
-        known = conf.classes.get(request.class_name)
-        kind = known or RequestClass(request.class_name, 0.0, Idempotency.UNSAFE)
-        due = self.now + min(request.time_left - conf.timer_resolution, kind.latency_objective)
-        key, to_origin = request.key or request.request_id, conf.cache_aside and request.is_write
-        held = PendingRequest(request, key, kind, due, to_origin)
-        self.held[request.request_id] = held
-        held.hot_key_offset = self.random.randrange(self.ring.spread(held.key))
-        self.attempts.taken.append(self.now)
-        shed = not held.needs_origin and self.health.sheds(kind.name)
-        if shed or self.guide.exceeds(self.now, request.tenant):
-            self._end(held)
-        else:
-            self._advance(held)
-
-    def _on_streaming(self, held: PendingRequest, number: int) -> None:
-        """The client is given the answer of one attempt: no other one is waited for, nor sent."""
-        held.is_streaming, held.is_queued = True, False
-        for other, attempt in enumerate(held.attempts):
-            if other != number and attempt.is_open and self.settings.cancellation_allowed:
-                self.out.append(actions.CancelAttempt(held.request.request_id, other))
-
-    def _advance(self, held: PendingRequest) -> None:
-        """Send the next attempt, hold the request for one, or end it."""
-        if self.ring.stale:
-            self._build_ring()
-        if self.now >= held.give_up_at:
-            self._end(held)
-        elif self.ring.places and not held.needs_origin:
-            server = self.walk.choose(self.now, held)
-            if server is None:
-                self._end(held)
-            else:
-                self.attempts.send(self.now, held, server, self.out)
-        else:
-            self._wait(held)
-
-    def _wait(self, held: PendingRequest) -> None:
-        """Hold a request for a place at the origin, with a timer: it is answered in time whatever comes."""
-        self.out.append(
-            actions.SetTimer(held.give_up_at - self.now, "wait:" + held.request.request_id)
-        )
-        self.queue.add(held, len(self.held))
-        self._serve_queue()
-
-    def _on_timer(self, event: TimerFired) -> None:
-        if event.token == "list":
-            self.out.append(actions.FetchEndpointList())
-        self._serve_queue()
-        held = self.held.get(event.token.partition(":")[2])
-        # half a tick of grace: rounding may wake us a hair before `until`, and no other timer would come
-        if (
-            held is not None
-            and held.is_queued
-            and self.now >= held.give_up_at - self.settings.timer_resolution / 2
-        ):
-            self._end(held)
-
-    def _on_overdue(self, name: str, number: str) -> None:
-        """Guards against servers that answer nothing: a second copy, or one in its place, while calm."""
-        held, attempt = self.held.get(name), self.attempts.out.get((name, int(number)))
-        if (
-            held is None
-            or attempt is None
-            or held.is_queued
-            or held.is_streaming
-            or held.needs_origin
-        ):
-            return
-        crowded = not self.health.calm(attempt.latency_objective) or held.open_attempts() > 1
-        if crowded or self.attempts.spent(self.now, held):
-            return
-        if self.settings.hedging_allowed:
-            usable = self.ring.places and not self.ring.stale
-            server = self.walk.choose(self.now, held) if usable else None
-            if server is not None:
-                self.attempts.send(self.now, held, server, self.out)
-        elif self.settings.cancellation_allowed:
-            attempt.hedge_delay = 0.0  # its timer may fire a fraction of a tick early
-            self.out.append(actions.CancelAttempt(name, int(number)))
-
-    def _end(self, held: PendingRequest) -> None:
-        """The final answer: a refusal where the class permits one, else a failure."""
-        if held.is_streaming or held.open_attempts():
-            held.is_queued = False
-            return
-        name, pause = (
-            held.request.request_id,
-            max(self.settings.timer_resolution, self.health.latency),
-        )  # till there is room
-        refusable = self.attempts.permits(self.now, held, None)
-        self.out.append(
-            actions.RejectRequest(name, pause) if refusable else actions.FailRequest(name)
-        )
-        self._forget(held)
-
-    def _forget(self, held: PendingRequest) -> None:
-        held.is_queued = False
-        del self.held[held.request.request_id]
-        for number, attempt in enumerate(held.attempts):
-            if attempt.is_open and self.settings.cancellation_allowed:
-                self.out.append(actions.CancelAttempt(held.request.request_id, number))
-
-    def _on_outcome(self, event: AttemptEnded) -> None:
-        attempt = self.attempts.ended(event)
+                self.zone_latency.follow(event)
+            case ClientDisconnected(request_id):
+                self.requests.on_client_disconnected(request_id)
+            case DeadlineReached(request_id):
+                self.requests.on_deadline_reached(request_id)
+            case StreamingStarted(request_id, attempt_number):
+                self.requests.on_streaming_started(request_id, attempt_number)
+        return self.context.actions
+
+    def server_counts(self, now: float) -> tuple[int, int]:
+        """Return how many servers are listed, and how many of them are draining or ejected."""
+        return self.membership.server_counts(now)
+
+    def _on_attempt_ended(self, event: AttemptEnded) -> None:
+        attempt = self.attempts_in_flight.finish(event)
         if attempt is None:
             return
-        now, out, cache = self.now, self.out, attempt.server.is_cache
         if event.status is not AttemptStatus.NOT_SENT:
-            if self.limits.crowd and cache:
-                self.limits.linger(now, attempt, event.status)
-            self.health.learn(now, attempt, event, out)
-            self.limits.learn(now, attempt, event, out)
-            self.links.learn(attempt, event)
-        held = self.held.get(event.request_id)
-        missed = event.status is AttemptStatus.MISS and self.settings.hedging_allowed
-        if held is not None:
-            if event.request_ended or event.status is AttemptStatus.OK:
-                self._forget(held)
-            elif not (held.is_queued or held.is_streaming) and (
-                not held.open_attempts() or missed and not held.needs_origin
-            ):
-                self._after_failure(held, event)
-        if not cache:
-            self._serve_queue()
-
-    def _after_failure(self, held: PendingRequest, event: AttemptEnded) -> None:
-        """The origin is next, where it is ours to ask; else a retry at a cache, while the budget lasts."""
-        held.retry_tokens += event.status is AttemptStatus.MISS
-        held.needs_origin |= (
-            self.settings.cache_aside and not held.attempts[event.attempt_number].connection_broke
-        )  # others lack it
-        self._advance(held) if self.attempts.affords(self.now, held) else self._end(held)
-
-    def _serve_queue(self) -> None:
-        while (found := self.queue.take(self.now, self.servers)) is not None:
-            held, origin = found
-            if self.attempts.permits(self.now, held, origin) and in_time(self.now, held, origin):
-                self.attempts.send(self.now, held, origin, self.out)
-            else:
-                self._end(held)
+            self._learn_from(attempt, event)
+        self.requests.on_attempt_ended(attempt, event)
+        if not attempt.server.is_cache:
+            self.requests.serve_queue()
+
+    def _learn_from(self, attempt: Attempt, event: AttemptEnded) -> None:
+        """Have each part learn of the server from the end of an attempt."""
+        now = self.context.now
+        actions = self.context.actions
+        if self.concurrency_limiter.crowd and attempt.server.is_cache:
+            self.concurrency_limiter.linger(now, attempt, event.status)
+        self.outlier_detection.learn(now, attempt, event, actions)
+        self.concurrency_limiter.learn(now, attempt, event, actions)
+        self.zone_latency.learn(attempt, event)
+
+    def _on_endpoint_list_update(self, event: EndpointListUpdate) -> None:
+        if self.membership.take(self.context.now, event, self.context.actions):
+            self.ring.stale = True
+            self.requests.advance_queued()
+
+    def _on_policy_overrides_changed(self, event: PolicyOverridesChanged) -> None:
+        self.policy_overrides.follow(event)
+        self.ring.stale = True
+
+    def _on_timer_fired(self, timer: Timer) -> None:
+        match timer:
+            case HedgeDue(request_id, attempt_number):
+                self.requests.on_hedge_due(request_id, attempt_number)
+            case QueueWaitExpired(request_id):
+                self.requests.on_queue_wait_expired(request_id)
+            case EndpointListPollDue():
+                self.context.actions.append(FetchEndpointList())
+                self.requests.serve_queue()
+            case OriginPauseEnded():
+                self.requests.serve_queue()
--- a/ironrail/policy/settings.py
+++ b/ironrail/policy/settings.py
@@ -1,4 +1,4 @@
-"""Settings that the policy is given once, at its start. Times are seconds."""
+"""Settings of the policy, given once at its start. Times are seconds."""
 
 from __future__ import annotations
 
@@ -8,15 +8,15 @@
 
 
 class Idempotency(Enum):
-    """What repeating a request of a class may do."""
+    """Whether requests of a class may be repeated."""
 
     SAFE = "safe"
-    IDEMPOTENCY_KEY = "keyed"  # servers of one group drop a repeat of its key for a while
+    IDEMPOTENCY_KEY = "keyed"  # servers of one scope drop repeats of its key for a while
     UNSAFE = "unsafe"
 
 
 class IdempotencyScope(Enum):
-    """The servers that know each other's keyed requests."""
+    """Which servers know each other's idempotency keys."""
 
     ALL = "all"
     ZONE = "zone"
@@ -28,50 +28,58 @@
     """A class of requests and what its clients expect."""
 
     name: str
-    latency_objective: float  # seconds
+    latency_objective: float  # seconds in which an answer is in time
     idempotency: Idempotency = Idempotency.SAFE
     idempotency_scope: IdempotencyScope = IdempotencyScope.ALL
-    idempotency_window: float = 0.0
-    priority_weight: float = 1.0
-    client_timeout: float = math.inf  # seconds that a client waits at the most
+    idempotency_window: float = 0.0  # seconds for which a server remembers a key
+    priority_weight: float = 1.0  # the highest goes first to the origin
+    client_timeout: float = math.inf  # seconds that a client waits at most
 
 
 @dataclass(slots=True, frozen=True)
 class RetryBudgetSettings:
-    """In `span` seconds at most `free + ratio x requests taken` further attempts; a MISS pays for one."""
+    """At most `reserve + ratio x requests` further attempts in any `window`; after a miss one is free."""
 
-    reserve: float
-    ratio: float
-    window: float
+    reserve: float  # attempts
+    ratio: float  # attempts for each request received
+    window: float  # seconds
 
 
 @dataclass(slots=True, frozen=True)
 class Settings:
-    """What a router is told once, at its start. Only fields that decisions use are kept."""
-
-    classes: dict[str, RequestClass]
-    timer_resolution: float = 0.005
-    cache_aside: bool = False  # a miss is ours to fetch from the origin
-    origin_kind: str | None = None
-    polls_endpoint_list: bool = False  # changes of the list come only after asking
-    poll_interval: float = (
-        math.inf
-    )  # seconds without asking until all counts as told; four times after a failure
-    hedging_allowed: bool = False
+    """All settings that decisions depend on."""
+
+    classes: dict[str, RequestClass]  # by name
+    timer_resolution: float = 0.005  # seconds by which a timer may fire early or late
+
+    # the origin
+    cache_aside: bool = False  # the router fetches from the origin what a cache lacks
+    origin_kind: str | None = None  # `Endpoint.kind` of the origins
+
+    # discovery
+    polls_endpoint_list: bool = False  # the list has to be called for
+    # seconds without a call until the list counts as stale; four times that after a failed call
+    poll_interval: float = math.inf
+
+    # attempts
+    hedging_allowed: bool = False  # a request may have two attempts in flight
     cancellation_allowed: bool = False
-    max_attempts: int = 1
-    slow_start_share: float = 0.3
-    slow_start_duration: float = 10.0
-    overload_multiple: float = 2.0
-    overload_window: float = 1.0
-    router_index: int = 0  # of this router among all of them
+    max_attempts: int = 1  # of one request
+    retry_budget: RetryBudgetSettings | None = None  # None: a default
+
+    # servers that warm up
+    slow_start_share: float = 0.3  # fraction of its capacity that a server has when it starts
+    slow_start_duration: float = 10.0  # seconds until it has all of it
+    overload_multiple: float = 2.0  # times a fair load that overload a warming server
+    overload_window: float = 1.0  # seconds in which that load is counted
+
+    # the routers
+    router_index: int = 0  # of this router, from 0
     router_count: int = 1
-    # of servers: by the load that they bear, and not by their size alone
-    live_weights: bool = False
-    # each request names one; where there are none it has nothing to name
-    names_tenants: bool = True
-    connections_are_costly: bool = False  # open connections are scarce
-    connect_timeout: float = 0.25  # a connection not made within this has failed
-    connection_idle_timeout: float = 15.0  # unused for longer, a connection is closed by the host
-    # of further attempts; None where no rule states one
-    retry_budget: RetryBudgetSettings | None = None
+    live_weights: bool = False  # endpoint weights follow the load, not capacity alone
+    names_tenants: bool = True  # each request names its tenant
+
+    # connections
+    connections_are_costly: bool = False  # servers bear few open connections
+    connect_timeout: float = 0.25  # seconds
+    connection_idle_timeout: float = 15.0  # seconds unused after which the host closes one
--- a/ironrail/policy/state.py
+++ b/ironrail/policy/state.py
@@ -1,4 +1,7 @@
-"""What a router keeps of each server, attempt and request. Times are seconds on the host's clock."""
+"""What a router keeps of each server, attempt and request, and which part of the policy writes it.
+
+Times are seconds on the host's clock. -inf stands for "never", and inf for "not known".
+"""
 
 from __future__ import annotations
 
@@ -10,69 +13,115 @@
 from ironrail.policy.events import AttemptStatus, RequestReceived
 from ironrail.policy.settings import RequestClass
 
-LIMIT_START = 4.0  # first guess of what one router may have out at a server; moves within seconds
-SMOOTHING = 0.2  # of the latest sample in a mean; five answers or so are remembered
-ANSWERED = (AttemptStatus.OK, AttemptStatus.MISS, AttemptStatus.ERROR, AttemptStatus.BUSY)
+INITIAL_CONCURRENCY_LIMIT = 4.0  # attempts of one router at one server; adapts within seconds
+SMOOTHING_FACTOR = 0.2  # weight of the latest sample in an exponential moving average
+
+# statuses of attempts that the server itself answered
+ANSWERED_STATUSES = (
+    AttemptStatus.OK,
+    AttemptStatus.MISS,
+    AttemptStatus.ERROR,
+    AttemptStatus.BUSY,
+)
+
+
+@dataclass(slots=True, frozen=True)
+class AttemptId:
+    """Identifies an attempt: those of a request are numbered from 0 in the order sent."""
+
+    request_id: str
+    attempt_number: int
+
+
+@dataclass(slots=True, frozen=True)
+class AbandonedAttempt:
+    """An attempt that was given up, and that its server may still work on."""
+
+    sent_at: float
+    counted_until: float
 
 
 @dataclass(slots=True, eq=False)
-class Server:  # as this router sees it
+class Server:
+    """A server as this router sees it; `Membership` creates and drops it.
+
+    Each group of fields is written by the part that is named before it.
+    """
+
+    # Membership
     endpoint: Endpoint
-    is_cache: bool = True  # or the origin
+    is_cache: bool = True  # False: an origin
+
+    # AttemptsInFlight
     in_flight: int = 0  # own attempts in flight
-    in_flight_work: float = 0.0  # expected, in them
-    abandoned: deque[tuple[float, float]] = field(
-        default_factory=deque
-    )  # given up: sent at, counted until
-    concurrency_limit: float = LIMIT_START  # of own attempts in flight
+    in_flight_work: float = 0.0  # their expected work, 1 is that of a mean request
+
+    # ConcurrencyLimiter
+    abandoned: deque[AbandonedAttempt] = field(default_factory=deque)
+    concurrency_limit: float = INITIAL_CONCURRENCY_LIMIT  # of own attempts in flight
     limit_cut_at: float = -math.inf
     paused_until: float = -math.inf
-    mean_latency: float = 0.0  # smoothed
-    service_time: float = 0.0  # the same without the link there, where that is known
-    slowness: float = 0.0  # smoothed share of the target that answers take
-    slow_start_tokens: float = 0.0  # of work that it may be sent while warming
+    mean_latency: float = 0.0  # seconds, smoothed
+    slowness: float = 0.0  # smoothed latency as a fraction of the latency target
+
+    # ZoneLatency
+    service_time: float = 0.0  # seconds, smoothed: the latency without the round trip
+
+    # SlowStart refills, AttemptSender spends
+    slow_start_tokens: float = 0.0  # work that it may be sent while it warms up
     tokens_refilled_at: float = -math.inf
-    consecutive_losses: int = 0  # in a row, of attempts that no answer came to
-    ejected_until: float = -math.inf  # passed over until then
-    last_used_at: float = -math.inf  # latest sign of life on a connection to it
-    connect_failed_at: float = -math.inf  # when a connect to it last failed
-    proven_at: float = -math.inf  # when the latest attempt was sent that it served or missed
-    # a connect to it, at once, since it last answered on a new connection
-    connect_refused: bool = False
+
+    # OutlierDetection
+    consecutive_losses: int = 0  # attempts in a row without any answer
+    ejected_until: float = -math.inf
+    connect_failed_at: float = -math.inf
+    connect_refused: bool = False  # at once, since it last answered on a new connection
+    proven_at: float = -math.inf  # latest send that ended in a hit or a miss
+    last_used_at: float = -math.inf  # latest sign of life on a connection; AttemptSender too
 
 
 @dataclass(slots=True, eq=False)
-class Attempt:  # one send of a request
+class Attempt:
+    """One send of a request to a server. `AttemptSender` creates it.
+
+    `AttemptsInFlight` sets the fields of the last group when the attempt ends.
+    """
+
     server: Server
-    latency_target: float  # slower than this means too many are out
-    latency_objective: float  # of its class
-    cost: float  # expected work, 1 where no hint is given
+    latency_target: float  # seconds; a mean above it shows that the server is overloaded
+    latency_objective: float  # seconds, of the request's class
+    cost: float  # expected work, 1 is that of a mean request
     sent_at: float
-    # time its connection was unused, infinite if new; losses within an objective are the server's
-    connection_idle: float
-    hedge_delay: float  # seconds without an answer after which it may be lost
-    link_delay: float = 0.0  # seconds by which its answer may be later, as the link there is long
-    round_trip: float = 0.0  # seconds there and back when it was sent, as far as known
+    connection_idle: float  # seconds for which its connection was unused; inf: a new connection
+    hedge_delay: float  # seconds without an answer after which it is overdue
+    link_delay: float = 0.0  # seconds by which its answer may be later for the link's latency
+    round_trip: float = 0.0  # seconds of a round trip to the server's zone when it was sent
+
     is_open: bool = True
-    may_have_run: bool = True  # until an outcome proves the contrary
-    # soon, by its connection: the same server most likely still has the key
-    connection_broke: bool = False
-    unanswered: bool = False  # no answer came for long
+    may_have_run: bool = True  # the server may have carried it out, or may yet
+    connection_broke: bool = False  # early, so the server itself is likely well
+    unanswered: bool = False  # it was overdue when it ended without an answer
+
+    def mark_overdue(self) -> None:
+        """Count the attempt as overdue even if its timer fired early, by rounding."""
+        self.hedge_delay = 0.0
 
 
 @dataclass(slots=True, eq=False)
-class PendingRequest:  # a request that is owed its final answer
+class PendingRequest:
+    """A request that is owed its final answer. The router creates and drops it."""
+
     request: RequestReceived
-    key: str
+    key: str  # of the hash ring
     request_class: RequestClass
-    give_up_at: float  # no use in waiting for longer
-    needs_origin: bool
-    # servers of its key to pass over, as others take their part of a popular key
-    hot_key_offset: int = 0
-    attempts: list[Attempt] = field(default_factory=list)
-    retry_tokens: int = 1  # sends that need no budget: the first, and one for each miss
-    is_queued: bool = False  # for a place at the origin, or for any server at all
-    is_streaming: bool = False
-
-    def open_attempts(self) -> int:
-        return sum(a.is_open for a in self.attempts)
+    give_up_at: float  # time after which an answer would be late
+    needs_origin: bool  # no cache is asked (any more); RetryPolicy sets it after a failure
+    hot_key_offset: int = 0  # servers of a popular key to skip on the ring, to spread its load
+    attempts: list[Attempt] = field(default_factory=list)  # appended by AttemptSender
+    retry_tokens: int = 1  # attempts that need no retry budget; RetryBudget owns it
+    is_queued: bool = False  # waits for an origin, or for any server; OriginQueue owns it
+    is_streaming: bool = False  # its client is being sent an answer
+
+    def open_attempt_count(self) -> int:
+        """Count the attempts that have not ended."""
+        return sum(attempt.is_open for attempt in self.attempts)
--- a/ironrail/policy/zone_latency.py
+++ b/ironrail/policy/zone_latency.py
@@ -9,7 +9,7 @@
 import math
 
 from ironrail.policy.events import AttemptEnded, AttemptStatus, LinkState, ZoneLinksChanged
-from ironrail.policy.state import SMOOTHING, Attempt, Server
+from ironrail.policy.state import SMOOTHING_FACTOR, Attempt, Server
 
 SUSPECTED = (LinkState.SLOW, LinkState.CUT)
 SERVED = (AttemptStatus.OK, AttemptStatus.MISS)
@@ -65,5 +65,5 @@
             and attempt.round_trip < math.inf
         ):
             server.service_time += (
-                SMOOTHING * (took - server.service_time) if server.service_time else took
+                SMOOTHING_FACTOR * (took - server.service_time) if server.service_time else took
             )
--- a/ironrail/rehearsal/losses/tap.py
+++ b/ironrail/rehearsal/losses/tap.py
@@ -16,6 +16,7 @@
 from ironrail.policy.router import Router
 from ironrail.policy.settings import Idempotency
 from ironrail.policy.state import PendingRequest, Server
+from ironrail.policy.timers import QueueWaitExpired
 
 
 class Why(StrEnum):
@@ -51,7 +52,7 @@
 
     asked: float
     sent: dict[int, Sent] = field(default_factory=dict)
-    waits: list[float] = field(default_factory=list)  # when it was held for a place, or for any server
+    waits: list[float] = field(default_factory=list)  # times at which it was queued
     why: Why | None = None  # None where it was served or its client left
 
 
@@ -61,15 +62,15 @@
     def __init__(self, router: Router, decided: dict[str, Decided]) -> None:
         self._router, self._decided = router, decided
         self._heard = 0.0  # as it was before the event in hand
-        self._end = router._end
-        router._end = self._ending  # type: ignore[method-assign]
+        self._end = router.requests._give_up
+        router.requests._give_up = self._ending  # type: ignore[method-assign]
 
     def __getattr__(self, name: str) -> Any:
         return getattr(self._router, name)
 
     def handle(self, now: float, event: Event) -> list[Action]:
         """As the module itself."""
-        self._heard = self._router.health.heard
+        self._heard = self._router.outlier_detection.heard
         if isinstance(event, RequestReceived):
             self._decided[event.request_id] = Decided(now)
         elif isinstance(event, AttemptEnded):
@@ -89,50 +90,50 @@
         match action:
             case SendAttempt(name, server, _, number) if name in self._decided:
                 self._decided[name].sent[number] = Sent(now, server)
-            case SetTimer(_, token) if token.startswith("wait:") and token[5:] in self._decided:
-                self._decided[token[5:]].waits.append(now)
+            case SetTimer(_, QueueWaitExpired(name)) if name in self._decided:
+                self._decided[name].waits.append(now)
 
-    def _ending(self, held: PendingRequest) -> None:
+    def _ending(self, pending: PendingRequest) -> None:
         """The module is about to give a request up, or would if nothing were out for it."""
-        mine = self._decided.get(held.request.request_id)
+        mine = self._decided.get(pending.request.request_id)
         if mine is not None:
-            mine.why = self._why(held)
-        self._end(held)
+            mine.why = self._why(pending)
+        self._end(pending)
 
-    def _why(self, held: PendingRequest) -> Why:
+    def _why(self, pending: PendingRequest) -> Why:
         """What keeps the request from another send, by the module's own books."""
         router, now = self._router, self._router.now
-        if not held.attempts and router.health.heard > self._heard:
+        if not pending.attempts and router.outlier_detection.heard > self._heard:
             return Why.SHED
-        if now >= held.give_up_at - router.settings.timer_resolution:
+        if now >= pending.give_up_at - router.settings.timer_resolution:
             return Why.TIME
         if (
-            any(a.may_have_run for a in held.attempts)
-            and held.request_class.idempotency is not Idempotency.SAFE
+            any(a.may_have_run for a in pending.attempts)
+            and pending.request_class.idempotency is not Idempotency.SAFE
         ):
             return Why.UNSAFE
-        if held.attempts and not router.attempts.affords(now, held):
+        if pending.attempts and not router.retry_budget.allows_attempt(now, pending):
             return Why.BUDGET
-        if len(held.attempts) >= router.settings.max_attempts:
+        if len(pending.attempts) >= router.settings.max_attempts:
             return Why.ATTEMPTS
-        if held.needs_origin:
+        if pending.needs_origin:
             return Why.ARCHIVE
-        reasons = Counter(self._passed(s, held) for s in router.servers.values() if s.is_cache)
+        reasons = Counter(self._passed(s, pending) for s in router.servers.values() if s.is_cache)
         return max(Why, key=lambda why: reasons[why]) if reasons else Why.DRAINED
 
-    def _passed(self, server: Server, held: PendingRequest) -> Why:
+    def _passed(self, server: Server, pending: PendingRequest) -> Why:
         """Why a cache was not chosen."""
         router = self._router
         if server.endpoint.state is not EndpointState.READY:
             return Why.DRAINED
-        if any(a.server is server and not a.connection_broke for a in held.attempts):
+        if any(a.server is server and not a.connection_broke for a in pending.attempts):
             return Why.TRIED
         if server.in_flight >= server.concurrency_limit:
             return Why.LIMIT
         if router.now < server.ejected_until:
             return Why.REST
-        if router.cold.share(router.now, server) < 1.0 and server.slow_start_tokens < (
-            held.request.work_hint or 1.0
+        if router.slow_start.share(router.now, server) < 1.0 and server.slow_start_tokens < (
+            pending.request.work_hint or 1.0
         ):
             return Why.COLD
         return Why.CAP
--- a/ironrail/rehearsal/virtual/invariants.py
+++ b/ironrail/rehearsal/virtual/invariants.py
@@ -43,14 +43,14 @@
         yield "room", f"{room._total - room.free} bytes lent out for long values, {len(room._queue)} wait"
     if host._open:
         yield "attempts", f"{len(host._open)} attempts without an outcome: {list(host._open)[:3]}"
-    if policy.held:
-        yield "held", f"{len(policy.held)} requests still held by the module: {list(policy.held)[:3]}"
-    if out := policy.attempts.out:
+    if pending := policy.pending_requests:
+        yield ("held", f"{len(pending)} requests still held by the module: {list(pending)[:3]}")
+    if out := policy.attempts_in_flight:
         yield "attempts", f"{len(out)} attempts open in the module: {list(out)[:3]}"
     for name, server in policy.servers.items():
         if server.in_flight:
             yield "load", f"the module believes {server.in_flight} at {name} where nothing is out"
-    if load := policy.attempts.ring_load:
+    if load := policy.attempts_in_flight.cache_count:
         yield "load", f"the module believes {load} on its ring where nothing is out"
     for name, pool in host._pools.items():
         yield from _of_pool(name, pool)
--- a/ironrail/simhost.py
+++ b/ironrail/simhost.py
@@ -1,188 +1,109 @@
-"""Hosts routers on the JSON wire: translates both ways and decides nothing."""
+"""Hosts routers for the simulator: JSON lines in, JSON lines out. It decides nothing."""
 
 from __future__ import annotations
 
 import sys
-from collections.abc import Callable
+from dataclasses import dataclass
 from typing import Any
 
 import orjson
 
-from ironrail.policy.actions import (
-    CancelAttempt,
-    CloseIdleConnections,
-    FailRequest,
-    FetchEndpointList,
-    LogMessage,
-    RejectRequest,
-    SendAttempt,
-    SetTimer,
-)
-from ironrail.policy.endpoints import Endpoint, EndpointListKind, EndpointState
-from ironrail.policy.events import (
-    AttemptEnded,
-    AttemptStatus,
-    ClientDisconnected,
-    EndpointListUpdate,
-    Event,
-    RequestReceived,
-    StreamingStarted,
-    TimerFired,
-)
+from ironrail.policy.events import Event
 from ironrail.policy.router import Router
 from ironrail.settings import SettingsError, read_settings
+from ironrail.simulator_wire import EVENT_READERS, WireError, WireObject, write_action
 
-STATES = {
-    "active": EndpointState.READY,
-    "leaving": EndpointState.DRAINING,
-    "left": EndpointState.REMOVED,
-}
-KINDS = {
-    "INCREMENTAL": EndpointListKind.DELTA,
-    "FULL": EndpointListKind.FULL,
-    "SAVED": EndpointListKind.CACHED,
-    "FAILED": EndpointListKind.FAILED,
-}
-STATUSES = {
-    "delivered": AttemptStatus.OK,
-    "app_error": AttemptStatus.ERROR,
-    "shed": AttemptStatus.BUSY,
-    "expired": AttemptStatus.TIMEOUT,
-    "dial_failed": AttemptStatus.CONNECT_FAILED,
-    "dropped": AttemptStatus.RESET,
-    "revoked": AttemptStatus.CANCELLED,
-    "unused": AttemptStatus.CANCELLED_BEFORE_SEND,
-    "empty": AttemptStatus.MISS,
-}
-
-
-class WireError(ValueError):
-    """A line that breaks the wire's promises."""
-
-
-def read_entry(e: dict[str, Any]) -> Endpoint:
-    """One line of a list."""
-    return Endpoint(
-        name=e["server"],
-        state=STATES[e["readiness"]],
-        kind=e.get("generationHw") or "",
-        zone=e.get("site") or "",
-        cell=e.get("stripe") or 0,
-        weight=max(0.0, e.get("weight") or 0.0),
-        started_at=e.get("since") or 0.0,
-    )
-
-
-def read_list(e: dict[str, Any]) -> Event:
-    """News of the list."""
-    return EndpointListUpdate(KINDS[e["scope"]], tuple(map(read_entry, e.get("lines") or ())))
-
-
-def read_request(e: dict[str, Any]) -> Event:
-    """A client's request; a budget of nothing is kept as 0."""
-    return RequestReceived(
-        e["ticket"],
-        e["priority"],
-        max(0.0, float(e.get("timeBudget") or 0.0)),
-        e.get("partitionKey"),
-        e.get("effort"),
-        bool(e.get("update")),
-    )
-
-
-def read_outcome(e: dict[str, Any]) -> Event:
-    """The end of an attempt."""
-    return AttemptEnded(
-        e["ticket"], e["sendNo"], STATUSES[e["outcome"]], bool(e.get("final")), e.get("lag") or 0.0
-    )
-
-
-READERS: dict[str, Callable[[dict[str, Any]], Event]] = {
-    "Membership": read_list,
-    "Request": read_request,
-    "Begun": lambda e: StreamingStarted(e["ticket"], e["sendNo"]),
-    "Done": read_outcome,
-    "Aborted": lambda e: ClientDisconnected(e["ticket"]),
-    "Wake": lambda e: TimerFired(e["ctx"]),
-}
-UNUSED = {"Pong", "Heard"}  # answers to things no router here asks for
-
-
-def write_send(a: SendAttempt) -> dict[str, Any]:
-    """A new attempt."""
-    if a.timeout is None:
-        return {"op": "Send", "ticket": a.request_id, "server": a.server}
-    return {"op": "Send", "ticket": a.request_id, "server": a.server, "timeout": a.timeout}
-
-
-WRITERS: dict[type, Callable[[Any], dict[str, Any]]] = {
-    SendAttempt: write_send,
-    RejectRequest: lambda a: {"op": "Reject", "ticket": a.request_id, "coolDown": a.retry_after},
-    FailRequest: lambda a: {"op": "GiveUp", "ticket": a.request_id},
-    CancelAttempt: lambda a: {"op": "Cancel", "ticket": a.request_id, "sendNo": a.attempt_number},
-    CloseIdleConnections: lambda a: {"op": "LetGo", "server": a.server},
-    SetTimer: lambda a: {"op": "Timer", "fromNow": a.delay, "ctx": a.token},
-    FetchEndpointList: lambda a: {"op": "Listen", "enable": True},
-    LogMessage: lambda a: {"op": "Record", "line": a.text},
-}
-
-
-class Host:
-    """One router for each instance number; nothing is shared between them."""
+ROUTER_STARTED = "Born"
+ROUTER_KILLED = "Kill"
+IGNORED_EVENTS = {"Pong", "Heard"}  # answer what no router here asks for
+MAX_EXCERPT = 200  # characters of a malformed event that an error shows
 
-    def __init__(self) -> None:
-        self.routers: dict[int, Router] = {}
 
-    def batch(self, line: bytes) -> bytes:
-        """Answer one line of the wire."""
-        try:
-            message = orjson.loads(line)
-            now, news = float(message["t"]), message["news"]
-            if not isinstance(news, list):
-                raise TypeError("news is not a list")
-        except (orjson.JSONDecodeError, KeyError, TypeError, ValueError) as e:
-            raise WireError(f"not a batch: {e!r}") from e
-        commands: list[dict[str, Any]] = []
-        for event in news:
-            self.event(now, event, commands)
+@dataclass(slots=True, frozen=True)
+class Batch:
+    """The events of one line, which all happened at the same time."""
+
+    now: float  # seconds
+    events: list[Any]
+
+
+def _read_batch(line: bytes) -> Batch:
+    try:
+        batch = orjson.loads(line)
+        now = float(batch["t"])
+        events = batch["news"]
+    except (orjson.JSONDecodeError, KeyError, TypeError, ValueError) as error:
+        raise WireError(f"not a batch: {error!r}") from error
+    if not isinstance(events, list):
+        raise WireError("not a batch: TypeError('news is not a list')")
+    return Batch(now, events)
+
+
+class SimulatorHost:
+    """Hosts the routers of the simulator, one for each id; they share nothing."""
+
+    def __init__(self) -> None:
+        self.routers: dict[int, Router] = {}  # by the simulator's id
+
+    def answer_batch(self, line: bytes) -> bytes:
+        """Hand the events of one line to their routers and return the line of their commands.
+
+        Raises:
+            WireError: The line or one of its events is malformed.
+        """
+        batch = _read_batch(line)
+        commands: list[WireObject] = []
+        for event in batch.events:
+            self.handle_event(batch.now, event, commands)
         return orjson.dumps({"cmds": commands}) + b"\n"
 
-    def event(self, now: float, event: Any, commands: list[dict[str, Any]]) -> None:
-        """Hand one event to its router and append the actions in wire form."""
+    def handle_event(self, now: float, event: Any, commands: list[WireObject]) -> None:
+        """Hand one event to its router and append the commands that answer it.
+
+        Raises:
+            WireError: The event is malformed.
+        """
         try:
-            op, number_ = event["op"], event["routerId"]
-            if op == "Born":
-                self.routers[number_] = Router(read_settings(event["conf"]), event["initSeed"], now)
-                return
-            if op == "Kill":
-                self.routers.pop(number_, None)
-                return
-            if op in UNUSED:
-                return
-            read = READERS[op](event)
-            router = self.routers.get(number_)
-        except SettingsError as e:
-            print(f"ironrail: {e}", file=sys.stderr)
-            commands.append({"op": "InternalError", "routerId": number_, "line": str(e)})
+            router_id = event["routerId"]
+            router_event = self._read_event(now, router_id, event)
+            router = self.routers.get(router_id)
+        except SettingsError as error:
+            print(f"ironrail: {error}", file=sys.stderr)
+            commands.append({"op": "InternalError", "routerId": router_id, "line": str(error)})
             return
-        except (KeyError, TypeError, ValueError, AttributeError) as e:
-            raise WireError(f"malformed event: {e!r} in {str(event)[:200]}") from e
-        if router is None:
+        except (KeyError, TypeError, ValueError, AttributeError) as error:
+            excerpt = str(event)[:MAX_EXCERPT]
+            raise WireError(f"malformed event: {error!r} in {excerpt}") from error
+        if router is None or router_event is None:
             return
-        for action in router.handle(now, read):
-            command = WRITERS[type(action)](action)
-            command["routerId"] = number_
+        for action in router.handle(now, router_event):
+            command = write_action(action)
+            command["routerId"] = router_id
             commands.append(command)
 
+    def _read_event(self, now: float, router_id: int, event: WireObject) -> Event | None:
+        """Start or kill a router, or read an event for it; None if there is none to hand over."""
+        operation = event["op"]
+        if operation == ROUTER_STARTED:
+            settings = read_settings(event["conf"])
+            self.routers[router_id] = Router(settings, event["initSeed"], now)
+            return None
+        if operation == ROUTER_KILLED:
+            self.routers.pop(router_id, None)
+            return None
+        if operation in IGNORED_EVENTS:
+            return None
+        return EVENT_READERS[operation](event)
+
 
 def main() -> int:
     """Answer line by line until the end of input."""
-    host = Host()
+    host = SimulatorHost()
     for line in sys.stdin.buffer:
         try:
-            reply = host.batch(line)
-        except WireError as e:
-            print(f"ironrail: {e}", file=sys.stderr)
+            reply = host.answer_batch(line)
+        except WireError as error:
+            print(f"ironrail: {error}", file=sys.stderr)
             return 2
         sys.stdout.buffer.write(reply)
         sys.stdout.buffer.flush()
--- a/tests/diagnostics/test_invariants.py
+++ b/tests/diagnostics/test_invariants.py
@@ -144,7 +144,8 @@
 
 
 def test_a_policy_that_repeats_unsafe_requests_is_found_out(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(RetryPolicy, "permits", lambda *_: True)
+    monkeypatch.setattr(RetryPolicy, "may_send", lambda *_: True)
+    monkeypatch.setattr(RetryPolicy, "may_reject", lambda *_: True)
     assert Violation.REPEATED_UNSAFE in found()
 
 
--- a/tests/driver.py
+++ b/tests/driver.py
@@ -17,6 +17,8 @@
 )
 from ironrail.policy.router import Router
 from ironrail.policy.settings import Idempotency, IdempotencyScope, RequestClass, Settings
+from ironrail.policy.timers import Timer
+from ironrail.simulator_wire import encode_timer
 
 READ = RequestClass("read", latency_objective=1.0)
 KEYED = RequestClass(
@@ -66,7 +68,7 @@
         self.sent_at: dict[str, list[float]] = {}
         self.state: dict[tuple[str, int], AttemptStatus | None] = {}
         self.expiry: dict[tuple[str, int], float] = {}
-        self.timers: list[tuple[float, str]] = []
+        self.timers: list[tuple[float, Timer]] = []
         self.listed: dict[str, Endpoint] = {}
         self.last: list[Action] = []
         self.taken: list[float] = []
@@ -82,8 +84,8 @@
 
     def check(self, action: Action) -> None:
         if isinstance(action, SetTimer):
-            assert 0 <= action.delay < 4260 and 1 <= len(action.token) <= 64
-            self.timers.append((self.now + action.delay, action.token))
+            assert 0 <= action.delay < 4260 and 1 <= len(encode_timer(action.timer)) <= 64
+            self.timers.append((self.now + action.delay, action.timer))
         elif isinstance(action, CancelAttempt):
             assert (action.request_id, action.attempt_number) in self.state, "cancels an attempt never made"
         elif isinstance(action, SendAttempt):
@@ -204,18 +206,20 @@
         """Let time pass, with timers and time-outs in their order."""
         until = self.now + seconds
         while True:
-            due = [(t, "", n, None) for t, n in self.timers]
-            due += [(t, n, "", i) for (n, i), t in self.expiry.items() if self.state[n, i] is None]  # type: ignore[misc]
-            due.sort(key=lambda d: d[:3])
+            due: list[tuple[float, str, Timer | None, int | None]] = [
+                (t, "", n, None) for t, n in self.timers
+            ]
+            due += [(t, n, None, i) for (n, i), t in self.expiry.items() if self.state[n, i] is None]
+            due.sort(key=lambda d: (d[0], d[1], encode_timer(d[2]) if d[2] is not None else ""))
             if not due or due[0][0] > until:
                 break
-            at, name, token, attempt = due[0]
+            at, name, timer, attempt = due[0]
             self.now = max(self.now, at)
-            if name:
+            if timer is None:
                 self.end(name, AttemptStatus.TIMEOUT, attempt, 1.0)
             else:
-                self.timers.remove((at, token))
-                self.feed(TimerFired(token))
+                self.timers.remove((at, timer))
+                self.feed(TimerFired(timer))
             self.check_overdue()
         self.now = until
         self.check_overdue()
--- a/tests/mutants/asks_the_archive.py
+++ b/tests/mutants/asks_the_archive.py
@@ -2,17 +2,19 @@
 
 from __future__ import annotations
 
-from ironrail.policy.router import Router
+from ironrail.policy.request_lifecycle import RequestLifecycle
 from ironrail.policy.state import PendingRequest
 
+from tests.mutants import replace_method
+
 RULE = "archive fetches"
 
 
 def break_it() -> None:
-    advance = Router._advance
+    advance = RequestLifecycle.advance
 
-    def straight(self: Router, held: PendingRequest) -> None:
-        held.needs_origin = True
-        advance(self, held)
+    def advance_to_origin(self: RequestLifecycle, pending: PendingRequest) -> None:
+        pending.needs_origin = True
+        advance(self, pending)
 
-    Router._advance = straight  # type: ignore[method-assign]
+    replace_method(RequestLifecycle, "advance", advance_to_origin)
--- a/tests/mutants/never_retries.py
+++ b/tests/mutants/never_retries.py
@@ -1,22 +1,26 @@
-"""Gives up after the first attempt that fails, and sends no second copies."""
+"""Gives up after the first attempt that fails, and sends no hedged requests."""
 
 from __future__ import annotations
 
-from ironrail.policy.events import AttemptEnded, AttemptStatus
-from ironrail.policy.router import Router
-from ironrail.policy.state import PendingRequest
+from ironrail.policy.events import AttemptStatus
+from ironrail.policy.request_lifecycle import RequestLifecycle
+from ironrail.policy.state import Attempt, PendingRequest
+
+from tests.mutants import replace_method
 
 RULE, SCENARIO = "service", "errors.toml"
 
 
 def break_it() -> None:
-    after_failure = Router._after_failure
+    retry_or_give_up = RequestLifecycle._retry_or_give_up
 
-    def meek(self: Router, held: PendingRequest, event: AttemptEnded) -> None:
-        if event.status is AttemptStatus.MISS:
-            after_failure(self, held, event)
+    def without_retry(
+        self: RequestLifecycle, pending: PendingRequest, attempt: Attempt, status: AttemptStatus
+    ) -> None:
+        if status is AttemptStatus.MISS:
+            retry_or_give_up(self, pending, attempt, status)
         else:
-            self._end(held)
+            self._give_up(pending)
 
-    Router._after_failure = meek  # type: ignore[method-assign]
-    Router._on_overdue = lambda self, name, number: None  # type: ignore[method-assign]
+    replace_method(RequestLifecycle, "_retry_or_give_up", without_retry)
+    replace_method(RequestLifecycle, "on_hedge_due", lambda self, request_id, attempt_number: None)
--- a/tests/mutants/resends_unsafe.py
+++ b/tests/mutants/resends_unsafe.py
@@ -6,15 +6,17 @@
 from ironrail.policy.settings import Idempotency
 from ironrail.policy.state import PendingRequest, Server
 
+from tests.mutants import replace_method
+
 RULE = "rule no-second-effect"
 
 
 def break_it() -> None:
-    permits = RetryPolicy.permits
+    may_send = RetryPolicy.may_send
 
-    def careless(self: RetryPolicy, now: float, held: PendingRequest, server: Server | None) -> bool:
-        if server is not None and held.request_class.idempotency is Idempotency.UNSAFE:
-            return len(held.attempts) < self._settings.max_attempts
-        return permits(self, now, held, server)
+    def may_resend(self: RetryPolicy, now: float, pending: PendingRequest, server: Server) -> bool:
+        if pending.request_class.idempotency is Idempotency.UNSAFE:
+            return len(pending.attempts) < self._max_attempts
+        return may_send(self, now, pending, server)
 
-    RetryPolicy.permits = careless  # type: ignore[method-assign]
+    replace_method(RetryPolicy, "may_send", may_resend)
--- a/tests/mutants/waits_for_the_hung.py
+++ b/tests/mutants/waits_for_the_hung.py
@@ -1,23 +1,25 @@
-"""Waits for a cache that says nothing until the client's time is up, and never counts its silence."""
+"""Waits for a cache that does not answer until the client's time is up, and never counts its silence."""
 
 from __future__ import annotations
 
+from ironrail.policy.attempts_in_flight import AttemptsInFlight
 from ironrail.policy.events import AttemptEnded
-from ironrail.policy.retry_policy import RetryPolicy
-from ironrail.policy.router import Router
+from ironrail.policy.request_lifecycle import RequestLifecycle
 from ironrail.policy.state import Attempt
 
+from tests.mutants import replace_method
+
 RULE, SCENARIO = "service", "hang.toml"
 
 
 def break_it() -> None:
-    ended = RetryPolicy.ended
+    finish = AttemptsInFlight.finish
 
-    def forgiving(self: RetryPolicy, event: AttemptEnded) -> Attempt | None:
-        attempt = ended(self, event)
+    def finish_answered(self: AttemptsInFlight, event: AttemptEnded) -> Attempt | None:
+        attempt = finish(self, event)
         if attempt is not None:
             attempt.unanswered = False
         return attempt
 
-    RetryPolicy.ended = forgiving  # type: ignore[method-assign]
-    Router._on_overdue = lambda self, name, number: None  # type: ignore[method-assign]
+    replace_method(AttemptsInFlight, "finish", finish_answered)
+    replace_method(RequestLifecycle, "on_hedge_due", lambda self, request_id, attempt_number: None)
--- a/tests/outcomes/test_breaks.py
+++ b/tests/outcomes/test_breaks.py
@@ -185,7 +185,7 @@
     assert origin.in_flight == 1 and host._open  # it is still worked on
     end(got, *([b"r"] if end is Message.respond else []))
     await until(lambda: not host._open)
-    assert not origin.in_flight and not host._router.attempts.out
+    assert not origin.in_flight and not host._router.attempts_in_flight
     other = await world.client()
     other.put("2", b"w")
     assert (await world.origin.next()).headers["request-id"] == "2"
--- a/tests/outcomes/test_nobody_waits.py
+++ b/tests/outcomes/test_nobody_waits.py
@@ -156,7 +156,7 @@
         (sent.pop() if sent else await world.origin.next()).respond(b"r")
     await until(lambda: not world.node._host._held and not origin.in_flight)
     assert world.origin.messages.empty()
-    assert not world.node._host._open and not world.node._host._router.attempts.out
+    assert not world.node._host._open and not world.node._host._router.attempts_in_flight
     assert origin.consecutive_losses == 0
 
 
--- a/tests/policy/decision_digests.py
+++ b/tests/policy/decision_digests.py
@@ -23,6 +23,8 @@
     SetTimer,
 )
 from ironrail.policy.router import Router
+from ironrail.policy.timers import Timer
+from ironrail.simulator_wire import encode_timer
 
 from tests.policy.streams import World
 
@@ -45,14 +47,14 @@
 
 def written(action: Action) -> str:
     """With nine digits of numbers: the last ones are the machine's."""
-    values = [getattr(action, field.name) for field in fields(action)]
-    return " ".join(
-        [RECORDED_NAMES[type(action)][0], *(f"{v:.9g}" if isinstance(v, float) else str(v) for v in values)]
-    )
+    given = [value_of(getattr(action, field.name)) for field in fields(action)]
+    return " ".join([RECORDED_NAMES[type(action)][0], *given])
 
 
 def value_of(value: object) -> str:
-    """A field's value, without the names of types; of a text for staff only its numbers."""
+    """A field's value, without the names of types; a timer as its context on the simulator's wire."""
+    if isinstance(value, Timer):
+        return encode_timer(value)
     return f"{value:.9g}" if isinstance(value, float) else str(value)
 
 
--- a/tests/policy/fleets.py
+++ b/tests/policy/fleets.py
@@ -27,7 +27,7 @@
 def order_of(d: Driver, key: str) -> list[str]:
     """The servers clockwise from a key, each once."""
     r = d.router
-    r._build_ring()
+    r.requests.build_ring_if_stale()
     places = r.ring.places
     start = next((i for i, (p, _) in enumerate(places) if p >= hash_ring.ring_hash(key)), 0)
     return list(dict.fromkeys(name for _, name in places[start:] + places[:start]))
--- a/tests/policy/streams.py
+++ b/tests/policy/streams.py
@@ -156,8 +156,8 @@
                     self.later(seconds / 2, StreamingStarted(name, number))
             case CancelAttempt(name, number):
                 self.later(0.001, AttemptEnded(name, number, AttemptStatus.CANCELLED, False, 0.4))
-            case SetTimer(delay, token):
-                self.later(delay, TimerFired(token))
+            case SetTimer(delay, timer):
+                self.later(delay, TimerFired(timer))
             case RejectRequest(name) | FailRequest(name):
                 self.open.pop(name, None)
             case FetchEndpointList():
--- a/tests/policy/test_answers.py
+++ b/tests/policy/test_answers.py
@@ -16,6 +16,7 @@
     StreamingStarted,
     TimerFired,
 )
+from ironrail.policy.timers import HedgeDue, OriginPauseEnded, QueueWaitExpired
 
 from tests.driver import Driver, entry, settings
 from tests.policy.fleets import ASIDE, fleet
@@ -92,8 +93,9 @@
     for event in (
         AttemptEnded("x", 0, AttemptStatus.OK, True),
         ClientDisconnected("x"),
-        TimerFired("wait:x"),
-        TimerFired("odd"),
+        TimerFired(HedgeDue("x", 0)),
+        TimerFired(QueueWaitExpired("x")),
+        TimerFired(OriginPauseEnded()),
         StreamingStarted("x", 0),
         EndpointListUpdate(EndpointListKind.DELTA, (entry("a", state=EndpointState.REMOVED),)),
         EndpointListUpdate(EndpointListKind.FULL, ()),
@@ -135,6 +137,6 @@
         d.wait(0.05)
     d.wait(5.0)
     r = d.router
-    assert not r.held and not r.attempts.out and r.attempts.ring_load == 0
-    assert len(r.servers) <= 5 and len(r.queue) < 100
+    assert not r.pending_requests and not r.attempts_in_flight and r.attempts_in_flight.cache_count == 0
+    assert len(r.servers) <= 5 and len(r.origin_queue) < 100
     assert len(r.ring.recent) == hash_ring.RECENT
--- a/tests/policy/test_attempts.py
+++ b/tests/policy/test_attempts.py
@@ -12,6 +12,7 @@
     TimerFired,
 )
 from ironrail.policy.settings import Idempotency, IdempotencyScope, RequestClass, RetryBudgetSettings
+from ironrail.policy.timers import HedgeDue, QueueWaitExpired
 
 from tests.driver import Driver, entry, settings
 from tests.policy.fleets import ASIDE, fleet
@@ -78,7 +79,7 @@
     d.list(*fleet("a", "b"))
     d.request("r")
     d.feed(StreamingStarted("r", 0))
-    d.feed(TimerFired("wait:r"))
+    d.feed(TimerFired(QueueWaitExpired("r")))
     assert "r" in d.open and len(d.sends["r"]) == 1
 
 
@@ -86,7 +87,7 @@
     d = Driver(settings(cache_aside=True, origin_kind="origin"))
     d.list(*fleet("a", "b", "c"), entry("o", kind="origin"))
     d.request("r")
-    d.feed(TimerFired("late:r:0"))
+    d.feed(TimerFired(HedgeDue("r", 0)))
     assert len(d.sends["r"]) == 2
     assert CancelAttempt("r", 1) in d.feed(StreamingStarted("r", 0))
     d.feed(AttemptEnded("r", 1, AttemptStatus.MISS))
@@ -219,7 +220,7 @@
     d.list(*fleet("a", "b", "c"))
     d.request("r", class_name="keyed", time_left=3.0)
     d.now += 0.5
-    d.feed(TimerFired("late:r:0"))
+    d.feed(TimerFired(HedgeDue("r", 0)))
     assert [s.send_within for s in sent(d.last)] == [pytest.approx(1.0)]
 
 
@@ -246,5 +247,5 @@
         server.consecutive_losses,
         server.ejected_until,
     ) == known
-    assert (server.in_flight, server.in_flight_work, d.router.attempts.ring_load) == (0, 0.0, 0)
-    assert not d.router.attempts.out and not d.router.held
+    assert (server.in_flight, server.in_flight_work, d.router.attempts_in_flight.cache_count) == (0, 0.0, 0)
+    assert not d.router.attempts_in_flight and not d.router.pending_requests
--- a/tests/policy/test_health.py
+++ b/tests/policy/test_health.py
@@ -77,7 +77,7 @@
         server = d.request(f"lost{n}", key="k")
         d.end(f"lost{n}", AttemptStatus.TIMEOUT, latency=0.6)
         d.router.servers[str(server)].ejected_until = d.now
-    assert d.router.health.keep == math.inf
+    assert d.router.outlier_detection.keep == math.inf
 
 
 def test_idle_connections_that_work_are_kept() -> None:
@@ -86,7 +86,10 @@
     for n in range(20):
         d.now += 3.0
         d.request(f"r{n}", key="k", finish=True)
-    assert not any(isinstance(a, CloseIdleConnections) for a in d.last) and d.router.health.keep == math.inf
+    assert (
+        not any(isinstance(a, CloseIdleConnections) for a in d.last)
+        and d.router.outlier_detection.keep == math.inf
+    )
 
 
 def test_connections_are_let_go_after_use_while_connects_are_refused() -> None:
--- a/tests/policy/test_limits.py
+++ b/tests/policy/test_limits.py
@@ -61,7 +61,7 @@
     for n in range(20):
         d.request(f"r{n}", key="k")
         d.end(f"r{n}", AttemptStatus.OK, latency=0.9 if n == 10 else 0.05)
-    assert d.router.servers["a"].concurrency_limit >= state.LIMIT_START
+    assert d.router.servers["a"].concurrency_limit >= state.INITIAL_CONCURRENCY_LIMIT
 
 
 def test_what_was_given_up_counts_as_out_until_a_later_answer_or_an_aim() -> None:
@@ -123,7 +123,7 @@
         if f"r{n}" in d.open:
             d.end(f"r{n}", AttemptStatus.CONNECT_FAILED)
         d.wait(1.0)
-    assert d.router.servers["a"].concurrency_limit == state.LIMIT_START
+    assert d.router.servers["a"].concurrency_limit == state.INITIAL_CONCURRENCY_LIMIT
 
 
 def test_an_origin_behind_a_cut_is_not_taken_for_one_that_refuses() -> None:
--- a/tests/policy/test_news.py
+++ b/tests/policy/test_news.py
@@ -29,7 +29,7 @@
         assert isinstance(timer, SetTimer)
         pauses.append(timer.delay)
         d.timers.clear()
-        assert d.feed(TimerFired(timer.token)) == [FetchEndpointList()]
+        assert d.feed(TimerFired(timer.timer)) == [FetchEndpointList()]
     assert pauses[-1] > pauses[0]
 
 
@@ -41,7 +41,7 @@
             seed,
         )
         timer = next(a for a in d.list(*fleet("a"), kind=EndpointListKind.CACHED) if isinstance(a, SetTimer))
-        assert d.feed(TimerFired(timer.token)) == [FetchEndpointList()]
+        assert d.feed(TimerFired(timer.timer)) == [FetchEndpointList()]
         delays.append(timer.delay)
         for _ in range(9):
             (again,) = [a for a in d.list(kind=EndpointListKind.FAILED) if isinstance(a, SetTimer)]
@@ -57,6 +57,6 @@
     d.router.servers["a"].concurrency_limit = 1.0
     d.request("r1")
     d.list(entry("a", started_at=d.now), kind=EndpointListKind.DELTA)
-    assert d.router.servers["a"].concurrency_limit == state.LIMIT_START
+    assert d.router.servers["a"].concurrency_limit == state.INITIAL_CONCURRENCY_LIMIT
     d.ok("r1")
-    assert d.router.servers["a"].in_flight == 0 and d.router.attempts.ring_load == 0
+    assert d.router.servers["a"].in_flight == 0 and d.router.attempts_in_flight.cache_count == 0
--- a/tests/policy/test_queue.py
+++ b/tests/policy/test_queue.py
@@ -105,4 +105,4 @@
         missed(d, f"r{n}", key=f"k{n}")
         d.router.servers["o"].concurrency_limit = 1.0
         d.wait(0.05)
-    assert len(d.router.queue) < 200 and len(d.router.held) < 100
+    assert len(d.router.origin_queue) < 200 and len(d.router.pending_requests) < 100
--- a/tests/policy/test_random_events.py
+++ b/tests/policy/test_random_events.py
@@ -13,6 +13,7 @@
 from ironrail.policy.events import AttemptStatus, ClientDisconnected, EndpointListUpdate
 from ironrail.policy.router import Router
 from ironrail.policy.settings import Idempotency, IdempotencyScope, RequestClass, RetryBudgetSettings
+from ironrail.policy.state import PendingRequest
 
 from tests.driver import Driver, entry, settings
 from tests.policy.fleets import ASIDE, fleet
@@ -92,7 +93,7 @@
         d.step(data, n)
     d.wait(10.0)
     assert not d.open, "rule 1: left without an answer"
-    assert not d.router.held, "something is still held"
+    assert not d.router.pending_requests, "something is still held"
 
 
 CHECKS = hypothesis_settings(
@@ -116,14 +117,19 @@
 
     def __init__(self, *given: Any) -> None:
         super().__init__(*given)
-        self.attempts.permits = lambda now, held, server: True  # type: ignore[method-assign]
+        self.retry_policy.may_send = lambda now, pending, server: True  # type: ignore[method-assign]
+        self.retry_policy.may_reject = lambda pending: True  # type: ignore[method-assign]
 
 
 class Forgetter(Router):
     """Broken on purpose: sets no timer for what it holds."""
 
-    def _wait(self, held: Any) -> None:
-        held.is_queued = True
+    def __init__(self, *given: Any) -> None:
+        super().__init__(*given)
+        self.requests._wait_for_origin = self._forget  # type: ignore[method-assign]
+
+    def _forget(self, pending: PendingRequest) -> None:
+        pending.is_queued = True
 
 
 class Spender(Router):
@@ -131,7 +137,7 @@
 
     def __init__(self, *given: Any) -> None:
         super().__init__(*given)
-        self.attempts.affords = lambda now, held: True  # type: ignore[method-assign]
+        self.retry_budget.allows_attempt = lambda now, pending: True  # type: ignore[method-assign]
 
 
 @pytest.mark.parametrize("broken", [Resender, Forgetter, Spender])
--- a/tests/policy/test_ring.py
+++ b/tests/policy/test_ring.py
@@ -154,7 +154,7 @@
     for n in range(5000):
         d.request(f"r{n}", key=f"k{n}", finish=True)
     assert d.router.ring.hash.cache_info().currsize <= 4096
-    assert not d.router.held and not d.router.attempts.out
+    assert not d.router.pending_requests and not d.router.attempts_in_flight
 
 
 def test_chance_does_not_split_a_key_at_light_load() -> None:
@@ -171,4 +171,4 @@
     for n in range(200):
         d.request(f"r{n}", key=f"k{n}", finish=True)
         d.now += 1.0
-    assert len(d.router.attempts.taken) <= d.router.attempts.budget.window + 1
+    assert len(d.router.retry_budget._request_times) <= d.router.retry_budget.settings.window + 1
--- a/tests/rehearsal/experiments/test_run.py
+++ b/tests/rehearsal/experiments/test_run.py
@@ -39,7 +39,7 @@
 name = "now"
 [[variant]]
 name = "poor"
-set = { "ironrail.policy.origin_queue.FETCH_ROOM" = 1000.0 }
+set = { "ironrail.policy.origin_queue.FETCH_LATENCY_FACTOR" = 1000.0 }
 [[worlds]]
 name = "tiny"
 scenario = "SCENARIO"
@@ -123,10 +123,10 @@
         ("1..12", "12..1", "experiment.toml:11: worlds.1.seeds: must be a first and a last one"),
         ("looks = 2", "looks = 0", "experiment.toml:13: stop.looks"),
         ("looks = 2", "look = 2", "stop.look: Extra inputs"),
-        ("queue.FETCH_ROOM", "queue.limit", "'ironrail.policy.origin_queue.limit' is no constant"),
+        ("queue.FETCH_LATENCY_FACTOR", "queue.limit", "'ironrail.policy.origin_queue.limit' is no constant"),
         ("tiny.toml", "none.toml", "none.toml: No such file"),
         (
-            "queue.FETCH_ROOM",
+            "queue.FETCH_LATENCY_FACTOR",
             "queue.NO_SUCH",
             "ironrail.policy.origin_queue assigns NO_SUCH 0 times, not once",
         ),
--- a/tests/rehearsal/losses/test_planted.py
+++ b/tests/rehearsal/losses/test_planted.py
@@ -68,7 +68,7 @@
 
     def poor(self: Router, settings: Settings, seed: int, now: float) -> None:
         make(self, settings, seed, now)
-        self.attempts.budget = RetryBudgetSettings(0.0, 0.0, settings.slow_start_duration)
+        self.retry_budget.settings = RetryBudgetSettings(0.0, 0.0, settings.slow_start_duration)
 
     patch.setattr(Router, "__init__", poor)
 
--- a/tests/rehearsal/test_mutants.py
+++ b/tests/rehearsal/test_mutants.py
@@ -13,6 +13,8 @@
 
 import pytest
 
+from tests.mutants import replace_method
+
 ROOT = Path(__file__).parent.parent.parent
 FOLDER = ROOT / "tests" / "mutants"
 MUTANTS = sorted(path.stem for path in FOLDER.glob("*.py") if not path.stem.startswith("__"))
@@ -81,5 +83,10 @@
     assert start([sys.executable, "-c", code]).stdout.split() == [b"False", b"False"]
 
 
+def test_a_mutant_of_a_method_that_is_gone_fails_to_start() -> None:
+    with pytest.raises(AttributeError):
+        replace_method(Run, "is_gone", lambda self: None)
+
+
 def test_there_are_enough_of_them() -> None:
     assert len(MUTANTS) >= 10
--- a/tests/rehearsal/virtual/test_explore.py
+++ b/tests/rehearsal/virtual/test_explore.py
@@ -11,6 +11,7 @@
 from hypothesis import strategies as st
 from ironrail.policy.events import AttemptEnded, AttemptStatus
 from ironrail.policy.router import Router
+from ironrail.policy.state import AttemptId
 from ironrail.rehearsal.faults.plan import make_plan
 from ironrail.rehearsal.scenario.faults import FaultKind
 from ironrail.rehearsal.scenario.model import Scenario
@@ -79,15 +80,15 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """A module that goes on counting what a reset has ended."""
-    on_outcome = Router._on_outcome
+    on_outcome = Router._on_attempt_ended
 
     def forgetful(self: Router, event: AttemptEnded) -> None:
-        attempt = self.attempts.out.get((event.request_id, event.attempt_number))
+        attempt = self.attempts_in_flight.get(AttemptId(event.request_id, event.attempt_number))
         on_outcome(self, event)
         if attempt is not None and event.status is AttemptStatus.RESET:
             attempt.server.in_flight += 1
 
-    monkeypatch.setattr(Router, "_on_outcome", forgetful)
+    monkeypatch.setattr(Router, "_on_attempt_ended", forgetful)
     found: list[Finding] = []
     for seed in range(30):
         found += [f for f in look_at(draw_world(seed), seed)[0].findings if f.kind == "load"]
--- a/tests/test_asking.py
+++ b/tests/test_asking.py
@@ -16,6 +16,7 @@
 from ironrail.policy.endpoints import EndpointListKind
 from ironrail.policy.events import AttemptStatus, EndpointListUpdate
 from ironrail.policy.settings import Settings
+from ironrail.policy.timers import EndpointListPollDue
 
 from tests.driver import Driver, entry, settings
 
@@ -237,7 +238,7 @@
         before = dict(d.router.servers)
         actions = d.feed(EndpointListUpdate(EndpointListKind.RELOCATED))
         assert d.router.servers == before
-        pauses += [a.delay for a in actions if isinstance(a, SetTimer) and a.token == "list"]
+        pauses += [a.delay for a in actions if isinstance(a, SetTimer) and a.timer == EndpointListPollDue()]
     assert len(pauses) == 40
     assert max(sum(at <= pause < at + 1 for pause in pauses) for at in pauses) <= 13
     assert max(pauses) <= IN_TIME * 10.0
--- a/tests/test_simhost.py
+++ b/tests/test_simhost.py
@@ -10,11 +10,12 @@
 from typing import Any
 
 import pytest
-from ironrail import simhost
 from ironrail.policy.actions import LogMessage, SendAttempt
 from ironrail.policy.settings import Idempotency, IdempotencyScope, RetryBudgetSettings
+from ironrail.policy.timers import EndpointListPollDue, HedgeDue, OriginPauseEnded, QueueWaitExpired, Timer
 from ironrail.settings import read_settings
-from ironrail.simhost import Host, WireError
+from ironrail.simhost import SimulatorHost
+from ironrail.simulator_wire import ATTEMPT_STATUSES, WireError, decode_timer, encode_timer, write_action
 
 ROOT = Path(__file__).parent.parent
 CONF: dict[str, Any] = {
@@ -41,15 +42,15 @@
     return {**base, "server": server, "weight": 1.0, **fields}
 
 
-def play(host: Host, t: float, *news: dict[str, Any]) -> list[dict[str, Any]]:
+def play(host: SimulatorHost, t: float, *news: dict[str, Any]) -> list[dict[str, Any]]:
     line = json.dumps({"t": t, "news": [{"routerId": 3, **e} for e in news]}).encode()
-    commands = json.loads(host.batch(line))["cmds"]
+    commands = json.loads(host.answer_batch(line))["cmds"]
     assert all(c.pop("routerId") == 3 for c in commands)
     return list(commands)
 
 
-def born(**changes: Any) -> Host:
-    host = Host()
+def born(**changes: Any) -> SimulatorHost:
+    host = SimulatorHost()
     lines = [row("a"), row("o", "store")]
     commands = play(
         host,
@@ -130,7 +131,7 @@
 def test_unusable_settings_name_the_field(
     change: dict[str, Any], field: str, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    (fault,) = play(Host(), 1.0, {"op": "Born", "initSeed": 1, "conf": {**CONF, **change}})
+    (fault,) = play(SimulatorHost(), 1.0, {"op": "Born", "initSeed": 1, "conf": {**CONF, **change}})
     assert fault["op"] == "InternalError" and field in fault["line"]
     assert field in capsys.readouterr().err
 
@@ -142,13 +143,13 @@
     assert play(host, 1.3, done("1", 1, "delivered", True)) == []
 
 
-@pytest.mark.parametrize("outcome", sorted(simhost.STATUSES))
+@pytest.mark.parametrize("outcome", sorted(ATTEMPT_STATUSES))
 def test_every_outcome_is_taken(outcome: str) -> None:
     host = born()
     play(host, 1.1, ask("1"))
     play(host, 1.2, done("1", 0, outcome, outcome == "delivered"))
     router = host.routers[3]
-    assert sum(s.in_flight for s in router.servers.values()) == len(router.attempts.out) <= 1
+    assert sum(s.in_flight for s in router.servers.values()) == len(router.attempts_in_flight) <= 1
 
 
 def test_every_list_kind_and_state_is_taken() -> None:
@@ -164,6 +165,25 @@
     assert sends(play(host, 2.2, ask("2"))) == ["z"]
 
 
+@pytest.mark.parametrize(
+    ("timer", "context"),
+    [
+        (HedgeDue("1", 2), "late:1:2"),
+        (HedgeDue("a:b", 0), "late:a:b:0"),
+        (QueueWaitExpired("a:b"), "wait:a:b"),
+        (EndpointListPollDue(), "list"),
+        (OriginPauseEnded(), "origin"),
+    ],
+)
+def test_a_timer_has_one_context_on_the_wire(timer: Timer, context: str) -> None:
+    assert encode_timer(timer) == context
+    assert decode_timer(context) == timer
+
+
+def test_a_wake_with_an_unknown_context_is_passed_over() -> None:
+    assert play(born(), 1.1, {"op": "Wake", "ctx": "odd"}, {"op": "Wake", "ctx": "late:1:0"}) == []
+
+
 def test_client_gone_cancels() -> None:
     host = born()
     play(host, 1.1, ask("1"))
@@ -195,11 +215,11 @@
 
 
 def test_actions_in_wire_form() -> None:
-    send = simhost.WRITERS[SendAttempt](SendAttempt("1", "a", 0.5))
+    send = write_action(SendAttempt("1", "a", 0.5))
     assert send == {"op": "Send", "ticket": "1", "server": "a", "timeout": 0.5}
-    begins_at_once = simhost.WRITERS[SendAttempt](SendAttempt("1", "a", send_within=0.3))
+    begins_at_once = write_action(SendAttempt("1", "a", send_within=0.3))
     assert begins_at_once == {"op": "Send", "ticket": "1", "server": "a"}
-    assert simhost.WRITERS[LogMessage](LogMessage("x")) == {"op": "Record", "line": "x"}
+    assert write_action(LogMessage("x")) == {"op": "Record", "line": "x"}
 
 
 @pytest.mark.parametrize(
@@ -218,7 +238,7 @@
 )
 def test_malformed_lines_are_told_plainly(line: bytes) -> None:
     with pytest.raises(WireError):
-        Host().batch(line)
+        SimulatorHost().answer_batch(line)
 
 
 def run(stdin: bytes, hash_seed: str = "0") -> subprocess.CompletedProcess[bytes]:
--- a/tests/test_told_in_time.py
+++ b/tests/test_told_in_time.py
@@ -159,7 +159,7 @@
     d = Driver(settings(polls_endpoint_list=True, router_count=200, poll_interval=10.0))
     d.list(*(entry(name) for name in "ab"))
     d.feed(EndpointListUpdate(EndpointListKind.RELOCATED))
-    asking = d.router.asking
+    asking = d.router.discovery_freshness
     assert asking.proof_from(d.now + 2.9) == -math.inf
     assert asking.proof_from(d.now + 3.0) == d.now  # a second early
     assert asking.proof_from(d.now + 20.0) == d.now + 20.0 - UNTOLD
