--- a/ironrail/net/config.py
+++ b/ironrail/net/config.py
@@ -12,7 +12,7 @@
 from ironrail.net.discovery.endpoint_list import read_address
 from ironrail.net.system import Address
 from ironrail.policy.settings import Settings
-from ironrail.settings import number, read_settings, section
+from ironrail.settings import read_number, read_section, read_settings
 
 
 class ConfigError(InputError):
@@ -61,15 +61,17 @@
 
 def config_of_table(table: dict[str, Any], environ: dict[str, str]) -> Config:
     """The configuration that a table holds; what it leaves out the environment may name."""
-    conf = section(table, "settings")
+    conf = read_section(table, "settings")
     settings = read_settings(conf)
     return Config(
         listen=_address(table, "listen", environ.get("NODE_LISTEN")),
         discovery=_address(table, "discovery", environ.get("NODE_DISCOVERY")),
         seed=_seed(table),
-        sockets=int(number(section(table, "limits"), "sockets", 1024, "limits.", 64)),
-        memory=int(number(section(table, "limits"), "memory_mb", 192, "limits.", 16) * 1024**2),
-        streams=int(number(section(conf, "limits"), "multiplex", 1, "limits.", 1)),
+        sockets=int(read_number(read_section(table, "limits"), "sockets", 1024, "limits.", 64)),
+        memory=int(
+            read_number(read_section(table, "limits"), "memory_mb", 192, "limits.", 16) * 1024**2
+        ),
+        streams=int(read_number(read_section(conf, "limits"), "multiplex", 1, "limits.", 1)),
         known=table.get("known"),
         settings=settings,
         operator=_operator(table, environ.get("NODE_OPERATOR")),
