--- a/benchmarks/experiment_kills.py
+++ b/benchmarks/experiment_kills.py
@@ -24,7 +24,7 @@
 name = "now"
 [[variant]]
 name = "spill"
-set = {{ "ironrail.policy.candidate_selection.SPILL" = 1 }}
+set = {{ "ironrail.policy.candidate_selection.MAX_VISITED_SERVERS" = 1 }}
 [[worlds]]
 name = "tiny"
 scenario = "{world}"
--- a/ironrail/policy/candidate_selection.py
+++ b/ironrail/policy/candidate_selection.py
@@ -1,119 +1,178 @@
-"""The bounded walk: a key goes clockwise to the first server that may take it and has less than its share."""
+"""Consistent hashing with bounded loads: choose the cache that a request is sent to.
+
+Servers are considered clockwise from the key. The first eligible one below the bounded load is
+chosen; the others are passed over for the reasons in `Verdict`.
+"""
 
 from __future__ import annotations
 
 import math
 from bisect import bisect_left
+from collections.abc import Iterator
+from dataclasses import dataclass, field
+from enum import Enum, auto
 
 from ironrail.policy.concurrency_limit import ConcurrencyLimiter
+from ironrail.policy.connection_health import ConnectionHealth
 from ironrail.policy.discovery_freshness import DiscoveryFreshness
-from ironrail.policy.hash_ring import EPSILON, HashRing
-from ironrail.policy.outlier_detection import SIGN, OutlierDetection
+from ironrail.policy.hash_ring import BOUNDED_LOAD_MARGIN_RATIO, HashRing
 from ironrail.policy.retry_policy import RetryPolicy
 from ironrail.policy.slow_start import SlowStart
 from ironrail.policy.state import PendingRequest, Server
 from ironrail.policy.zone_latency import ZoneLatency
 
-# standard deviations that the cap leaves to chance: small counts tripped it and split keys
-CHANCE = 2.0
-# servers a key may visit: further on they lack it; with 2 many were refused beside idle ones
-SPILL = 3
+# standard deviations above the mean load: with few requests in flight chance would split keys
+LOAD_DEVIATION_FACTOR = 2.0
+MAX_VISITED_SERVERS = 3  # that a key may try in turn: servers further on do not have it cached
+CONNECTED_FIRST_FRACTION = 1 / 4  # of the ring, searched for open connections
+
+
+class Verdict(Enum):
+    """What becomes of one server in the search for a candidate."""
+
+    CHOSEN = auto()
+    OVER_BOUNDED_LOAD = auto()  # counts as visited, and may still be chosen
+    AT_CONCURRENCY_LIMIT = auto()  # counts as visited
+    INELIGIBLE = auto()
+    LAST_RESORT = auto()  # ejected, cut off or not connected: only where there is no other
+
+
+@dataclass(slots=True)
+class Search:
+    """The state of one search along the ring."""
+
+    now: float
+    pending: PendingRequest
+    time_left: float  # seconds in which the answer must be back; infinite if that is no criterion
+    max_in_flight: int  # the bounded load
+    connected_first: int  # servers without an open connection that are put off
+    visited: set[str] = field(default_factory=set)
+    ineligible: set[str] = field(default_factory=set)
+    last_resorts: dict[str, Server] = field(default_factory=dict)
 
 
 class CandidateSelection:
-    """Chooses a cache for a request; each part tells what it knows of one."""
+    """Chooses a cache by the ring, and by what each module of the policy knows of it."""
 
     def __init__(
         self,
         servers: dict[str, Server],
         ring: HashRing,
-        attempts: RetryPolicy,
-        limits: ConcurrencyLimiter,
-        cold: SlowStart,
-        health: OutlierDetection,
-        asking: DiscoveryFreshness,
-        links: ZoneLatency,
+        retry_policy: RetryPolicy,
+        concurrency_limiter: ConcurrencyLimiter,
+        slow_start: SlowStart,
+        connections: ConnectionHealth,
+        freshness: DiscoveryFreshness,
+        zone_latency: ZoneLatency,
     ) -> None:
-        self.servers, self.ring, self.attempts = servers, ring, attempts
-        self.limits, self.cold, self.health, self.asking = limits, cold, health, asking
-        self.links = links
-
-    def choose(self, now: float, held: PendingRequest) -> Server | None:
-        """The first that can answer in time over its link; where none can, the first of all."""
-        near = self._first(now, held, held.give_up_at - now) if self.links.known else None
-        if near is None or now < near.ejected_until or self.links.cut(near):
-            return self._first(now, held, math.inf)
-        return near
-
-    def _first(self, now: float, held: PendingRequest, left: float) -> Server | None:
-        """First eligible server clockwise, in time by its link, under the cap or met twice; or the last."""
-        places, servers, health, known = (
-            self.ring.places,
-            self.servers,
-            self.health,
-            self.links.known,
+        self.servers = servers
+        self.ring = ring
+        self.retry_policy = retry_policy
+        self.concurrency_limiter = concurrency_limiter
+        self.slow_start = slow_start
+        self.connections = connections
+        self.freshness = freshness
+        self.zone_latency = zone_latency
+
+    def choose(self, now: float, pending: PendingRequest) -> Server | None:
+        """Return the first candidate whose answer can be back in time, else the first of all.
+
+        None where every server that the key may go to is ineligible or at its limit.
+        """
+        nearby = None
+        if self.zone_latency.has_links:
+            nearby = self._search(now, pending, pending.give_up_at - now)
+        if nearby is None or now < nearby.ejected_until or self.zone_latency.is_cut(nearby):
+            return self._search(now, pending, math.inf)
+        return nearby
+
+    def _search(self, now: float, pending: PendingRequest, time_left: float) -> Server | None:
+        """Return the first server to be chosen, else one over its bounded load, else a last resort."""
+        search = Search(
+            now, pending, time_left, self._bounded_load(), self._count_connected_first()
         )
-        count, among = len(places), len(self.ring.points)
-        start = bisect_left(places, (self.ring.hash(held.key), ""))
-        mean = (
-            self.attempts.ring_load + 1
-        ) / among  # with this one, as a cap of 0 would pass over all
-        cap = math.ceil((1 + EPSILON) * mean + CHANCE * math.sqrt(mean))
-        # guards open connections while connects are in vain: servers with one first, for part of the ring
-        linked_first = among // 4 if health.signs["vain"] > SIGN else 0
-        passed: set[str] = set()
-        visited: set[str] = set()
-        barred: set[str] = set()
-        spare: dict[str, Server] = {}
-        last = None
-        for step in range(start, start + count):
-            name = places[step % count][1]
-            if len(passed) < held.hot_key_offset:
-                passed.add(name)
-                continue
-            if (
-                name in barred or name in spare
-            ):  # a server is looked at once, not at each of its points
-                continue
-            server = servers[name]
-            if left < math.inf and self.links.too_far(server, left):
-                barred.add(name)  # not counted: what is lost to a link is not crowded
+        over_load = None
+        for name in self._clockwise(pending):
+            if name in search.ineligible or name in search.last_resorts:
                 continue
-            cut = known and self.links.cut(server)
-            if not self._eligible(now, held, server):
-                barred.add(name)
-                if cut or not self.limits.full(now, server):
-                    continue  # not counted: a cold server within its budget, or one that was tried
-            elif (
-                cut
-                or now < server.ejected_until
-                or len(spare) < linked_first
-                and not health.linked(now, server)
-            ):
-                spare[name] = server  # for want of others
+            server = self.servers[name]
+            verdict = self._judge(search, server)
+            if verdict is Verdict.CHOSEN:
+                return server
+            if verdict is Verdict.LAST_RESORT:
+                search.last_resorts[name] = server
                 continue
+            if verdict is Verdict.OVER_BOUNDED_LOAD:
+                over_load = server
             else:
-                last = server
-                if server.in_flight < cap or name in visited:
-                    return server
-            visited.add(name)
-            if len(visited) >= SPILL:
+                search.ineligible.add(name)
+            if verdict is not Verdict.INELIGIBLE:
+                search.visited.add(name)
+            if len(search.visited) >= MAX_VISITED_SERVERS:
                 break
-        return last or (None if visited else next(iter(spare.values()), None))
+        if over_load is not None or search.visited:
+            return over_load
+        return next(iter(search.last_resorts.values()), None)
+
+    def _bounded_load(self) -> int:
+        """Return how many attempts may be in flight at a server before a key passes it."""
+        # including this request, as a bound of 0 would pass over all servers
+        mean = (self.retry_policy.ring_load + 1) / len(self.ring.virtual_node_counts)
+        return math.ceil(
+            (1 + BOUNDED_LOAD_MARGIN_RATIO) * mean + LOAD_DEVIATION_FACTOR * math.sqrt(mean)
+        )
 
-    def _eligible(self, now: float, held: PendingRequest, server: Server) -> bool:
-        """Whether a server may take the request now."""
-        if self.limits.full(now, server) or any(
-            a.server is server and not a.connection_broke for a in held.attempts
+    def _count_connected_first(self) -> int:
+        """Return how many servers to put off in search of an open connection, if connects fail."""
+        if not self.connections.connects_time_out:
+            return 0
+        return int(CONNECTED_FIRST_FRACTION * len(self.ring.virtual_node_counts))
+
+    def _clockwise(self, pending: PendingRequest) -> Iterator[str]:
+        """Yield the server of each virtual node from the key on, without the hot-key offset."""
+        nodes = self.ring.virtual_nodes
+        start = bisect_left(nodes, (self.ring.hash(pending.key), ""))
+        skipped: set[str] = set()
+        for step in range(start, start + len(nodes)):
+            _, name = nodes[step % len(nodes)]
+            if len(skipped) < pending.hot_key_offset:
+                skipped.add(name)
+            else:
+                yield name
+
+    def _judge(self, search: Search, server: Server) -> Verdict:
+        """Decide whether a server is chosen, and if not, how it is passed over."""
+        now = search.now
+        if search.time_left < math.inf and self.zone_latency.is_too_far(server, search.time_left):
+            return Verdict.INELIGIBLE
+        is_cut = self.zone_latency.has_links and self.zone_latency.is_cut(server)
+        if not self._is_eligible(now, search.pending, server):
+            # a server beyond a cut link is not busy, so its keys may go on
+            is_visit = not is_cut and self.concurrency_limiter.is_full(now, server)
+            return Verdict.AT_CONCURRENCY_LIMIT if is_visit else Verdict.INELIGIBLE
+        if is_cut or now < server.ejected_until:
+            return Verdict.LAST_RESORT
+        if len(search.last_resorts) < search.connected_first and not self.connections.is_connected(
+            now, server
         ):
+            return Verdict.LAST_RESORT
+        if server.in_flight < search.max_in_flight or server.endpoint.name in search.visited:
+            return Verdict.CHOSEN
+        return Verdict.OVER_BOUNDED_LOAD
+
+    def _is_eligible(self, now: float, pending: PendingRequest, server: Server) -> bool:
+        """Return whether a server may take the request now, whatever its load."""
+        if self.concurrency_limiter.is_full(now, server):
             return False
-        if (
-            self.links.known and self.links.suspected(server) and held.open_attempts()
-        ):  # no second copy there
+        if any(a.server is server and not a.connection_broke for a in pending.attempts):
             return False
-        if not self.asking.trusts(now, server):
+        is_hedge = pending.open_attempts() > 0
+        if is_hedge and self.zone_latency.has_links and self.zone_latency.is_suspected(server):
             return False
-        cost, cold = held.request.work_hint or 1.0, self.cold.share(now, server) < 1.0
-        if cold and not self.cold.bears(now, server, cost, self.ring.weight(server)):
+        if not self.freshness.is_usable(now, server):
             return False
-        return self.attempts.permits(now, held, server)
+        if self.slow_start.capacity_fraction(now, server) < 1.0:
+            cost = pending.request.work_hint or 1.0
+            if not self.slow_start.admits(now, server, cost, self.ring.relative_weight(server)):
+                return False
+        return self.retry_policy.permits(now, pending, server)
--- a/ironrail/policy/concurrency_limit.py
+++ b/ironrail/policy/concurrency_limit.py
@@ -1,4 +1,4 @@
-"""How much this router may have out at each server, learned from its answers."""
+"""Adaptive concurrency limit: additive growth, multiplicative decrease, per server and router."""
 
 from __future__ import annotations
 
@@ -7,87 +7,114 @@
 
 from ironrail.policy.actions import Action, SetTimer
 from ironrail.policy.events import AttemptEnded, AttemptStatus
-from ironrail.policy.hash_ring import CROWD
+from ironrail.policy.hash_ring import NUM_ROUTERS_PER_SUBSET
 from ironrail.policy.settings import Settings
-from ironrail.policy.state import ANSWERED, SMOOTHING, Attempt, Server
+from ironrail.policy.state import ANSWERED, SERVED, SMOOTHING, Attempt, Server
 
-ORIGIN_CROWD = 32  # routers with a fetch each that the origin bears
-# by each good answer till the first cut: a restart under load can't wait for seconds
-FIRST_GROWTH = 1.0
-LIMIT_LEAST = (
-    1 / 4
-)  # at the origin where routers are many; they still learn of its return within seconds
-# soon enough to empty a crowded server within a few rounds; a tenth took many seconds
-LIMIT_CUT = 0.75
+NUM_ROUTERS_PER_ORIGIN = 32  # routers with a fetch each that the origin can serve
+# for each success before the first decrease: a restart under load must not take seconds
+INITIAL_GROWTH_LIMIT = 1.0
+MIN_ORIGIN_LIMIT = 1 / 4  # keeps attempts frequent enough to find the origin recovered
+MULTIPLICATIVE_DECREASE_FACTOR = 0.75
+MIN_UTILIZATION_RATIO = 1 / 2  # of the limit in use, for an answer to show that more is possible
+FAST_REFUSAL_FACTOR = 2  # times the timer resolution in which a stopped process refuses a connect
 
 
 class ConcurrencyLimiter:
-    """Limits of what is out, and what lingers at servers after it was given up."""
+    """Limits the attempts in flight at each server, and tracks abandoned ones."""
 
     def __init__(self, settings: Settings) -> None:
-        # where few routers share a server each has enough out there to learn by; with many it has one or two
-        self.crowd = settings.router_count >= CROWD
-        # at the origin, a limit and a step
-        self._least = max(LIMIT_LEAST, min(1.0, ORIGIN_CROWD / settings.router_count))
-        self._tick = settings.timer_resolution
-
-    def full(self, now: float, server: Server) -> bool:
-        """Whether it has all that may be out, with what was given up: it is worked on all the same."""
+        # with many routers each has one or two attempts at a server, too few to learn from
+        self.servers_are_shared = settings.router_count >= NUM_ROUTERS_PER_SUBSET
+        # minimum and growth step at the origin, which all routers share
+        self._origin_share = max(
+            MIN_ORIGIN_LIMIT, min(1.0, NUM_ROUTERS_PER_ORIGIN / settings.router_count)
+        )
+        self._timer_resolution = settings.timer_resolution
+
+    def is_full(self, now: float, server: Server) -> bool:
+        """Return whether a server is at its limit, counting abandoned attempts still in work."""
         while server.abandoned and server.abandoned[0][1] <= now:
             server.abandoned.popleft()
         return server.in_flight + len(server.abandoned) >= server.concurrency_limit
 
-    def linger(self, now: float, attempt: Attempt, status: AttemptStatus) -> None:
-        """Guards servers that go on with what was given up: hundreds of routers kept queues of it full."""
+    def track_abandoned(self, now: float, attempt: Attempt, status: AttemptStatus) -> None:
+        """Count an attempt that was given up until the server is done with it, as it works on it.
+
+        Servers take requests in turn, so an answer shows that all sent before it are done. A
+        rejection shows nothing, as it overtakes queued requests.
+        """
         server = attempt.server
         if status in (AttemptStatus.TIMEOUT, AttemptStatus.CANCELLED):
             server.abandoned.append((attempt.sent_at, now + attempt.latency_objective))
-        # it takes them in turn, so what was sent before is done; one that is full answers out of turn
         elif status in ANSWERED and status is not AttemptStatus.BUSY and server.abandoned:
-            server.abandoned = deque(x for x in server.abandoned if x[0] > attempt.sent_at)
-
-    def learn(self, now: float, attempt: Attempt, event: AttemptEnded, out: list[Action]) -> None:
-        """Adapt what this router has out at a server: less when it is slow or full, else a little more."""
-        server, status, latency = attempt.server, event.status, event.latency
-        # an origin that stopped refuses at once; behind a cut a connect takes longer to fail
-        shut = status is AttemptStatus.CONNECT_FAILED and latency <= 2 * self._tick
-        refused = status is AttemptStatus.BUSY or shut and not server.is_cache
-        server.mean_latency += 0.0 if refused else SMOOTHING * (latency - server.mean_latency)
-        # on average, as one heavy request says nothing of a server
-        server.slowness += SMOOTHING * (
-            max(0.0, latency - attempt.link_delay) / attempt.latency_target - server.slowness
-        )
-        if refused or server.slowness > 1.0:
-            if now - server.limit_cut_at > attempt.latency_target:
-                least = (
-                    min(1.0, server.concurrency_limit)
-                    if server.is_cache or not refused
-                    else self._least
-                )
-                # of a crowd none has many out: a limit far above that bounds nothing, for many cuts
-                used = (
-                    min(server.concurrency_limit, server.in_flight + 1)
-                    if self.crowd and not refused
-                    else server.concurrency_limit
-                )
-                server.concurrency_limit = max(least, used * LIMIT_CUT)
-                server.limit_cut_at = now
-            if (
-                refused or self.crowd and server.is_cache and attempt.unanswered
-            ):  # what is out now is what it bears
-                server.concurrency_limit = min(server.concurrency_limit, max(1.0, server.in_flight))
+            server.abandoned = deque(
+                (sent_at, until) for sent_at, until in server.abandoned if sent_at > attempt.sent_at
+            )
+
+    def on_attempt_ended(
+        self, now: float, attempt: Attempt, event: AttemptEnded, actions: list[Action]
+    ) -> None:
+        """Adapt a server's limit: down when it is slow or rejects, else up a little."""
+        server = attempt.server
+        rejected = self._is_rejection(server, event)
+        self._update_latency(attempt, event.latency, rejected)
+        if rejected or server.slowness > 1.0:
+            self._decrease(now, attempt, rejected)
         elif (
-            status in (AttemptStatus.OK, AttemptStatus.MISS)
-            and server.in_flight + 1 >= server.concurrency_limit / 2
+            event.status in SERVED
+            and server.in_flight + 1 >= server.concurrency_limit * MIN_UTILIZATION_RATIO
         ):
-            # of the origin there is one for all routers
-            first = FIRST_GROWTH if server.is_cache else FIRST_GROWTH * self._least
-            server.concurrency_limit += min(
-                server.concurrency_limit,
-                1 / server.concurrency_limit if server.limit_cut_at > -math.inf else first,
-            )
-        if (
-            server.concurrency_limit < 1.0
-        ):  # hundreds of routers with one fetch each are too many: kept by pauses
-            server.paused_until = now + attempt.latency_target * (1 / server.concurrency_limit - 1)
-            out.append(SetTimer(server.paused_until - now, "origin"))
+            self._increase(server)
+        if server.concurrency_limit < 1.0:
+            # less than one attempt at a time is a pause between attempts
+            pause = attempt.latency_target * (1 / server.concurrency_limit - 1)
+            server.paused_until = now + pause
+            actions.append(SetTimer(server.paused_until - now, "origin"))
+
+    def _is_rejection(self, server: Server, event: AttemptEnded) -> bool:
+        """Return whether the server turned the attempt away, or is an origin that has stopped.
+
+        A stopped process refuses connects at once; over a cut link they take longer to fail.
+        """
+        if event.status is AttemptStatus.BUSY:
+            return True
+        if server.is_cache or event.status is not AttemptStatus.CONNECT_FAILED:
+            return False
+        return event.latency <= FAST_REFUSAL_FACTOR * self._timer_resolution
+
+    def _update_latency(self, attempt: Attempt, latency: float, rejected: bool) -> None:
+        """Update the smoothed latency, and its ratio to the target, by an attempt of `latency` s."""
+        server = attempt.server
+        if not rejected:
+            server.mean_latency += SMOOTHING * (latency - server.mean_latency)
+        ratio = max(0.0, latency - attempt.link_delay) / attempt.latency_target
+        server.slowness += SMOOTHING * (ratio - server.slowness)
+
+    def _decrease(self, now: float, attempt: Attempt, rejected: bool) -> None:
+        """Reduce the limit, at most once in a latency target."""
+        server = attempt.server
+        if now - server.limit_cut_at > attempt.latency_target:
+            base = server.concurrency_limit
+            if self.servers_are_shared and not rejected:
+                # a limit far above what is in flight would need many decreases to have an effect
+                base = min(base, server.in_flight + 1)
+            minimum = min(1.0, server.concurrency_limit)
+            if rejected and not server.is_cache:
+                minimum = self._origin_share
+            server.concurrency_limit = max(minimum, base * MULTIPLICATIVE_DECREASE_FACTOR)
+            server.limit_cut_at = now
+        is_overloaded = self.servers_are_shared and server.is_cache and attempt.unanswered
+        if rejected or is_overloaded:
+            # what is in flight now is what the server can take
+            server.concurrency_limit = min(server.concurrency_limit, max(1.0, server.in_flight))
+
+    def _increase(self, server: Server) -> None:
+        """Raise the limit: by 1 in a round of answers, faster before the first decrease."""
+        if server.limit_cut_at > -math.inf:
+            step = 1 / server.concurrency_limit
+        elif server.is_cache:
+            step = INITIAL_GROWTH_LIMIT
+        else:
+            step = INITIAL_GROWTH_LIMIT * self._origin_share
+        server.concurrency_limit += min(server.concurrency_limit, step)
--- a/ironrail/policy/discovery_freshness.py
+++ b/ironrail/policy/discovery_freshness.py
@@ -1,7 +1,8 @@
-"""When a router asks for the list of servers, where it has to ask and one service tells all routers. Pure.
+"""Freshness of the endpoint list: when to poll for it, and which servers to use when it is stale.
 
-The service has a place for few calls. One that waits too long is refused, but worked off all the same, so
-routers that call too fast get no answers. Calls are spread by their number, and further after each failure.
+All routers poll one service that works through few calls. A call that waits too long there is
+refused, but worked off all the same, so routers that poll too fast get no answers. Polls are
+therefore spread by the number of routers, and further after each failure.
 """
 
 from __future__ import annotations
@@ -9,107 +10,125 @@
 import math
 import random
 
+from ironrail.policy.backoff import MAX_BACKOFF_DOUBLINGS, with_jitter
 from ironrail.policy.endpoints import EndpointListKind
 from ironrail.policy.settings import Settings
 from ironrail.policy.state import Server
 
-CROWD = 4  # routers that may ask at once; more than that wear out whoever tells the list
-# of the shortest window in which a server falls, for each router beyond: calls in turn
-SPREAD = 0.3
-# times the interval in which the list must be asked for that may pass once a call failed
-AFTER_FAILURE = 4.0
-IN_TIME = 0.7  # of it, as a call takes its time
-# seconds, where few ask: the bound on news leaves no more, see `net/discovery/watcher.py`
-MOST_PAUSE = 0.5
-# Of more than those the calls can't fit in: in turn they make 1 / SPREAD = 3.3 a second, 20 within 6 s.
-UNTOLD = 5.0  # seconds until only proof is trusted: news counts as told after 6, whatever became of calls
-# after a silent watch was given up, so long after its wait: it counts 2 s after that
-UNTOLD_SILENT = 0.5
-UNTOLD_MOVED = 3.0  # after the list moved: it counts 4 s later
-# calls after a silent watch that are not put off for others: the second if the first fails
-AT_ONCE = 2
-NO_LIST = (
+NUM_CONCURRENT_POLLERS = 4  # routers that may poll at once
+POLL_SPREAD_RATIO = 0.3  # of the overload window, for each further router
+FAILED_POLL_INTERVAL_FACTOR = 4.0  # times the poll interval that may pass after a failure
+POLL_INTERVAL_FRACTION = 0.7  # leaves time for the call itself
+# where few routers poll; with `net/discovery/watcher.py` it keeps within MAX_STALENESS_SECONDS
+MAX_BACKOFF_SECONDS = 0.5
+BACKOFF_WINDOW_RATIO = 1 / 4  # of the overload window, doubled from the first failure on
+# A change counts as known 6 s after it was missed, 2 s after a watch timed out, and 4 s after
+# the list moved. These leave a second, or the time that the watch waited.
+MAX_STALENESS_SECONDS = 5.0
+WATCH_TIMEOUT_STALENESS_SECONDS = 0.5
+RELOCATION_STALENESS_SECONDS = 3.0
+NUM_IMMEDIATE_POLLS = 2  # after a watch timed out, without backoff
+FAILED_UPDATES = (
     EndpointListKind.FAILED,
     EndpointListKind.MALFORMED,
     EndpointListKind.WATCH_TIMED_OUT,
-)  # how a call may have failed
-MOST_DOUBLINGS = 1000  # guards against overflow, which ended all service after some hours
+)
 
 
 class DiscoveryFreshness:
-    """One router's calls for the list."""
+    """The poll schedule of one router, and how far it may rely on its endpoint list."""
 
     def __init__(self, settings: Settings) -> None:
         self._settings = settings
-        crowd = max(0, settings.router_count - CROWD) if settings.polls_endpoint_list else 0
-        self.spread = (
-            SPREAD * settings.overload_window * crowd
-        )  # seconds in which all may have called once
-        # in which the list is to be asked for; where no rule says so, as soon as a server may be warm again
-        self._interval = (
-            settings.poll_interval
-            if settings.poll_interval < math.inf
-            else settings.slow_start_duration
-        )
-        self.told()
-
-    def told(self) -> None:
-        """A list came that could be used."""
+        waiting_routers = 0
+        if settings.polls_endpoint_list:
+            waiting_routers = max(0, settings.router_count - NUM_CONCURRENT_POLLERS)
+        # seconds in which all routers poll once
+        self.poll_spread = POLL_SPREAD_RATIO * settings.overload_window * waiting_routers
+        # seconds in which the list must be polled; without a rule, in which a server may warm up
+        self._poll_interval = settings.poll_interval
+        if settings.poll_interval == math.inf:
+            self._poll_interval = settings.slow_start_duration
+        self.on_update()
+
+    def on_update(self) -> None:
+        """Reset: a usable list arrived."""
         self.failures = 0  # in a row
-        self._spoilt = False  # an answer was, and no list came since
-        self._at_once = 0  # calls that are due without a pause
-        self._unsure_at, self._binds_at = (
-            -math.inf,
-            math.inf,
-        )  # news was missed then, is told from then on
-
-    def first(self, draws: random.Random) -> float:
-        """Seconds until the first call: routers that start together don't ask together."""
-        most = min(self.spread, IN_TIME * self._interval)
-        return most * draws.random() if most else 0.0
-
-    def proof_from(self, now: float) -> float:
-        """News that never came counts as told. One that drains turns away what is new: who served did not."""
-        return max(self._unsure_at, now - UNTOLD) if now >= self._binds_at else -math.inf
-
-    def trusts(self, now: float, server: Server) -> bool:
-        """Whether a server may be sent to; one that was lost may be listed as gone, though it is back."""
-        lost = now >= self._binds_at and server.connect_failed_at >= self._unsure_at
-        return not lost and server.proven_at >= self.proof_from(now)
-
-    def failed(
-        self, now: float, how: EndpointListKind, draws: random.Random, unsure: float | None = None
+        self._was_malformed = False
+        self._immediate_polls = 0  # left without backoff
+        self._uncertain_since = -math.inf  # a change may have been missed from then on
+        self._stale_at = math.inf  # from when on a missed change must have taken effect
+
+    def initial_delay(self, draws: random.Random) -> float:
+        """Return the seconds before the first poll, random as routers start together."""
+        max_delay = min(self.poll_spread, POLL_INTERVAL_FRACTION * self._poll_interval)
+        return max_delay * draws.random() if max_delay else 0.0
+
+    def require_success_since(self, now: float) -> float:
+        """Return the time since when a server must have served an attempt to be used.
+
+        While the list is fresh this is minus infinity. A draining server rejects new requests, so
+        one that served an attempt was not draining when that was sent.
+        """
+        if now < self._stale_at:
+            return -math.inf
+        return max(self._uncertain_since, now - MAX_STALENESS_SECONDS)
+
+    def is_usable(self, now: float, server: Server) -> bool:
+        """Return whether a server may be sent to, as far as the list and its answers show.
+
+        While the list is stale, a server that could not be connected to may have been removed,
+        even if connects succeed again.
+        """
+        is_stale = now >= self._stale_at
+        if is_stale and server.connect_failed_at >= self._uncertain_since:
+            return False
+        return server.proven_at >= self.require_success_since(now)
+
+    def on_failure(
+        self,
+        now: float,
+        kind: EndpointListKind,
+        draws: random.Random,
+        uncertain_for: float | None = None,
     ) -> float:
-        """Seconds until the next call, once one has failed; 0 for now.
+        """Return the seconds before the next poll after one that failed; 0 for now.
 
-        After a spoilt answer none is put off for the sake of others until there is a list, as its news counts
-        within seconds; after a silent watch not the first calls, which the watches' own waits have spread.
+        Args:
+            now: The time in seconds.
+            kind: How the poll failed.
+            draws: The random source of the jitter.
+            uncertain_for: Seconds in which a change may have been missed, None if none can be.
         """
-        self._spoilt |= how is EndpointListKind.MALFORMED
-        self._at_once = AT_ONCE if how is EndpointListKind.WATCH_TIMED_OUT else self._at_once
-        if unsure is not None or how is not EndpointListKind.FAILED:
-            self.missed(
-                now - (unsure or 0.0),
-                UNTOLD_SILENT if how is EndpointListKind.WATCH_TIMED_OUT else UNTOLD,
-            )
-        if self._at_once > 0:
-            self._at_once -= 1
+        self._was_malformed |= kind is EndpointListKind.MALFORMED
+        timed_out = kind is EndpointListKind.WATCH_TIMED_OUT
+        if timed_out:
+            self._immediate_polls = NUM_IMMEDIATE_POLLS
+        if uncertain_for is not None or kind is not EndpointListKind.FAILED:
+            staleness = WATCH_TIMEOUT_STALENESS_SECONDS if timed_out else MAX_STALENESS_SECONDS
+            self.mark_uncertain(now - (uncertain_for or 0.0), staleness)
+        if self._immediate_polls > 0:
+            # the waits of the watches have spread these
+            self._immediate_polls -= 1
             return 0.0
+        self.failures = min(self.failures + 1, MAX_BACKOFF_DOUBLINGS)
+        return with_jitter(self._backoff(), draws)
+
+    def _backoff(self) -> float:
+        """Return the longest backoff in seconds after the current number of failures."""
         conf = self._settings
-        self.failures = min(self.failures + 1, MOST_DOUBLINGS)
         doublings = 2.0**self.failures
-        few = not self.spread and self._binds_at < math.inf
-        pause = min(
-            MOST_PAUSE if few else conf.slow_start_duration, conf.overload_window / 4 * doublings
-        )
-        if (
-            not self._spoilt
-        ):  # twice the spread that proved too narrow: what was refused is still worked off
-            pause += self.spread * doublings
-        return min(pause, IN_TIME * AFTER_FAILURE * self._interval) * draws.uniform(0.5, 1.0)
-
-    def missed(self, since: float, untold: float) -> None:
-        """News was, maybe, since then; what there was then counts as told so much later."""
-        if self._binds_at == math.inf:
-            self._unsure_at = since
-        self._binds_at = min(self._binds_at, since + untold)
+        has_few_pollers = not self.poll_spread and self._stale_at < math.inf
+        max_backoff = MAX_BACKOFF_SECONDS if has_few_pollers else conf.slow_start_duration
+        backoff = min(max_backoff, conf.overload_window * BACKOFF_WINDOW_RATIO * doublings)
+        if not self._was_malformed:
+            # after a malformed answer the list is due within seconds, whoever else polls
+            backoff += self.poll_spread * doublings
+        max_interval = POLL_INTERVAL_FRACTION * FAILED_POLL_INTERVAL_FACTOR * self._poll_interval
+        return min(backoff, max_interval)
+
+    def mark_uncertain(self, since: float, staleness: float) -> None:
+        """Note that a change may have been missed since then, which binds `staleness` s later."""
+        if self._stale_at == math.inf:
+            self._uncertain_since = since
+        self._stale_at = min(self._stale_at, since + staleness)
--- a/ironrail/policy/hash_ring.py
+++ b/ironrail/policy/hash_ring.py
@@ -1,4 +1,4 @@
-"""Where keys have their place: a weighted ring of one part of the fleet, changed where the list changed."""
+"""Weighted consistent hashing over the subset of the fleet that this router sends to."""
 
 from __future__ import annotations
 
@@ -15,108 +15,151 @@
 from ironrail.policy.slow_start import SlowStart
 from ironrail.policy.state import Server
 
-RING_SIZE = 2**16  # positions on the ring, as the paper has it
-# virtual nodes shared out by weight, as the paper has it, in fleets of up to 10 servers
-TOTAL_POINTS = 150
-# and in larger ones this many a server: one point each made a server's share pure chance
-POINTS_EACH = 15
-EPSILON = 0.25  # a server may stand this far above the average load before the walk passes it
-# routers that share a server where connections are priced: who meets one seldom pays for a new one each time
-# and not fewer: each part fetches for itself what caches that restart together have lost
-CROWD = 10
-PART_LEAST = 10  # servers that a router keeps to all the same: a hall, and some lost besides, must not be all
-# of them may be left for a while, as in a release: with other parts most keys move
-PART_WANING = 0.7
-# own latest requests by which a key's popularity is judged; 16 and 32 do nearly as well
-RECENT = 64
+RING_POSITION_BYTES = 2  # 2**16 positions
+MIN_VIRTUAL_NODES = 150  # on the whole ring
+# with a single node each, the share of a server would be left to chance
+NUM_VIRTUAL_NODES_PER_SERVER = 15
+BOUNDED_LOAD_MARGIN_RATIO = 0.25  # load of a server above the mean before keys pass it
+NUM_ROUTERS_PER_SUBSET = 10  # routers that share a server where connections are costly
+MIN_SUBSET_SERVERS = 10  # more than one zone, so that the loss of a zone leaves some
+# a smaller loss, as in a release, keeps the subsets: most keys move when their number changes
+SUBSET_SHRINK_RATIO = 0.7
+NUM_RECENT_KEYS = 64  # latest requests of this router by which hot keys are found
+MAX_CACHED_HASHES = 2**12
+
+
+VirtualNode = tuple[int, str]  # its position on the ring, and the name of its server
 
 
 def ring_hash(text: str) -> int:
-    """Position of a key or a virtual node on the ring."""
-    return int.from_bytes(hashlib.md5(text.encode(), usedforsecurity=False).digest()[-2:], "big")
-
-
-def share_points(weights: dict[str, float]) -> dict[str, int]:
-    """Virtual nodes by weight: the floor of each share, leftovers by largest remainder, ties by id."""
-    given = [w for w in weights.values() if w > 0]
-    mean = sum(given) / len(given) if given else 1.0
-    shares = {
-        i: w if w > 0 else mean for i, w in weights.items()
-    }  # a missing weight counts as the mean
-    total = sum(shares.values())
-    wanted = max(TOTAL_POINTS, POINTS_EACH * len(weights))
-    exact = {i: w / total * wanted for i, w in shares.items()}
-    points = {i: math.floor(x) for i, x in exact.items()}
-    spare = wanted - sum(points.values())
-    for i in sorted(exact, key=lambda i: (points[i] - exact[i], i))[:spare]:
-        points[i] += 1
-    return points
+    """Return the position of a key or of a virtual node on the ring."""
+    digest = hashlib.md5(text.encode(), usedforsecurity=False).digest()
+    return int.from_bytes(digest[-RING_POSITION_BYTES:], "big")
+
+
+def allocate_virtual_nodes(weights: dict[str, float]) -> dict[str, int]:
+    """Divide the virtual nodes among servers by weight, by the largest remainder method.
+
+    A server without a weight counts as one of mean weight. Ties go by name.
+    """
+    known = [weight for weight in weights.values() if weight > 0]
+    mean = sum(known) / len(known) if known else 1.0
+    filled = {name: weight if weight > 0 else mean for name, weight in weights.items()}
+    total = sum(filled.values())
+    node_count = max(MIN_VIRTUAL_NODES, NUM_VIRTUAL_NODES_PER_SERVER * len(weights))
+    exact = {name: weight / total * node_count for name, weight in filled.items()}
+    counts = {name: math.floor(quota) for name, quota in exact.items()}
+    remaining = node_count - sum(counts.values())
+    for name in sorted(exact, key=lambda name: (counts[name] - exact[name], name))[:remaining]:
+        counts[name] += 1
+    return counts
 
 
 class HashRing:
-    """The ring of the part of the fleet that this router keeps to."""
+    """The ring of the subset of caches that this router sends to."""
 
-    def __init__(self, settings: Settings, cold: SlowStart, guide: PolicyOverrides) -> None:
-        self._index, self._cold, self._guide = settings.router_index, cold, guide
+    def __init__(
+        self, settings: Settings, slow_start: SlowStart, overrides: PolicyOverrides
+    ) -> None:
+        self._router_index = settings.router_index
         self._live_weights = settings.live_weights
-        self.places: list[tuple[int, str]] = []  # of virtual nodes, in order
-        self.points: dict[str, int] = {}  # virtual nodes of each server
-        self.stale = False  # it has to be built before use
-        # of the fleet, each router keeping to one: guards connections, which few requests would share
-        self._most_parts = (
-            math.ceil(settings.router_count / CROWD) if settings.connections_are_costly else 1
-        )
-        self.parts = 0  # 0: not known before the first list
-        self._grown = 0  # as many as the fleet was ever large enough for, if for any
-        self.hash = lru_cache(2**12)(
-            ring_hash
-        )  # 2**16 of them took 16 MB, and a miss costs a microsecond
-        self.recent: deque[str] = deque(maxlen=RECENT)  # keys
-
-    def build(self, now: float, servers: dict[str, Server]) -> list[Action]:
-        """Guards against all CPU going into rings in a large deploy: on use, and only what has changed."""
-        self.stale = False
-        ready, empties = EndpointState.READY, self._guide.empties
-        caches = {i: s for i, s in servers.items() if s.is_cache and s.endpoint.state is ready}
-        caches = {i: s for i, s in caches.items() if not empties(s.endpoint.zone)}
-        self._divide(len(caches), sum(self._cold.share(now, s) >= 1.0 for s in caches.values()))
-        part, order = self._index % self.parts, sorted(caches, key=lambda i: (self.hash(i), i))
-        # by hash, so that a change moves only the borders of parts
-        order = order[len(order) * part // self.parts : len(order) * (part + 1) // self.parts]
-        before, self.points = (
-            self.points,
-            share_points({i: caches[i].endpoint.weight for i in order}),
-        )
-        for i, count in before.items():
-            for j in range(self.points.get(i, 0), count):
-                del self.places[bisect_left(self.places, (self.hash(f"{i}-vnode-{j}"), i))]
-        for i, count in self.points.items():
-            self.places += [
-                (self.hash(f"{i}-vnode-{j}"), i) for j in range(before.get(i, 0), count)
+        self._slow_start = slow_start
+        self._overrides = overrides
+        self.virtual_nodes: list[VirtualNode] = []  # by position
+        self.virtual_node_counts: dict[str, int] = {}  # by server
+        self.needs_rebuild = False
+        self._max_subsets = 1
+        if settings.connections_are_costly:
+            self._max_subsets = math.ceil(settings.router_count / NUM_ROUTERS_PER_SUBSET)
+        self.subset_count = 0  # 0 until the first endpoint list
+        self._largest_subset_count = 0  # that the warm servers sufficed for so far
+        self.hash = lru_cache(MAX_CACHED_HASHES)(ring_hash)
+        self.recent_keys: deque[str] = deque(maxlen=NUM_RECENT_KEYS)
+
+    def rebuild(self, now: float, servers: dict[str, Server]) -> list[Action]:
+        """Apply the current endpoints, and close connections to servers outside the subset.
+
+        Called before the next use of the ring; only virtual nodes that changed are replaced.
+        """
+        self.needs_rebuild = False
+        caches = self._ready_caches(servers)
+        warm = sum(self._slow_start.capacity_fraction(now, s) >= 1.0 for s in caches.values())
+        self._update_subset_count(len(caches), warm)
+        weights = {name: caches[name].endpoint.weight for name in self._subset(caches)}
+        self._replace_virtual_nodes(allocate_virtual_nodes(weights))
+        self._slow_start.server_count = max(1, len(self.virtual_node_counts))
+        return [
+            CloseIdleConnections(name) for name in caches if name not in self.virtual_node_counts
+        ]
+
+    def _ready_caches(self, servers: dict[str, Server]) -> dict[str, Server]:
+        """Return the caches that may take new requests, by name."""
+        return {
+            name: server
+            for name, server in servers.items()
+            if server.is_cache
+            and server.endpoint.state is EndpointState.READY
+            and not self._overrides.is_drained(server.endpoint.zone)
+        }
+
+    def _subset(self, caches: dict[str, Server]) -> list[str]:
+        """Return this router's caches; a change of the fleet moves only the borders of subsets."""
+        names = sorted(caches, key=lambda name: (self.hash(name), name))
+        index = self._router_index % self.subset_count
+        begin = len(names) * index // self.subset_count
+        end = len(names) * (index + 1) // self.subset_count
+        return names[begin:end]
+
+    def _update_subset_count(self, ready: int, warm: int) -> None:
+        """Choose the number of subsets for a fleet of `ready` caches, `warm` of them warmed up.
+
+        It stays while few caches come and go. New caches count once they are warm: keys would
+        move while the caches that replace others hold little. After a loss of many the earlier
+        number is restored when they return.
+        """
+        is_first = not self._largest_subset_count
+        min_ready = SUBSET_SHRINK_RATIO * MIN_SUBSET_SERVERS * self.subset_count
+        wanted = ready // MIN_SUBSET_SERVERS
+        supported = wanted if is_first else warm // MIN_SUBSET_SERVERS
+        self._largest_subset_count = max(self._largest_subset_count, supported)
+        if not is_first and ready >= min_ready:
+            wanted = max(self.subset_count, min(wanted, self._largest_subset_count))
+        self.subset_count = min(max(1, wanted), self._max_subsets)
+
+    def _replace_virtual_nodes(self, counts: dict[str, int]) -> None:
+        """Remove and add virtual nodes where a server's number of them changed."""
+        previous = self.virtual_node_counts
+        self.virtual_node_counts = counts
+        for name, count in previous.items():
+            for index in range(counts.get(name, 0), count):
+                del self.virtual_nodes[
+                    bisect_left(self.virtual_nodes, self._virtual_node(name, index))
+                ]
+        for name, count in counts.items():
+            self.virtual_nodes += [
+                self._virtual_node(name, index) for index in range(previous.get(name, 0), count)
             ]
-        self.places.sort()
-        self._cold.servers = max(1, len(self.points))
-        return [CloseIdleConnections(i) for i in caches if i not in self.points]
+        self.virtual_nodes.sort()
+
+    def _virtual_node(self, server: str, index: int) -> VirtualNode:
+        return self.hash(f"{server}-vnode-{index}"), server
 
-    def _divide(self, servers: int, warm: int) -> None:
-        """Parts of a fleet of this size, each of servers enough; a few that come and go change nothing.
+    def relative_weight(self, server: Server) -> float:
+        """Return the share of the ring that a warming server has, in multiples of the mean share.
 
-        Nor do new ones beside those that they replace: keys would move when fewest caches hold them.
+        Live weights rate a server without load too high, so they count as the mean at most.
         """
-        first, waning = not self._grown, servers < PART_WANING * PART_LEAST * self.parts
-        wanted = servers // PART_LEAST
-        self._grown = max(self._grown, wanted if first else warm // PART_LEAST)
-        if not (first or waning):  # caches that are lost for a while are counted once they are back
-            wanted = max(self.parts, min(wanted, self._grown))
-        self.parts = min(max(1, wanted), self._most_parts)
-
-    def weight(self, server: Server) -> float:
-        """Of the mean, that of a cold server: weights that tell of load flatter one that bears none yet."""
-        weight = self.points[server.endpoint.name] * len(self.points) / len(self.places)
+        count = self.virtual_node_counts[server.endpoint.name]
+        weight = count * len(self.virtual_node_counts) / len(self.virtual_nodes)
         return min(weight, 1.0) if self._live_weights else weight
 
-    def spread(self, key: str) -> int:
-        """Guards against hot keys that no router has enough of in flight: servers that are to share a key."""
-        share = self.recent.count(key) / RECENT
-        self.recent.append(key)
-        return max(1, math.ceil(share * len(self.points) / (1 + EPSILON)))
+    def count_replicas(self, key: str) -> int:
+        """Return how many servers share a key, and count a request for it.
+
+        A hot key is spread by its share of recent requests, as no single router has enough of
+        it in flight to reach the bounded load.
+        """
+        share = self.recent_keys.count(key) / NUM_RECENT_KEYS
+        self.recent_keys.append(key)
+        bounded_share = share * len(self.virtual_node_counts) / (1 + BOUNDED_LOAD_MARGIN_RATIO)
+        return max(1, math.ceil(bounded_share))
--- a/ironrail/policy/membership.py
+++ b/ironrail/policy/membership.py
@@ -1,11 +1,15 @@
-"""The list of servers: what is known of each, and what its news change."""
+"""Membership: the servers of the endpoint list, and what its updates change."""
 
 from __future__ import annotations
 
 import random
 
 from ironrail.policy.actions import Action, FetchEndpointList, LogMessage, SetTimer
-from ironrail.policy.discovery_freshness import NO_LIST, UNTOLD_MOVED, DiscoveryFreshness
+from ironrail.policy.discovery_freshness import (
+    FAILED_UPDATES,
+    RELOCATION_STALENESS_SECONDS,
+    DiscoveryFreshness,
+)
 from ironrail.policy.endpoints import Endpoint, EndpointListKind, EndpointState
 from ironrail.policy.events import EndpointListUpdate
 from ironrail.policy.settings import Settings
@@ -13,60 +17,69 @@
 
 
 class Membership:
-    """The servers that were told of."""
+    """The listed servers; fetches the list again after failures."""
 
     def __init__(
-        self, settings: Settings, draws: random.Random, asking: DiscoveryFreshness
+        self, settings: Settings, draws: random.Random, freshness: DiscoveryFreshness
     ) -> None:
-        self._settings, self._draws, self._asking = settings, draws, asking
-        self.servers: dict[str, Server] = {}  # the same one for good
+        self._settings = settings
+        self._draws = draws
+        self._freshness = freshness
+        self.servers: dict[str, Server] = {}  # by name; shared, so never replaced
 
-    def listed(self, now: float) -> tuple[int, int]:
-        """Servers in the list, and those that nothing is sent to now: drained, or lost not long ago."""
-        ready = EndpointState.READY
-        avoided = sum(
-            s.endpoint.state is not ready or now < s.ejected_until for s in self.servers.values()
+    def count_unavailable(self, now: float) -> tuple[int, int]:
+        """Return the number of listed servers, and of those that are draining or ejected."""
+        unavailable = sum(
+            server.endpoint.state is not EndpointState.READY or now < server.ejected_until
+            for server in self.servers.values()
         )
-        return len(self.servers), avoided
+        return len(self.servers), unavailable
 
-    def take(self, now: float, event: EndpointListUpdate, out: list[Action]) -> bool:
-        """Whether there is a list, and not only word that none came or that it is told elsewhere."""
-        if (
-            event.kind is EndpointListKind.RELOCATED
-        ):  # guards whoever tells it: all routers hear of that at once
-            self._asking.missed(now, UNTOLD_MOVED)
-            self._ask_first(out)
+    def update(self, now: float, event: EndpointListUpdate, actions: list[Action]) -> bool:
+        """Apply an update; return whether it brought endpoints."""
+        if event.kind is EndpointListKind.RELOCATED:
+            self._freshness.mark_uncertain(now, RELOCATION_STALENESS_SECONDS)
+            self._schedule_initial_fetch(actions)
             return False
-        if event.kind in NO_LIST:
+        if event.kind in FAILED_UPDATES:
             if self._settings.polls_endpoint_list:
-                pause = self._asking.failed(now, event.kind, self._draws, event.uncertain_for)
-                out.append(SetTimer(pause, "list") if pause else FetchEndpointList())
-                out.append(LogMessage(f"list out of reach, {self._asking.failures} in a row"))
+                self._retry_fetch(now, event, actions)
             return False
         if event.kind is not EndpointListKind.DELTA:
-            names = {e.name for e in event.endpoints}
-            for name in [name for name in self.servers if name not in names]:
-                del self.servers[name]
-        for entry in event.endpoints:
-            self._learn(entry)
+            self._remove_unlisted({endpoint.name for endpoint in event.endpoints})
+        for endpoint in event.endpoints:
+            self._apply(endpoint)
         if event.kind is not EndpointListKind.CACHED:
-            self._asking.told()
+            self._freshness.on_update()
         elif self._settings.polls_endpoint_list:
-            self._ask_first(out)
+            self._schedule_initial_fetch(actions)
         return True
 
-    def _learn(self, entry: Endpoint) -> None:
-        known = self.servers.get(entry.name)
-        if entry.state is EndpointState.REMOVED:
-            self.servers.pop(entry.name, None)
-        elif (
-            known is None or entry.started_at > known.endpoint.started_at
-        ):  # a new process: nothing learned holds
-            origin = self._settings.cache_aside and entry.kind == self._settings.origin_kind
-            self.servers[entry.name] = Server(entry, not origin)
+    def _remove_unlisted(self, listed: set[str]) -> None:
+        for name in [name for name in self.servers if name not in listed]:
+            del self.servers[name]
+
+    def _apply(self, endpoint: Endpoint) -> None:
+        """Add, replace or remove one server."""
+        known = self.servers.get(endpoint.name)
+        if endpoint.state is EndpointState.REMOVED:
+            self.servers.pop(endpoint.name, None)
+        elif known is None or endpoint.started_at > known.endpoint.started_at:
+            # nothing that was learned of an earlier process holds for a new one
+            is_origin = self._settings.cache_aside and endpoint.kind == self._settings.origin_kind
+            self.servers[endpoint.name] = Server(endpoint, is_cache=not is_origin)
         else:
-            known.endpoint = entry
+            known.endpoint = endpoint
+
+    def _schedule_initial_fetch(self, actions: list[Action]) -> None:
+        """Fetch the list after a random delay, as all routers start or relocate together."""
+        self._schedule_fetch(self._freshness.initial_delay(self._draws), actions)
+
+    def _retry_fetch(self, now: float, event: EndpointListUpdate, actions: list[Action]) -> None:
+        delay = self._freshness.on_failure(now, event.kind, self._draws, event.uncertain_for)
+        self._schedule_fetch(delay, actions)
+        failures = self._freshness.failures
+        actions.append(LogMessage(f"list out of reach, {failures} in a row"))
 
-    def _ask_first(self, out: list[Action]) -> None:
-        pause = self._asking.first(self._draws)
-        out.append(SetTimer(pause, "list") if pause else FetchEndpointList())
+    def _schedule_fetch(self, delay: float, actions: list[Action]) -> None:
+        actions.append(SetTimer(delay, "list") if delay else FetchEndpointList())
--- a/ironrail/policy/policy_overrides.py
+++ b/ironrail/policy/policy_overrides.py
@@ -1,56 +1,71 @@
-"""What the operators have all routers decide by: emptied halls, rates of titles, order of shedding."""
+"""Overrides set by operators for all routers: drained zones, tenant rates, order of shedding."""
 
 from __future__ import annotations
 
+from dataclasses import dataclass
+
 from ironrail.policy.events import PolicyOverridesChanged
 from ironrail.policy.settings import Settings
 
-RATE_BURST = 1.0  # seconds of a title's rate that may come at once: arrivals are by chance
+TENANT_BURST_SECONDS = 1.0  # of a tenant's rate that may arrive at once
+
+
+@dataclass(slots=True)
+class TokenBucket:
+    """What is left of a tenant's rate."""
+
+    tokens: float  # requests
+    refilled_at: float  # seconds
 
 
 class PolicyOverrides:
-    """The guidance in force, and what of each title's rate is left."""
+    """The overrides in force, and the token bucket of each tenant that has a rate."""
 
     def __init__(self, settings: Settings) -> None:
-        self._routers = settings.router_count
-        self.now = PolicyOverridesChanged()
-        self._left: dict[
-            str, tuple[float, float]
-        ] = {}  # requests, and when that was; by title with a rate
-
-    def follow(self, guidance: PolicyOverridesChanged) -> None:
-        """Decide by this from now on. What is left of a title's rate stays: a change grants nothing."""
-        self.now = guidance
-        self._left = {
-            title: left for title, left in self._left.items() if title in guidance.tenant_rates
+        self._router_count = settings.router_count
+        self.current = PolicyOverridesChanged()
+        self._buckets: dict[str, TokenBucket] = {}  # by tenant
+
+    def update(self, overrides: PolicyOverridesChanged) -> None:
+        """Apply new overrides. Buckets of tenants that keep a rate stay: a change refills none."""
+        self.current = overrides
+        self._buckets = {
+            tenant: bucket
+            for tenant, bucket in self._buckets.items()
+            if tenant in overrides.tenant_rates
         }
 
-    def empties(self, zone: str) -> bool:
-        """Whether nothing new goes to servers there."""
-        return zone in self.now.drained_zones
+    def is_drained(self, zone: str) -> bool:
+        """Return whether servers in a zone take nothing new."""
+        return zone in self.current.drained_zones
 
-    def further(self, request_class: str) -> float:
-        """Share of the further attempts that would be allowed."""
-        return self.now.retry_ratios.get(request_class, 1.0)
+    def retry_ratio(self, request_class: str) -> float:
+        """Return the fraction of the retry budget that a class may use."""
+        return self.current.retry_ratios.get(request_class, 1.0)
 
-    def sheds(self, request_class: str, excess: float) -> bool | None:
-        """Whether a class is shed at such an excess of what is asked; None where chance decides."""
-        bears = self.now.shed_thresholds.get(request_class)
-        return None if bears is None else excess > 0.0 and excess >= bears
+    def is_shed(self, request_class: str, excess: float) -> bool | None:
+        """Return whether a class is shed at this excess load (0 to 1); None without an override."""
+        threshold = self.current.shed_thresholds.get(request_class)
+        if threshold is None:
+            return None
+        return excess > 0.0 and excess >= threshold
 
-    def exceeds(self, now: float, title: str) -> bool:
-        """Whether a request is beyond its title's rate; if not, it is counted.
+    def exceeds_tenant_rate(self, now: float, tenant: str) -> bool:
+        """Return whether a request exceeds its tenant's rate; if not, it takes a token.
 
-        A rate is of all routers; each takes an even part, as it can't know the others' arrivals. Where
-        traffic is uneven a title gets less than its rate, never more.
+        A rate is of all routers together, and each allows an equal part of it. Where traffic is
+        uneven a tenant gets less than its rate, never more.
         """
-        rate = self.now.tenant_rates.get(title)
+        rate = self.current.tenant_rates.get(tenant)
         if rate is None:
             return False
-        each = rate / self._routers
-        most = max(1.0, each * RATE_BURST) if rate > 0 else 0.0
-        left, since = self._left.get(title, (most, now))
-        left = min(most, left + (now - since) * each)
-        exceeded = left < 1.0
-        self._left[title] = left - (not exceeded), now
-        return exceeded
+        refill_rate = rate / self._router_count
+        max_tokens = max(1.0, refill_rate * TENANT_BURST_SECONDS) if rate > 0 else 0.0
+        bucket = self._buckets.setdefault(tenant, TokenBucket(max_tokens, now))
+        earned = (now - bucket.refilled_at) * refill_rate
+        bucket.tokens = min(max_tokens, bucket.tokens + earned)
+        bucket.refilled_at = now
+        if bucket.tokens < 1.0:
+            return True
+        bucket.tokens -= 1
+        return False
--- a/ironrail/policy/retry_policy.py
+++ b/ironrail/policy/retry_policy.py
@@ -6,9 +6,9 @@
 from collections import deque
 
 from ironrail.policy.actions import Action, CloseIdleConnections, SendAttempt, SetTimer
+from ironrail.policy.connection_health import ConnectionHealth
 from ironrail.policy.endpoints import Endpoint
 from ironrail.policy.events import AttemptEnded, AttemptStatus
-from ironrail.policy.outlier_detection import OutlierDetection
 from ironrail.policy.policy_overrides import PolicyOverrides
 from ironrail.policy.settings import Idempotency, IdempotencyScope, RetryBudgetSettings, Settings
 from ironrail.policy.state import Attempt, PendingRequest, Server
@@ -56,11 +56,12 @@
     def __init__(
         self,
         settings: Settings,
-        health: OutlierDetection,
+        connections: ConnectionHealth,
         guide: PolicyOverrides,
         links: ZoneLatency,
     ) -> None:
-        self._settings, self._health, self._guide, self._links = settings, health, guide, links
+        self._settings, self._connections = settings, connections
+        self._guide, self._links = guide, links
         self.out: dict[tuple[str, int], Attempt] = {}  # by request and number
         self.ring_load = 0  # of them, those at caches
         self.budget = settings.retry_budget or RetryBudgetSettings(
@@ -83,7 +84,7 @@
         if held.retry_tokens > 0:
             return True
         allowed = self.budget.reserve + self.budget.ratio * len(self.taken)
-        return len(self.further) + 1 <= allowed * self._guide.further(held.request_class.name)
+        return len(self.further) + 1 <= allowed * self._guide.retry_ratio(held.request_class.name)
 
     def spent(self, now: float, held: PendingRequest) -> bool:
         """Whether no further attempt of a request may be sent, wherever to."""
@@ -118,7 +119,7 @@
             held.request_class.latency_objective,
         )
         idle = 0.0 if server.in_flight else now - server.last_used_at
-        if not self._health.linked(now, server):
+        if not self._connections.is_connected(now, server):
             if idle <= conf.connection_idle_timeout:
                 out.append(CloseIdleConnections(server.endpoint.name))
             idle = math.inf
@@ -131,10 +132,10 @@
         attempt = Attempt(
             server, target * aim, aim, held.request.work_hint or 1.0, now, idle, OVERDUE * aim
         )
-        if self._links.known and server.is_cache:
+        if self._links.has_links and server.is_cache:
             attempt.link_delay, attempt.round_trip = (
-                self._links.adds(server),
-                self._links.trip(server),
+                self._links.expected_delay(server),
+                self._links.round_trip(server),
             )
             attempt.hedge_delay += min(attempt.link_delay, MOST_LATER * aim)
         server.last_used_at = now
--- a/ironrail/policy/router.py
+++ b/ironrail/policy/router.py
@@ -12,6 +12,7 @@
 from ironrail.policy.actions import Action
 from ironrail.policy.candidate_selection import CandidateSelection
 from ironrail.policy.concurrency_limit import ConcurrencyLimiter
+from ironrail.policy.connection_health import ConnectionHealth
 from ironrail.policy.discovery_freshness import DiscoveryFreshness
 from ironrail.policy.events import (
     AttemptEnded,
@@ -27,6 +28,7 @@
     ZoneLinksChanged,
 )
 from ironrail.policy.hash_ring import HashRing
+from ironrail.policy.load_shedding import LoadShedding
 from ironrail.policy.membership import Membership
 from ironrail.policy.origin_queue import OriginQueue, in_time
 from ironrail.policy.outlier_detection import OutlierDetection
@@ -51,12 +53,16 @@
         self.servers = self.news.servers
         self.cold = SlowStart(settings, self.random, now)
         self.guide = PolicyOverrides(settings)
-        self.health = OutlierDetection(settings, self.random, now, self.cold, self.guide)
+        self.load_shedding = LoadShedding(settings, self.random, now, self.cold, self.guide)
+        self.connections = ConnectionHealth(settings, now)
+        self.health = OutlierDetection(
+            settings, self.random, self.cold, self.load_shedding, self.connections
+        )
         self.limits = ConcurrencyLimiter(settings)
         self.links = ZoneLatency()
-        self.attempts = RetryPolicy(settings, self.health, self.guide, self.links)
+        self.attempts = RetryPolicy(settings, self.connections, self.guide, self.links)
         self.ring = HashRing(settings, self.cold, self.guide)
-        parts = self.attempts, self.limits, self.cold, self.health, self.asking, self.links
+        parts = self.attempts, self.limits, self.cold, self.connections, self.asking, self.links
         self.walk = CandidateSelection(self.servers, self.ring, *parts)
         self.queue = OriginQueue()  # for a place at the origin
 
@@ -75,15 +81,14 @@
             case EndpointListUpdate():
                 self._on_list(event)
             case PolicyOverridesChanged():
-                self.guide.follow(event)
-                self.ring.stale = True
+                self.guide.update(event)
+                self.ring.needs_rebuild = True
             case ZoneLinksChanged():
-                self.links.follow(event)
+                self.links.update(event)
             case ClientDisconnected(name) if name in self.held:
                 self._forget(self.held[name])
-            case DeadlineReached(name) if (
-                name in self.held
-            ):  # its own timer may be due an instant later
+            # its own timer may be due an instant later
+            case DeadlineReached(name) if name in self.held:
                 self._end(self.held[name])
             case StreamingStarted(name, number) if name in self.held:
                 self._on_streaming(self.held[name], number)
@@ -91,19 +96,19 @@
 
     def listed(self, now: float) -> tuple[int, int]:
         """Servers in the list, and those that nothing is sent to now: drained, or lost not long ago."""
-        return self.news.listed(now)
+        return self.news.count_unavailable(now)
 
     def _on_list(self, event: EndpointListUpdate) -> None:
-        if not self.news.take(self.now, event, self.out):
+        if not self.news.update(self.now, event, self.out):
             return
-        self.ring.stale = True
+        self.ring.needs_rebuild = True
         self.queue.clear()
         for held in [h for h in self.held.values() if h.is_queued]:
             held.is_queued = False
             self._advance(held)
 
     def _build_ring(self) -> None:
-        self.out += self.ring.build(self.now, self.servers)
+        self.out += self.ring.rebuild(self.now, self.servers)
 
     def _on_request(self, request: RequestReceived) -> None:
         conf = self.settings
@@ -113,10 +118,10 @@
         key, to_origin = request.key or request.request_id, conf.cache_aside and request.is_write
         held = PendingRequest(request, key, kind, due, to_origin)
         self.held[request.request_id] = held
-        held.hot_key_offset = self.random.randrange(self.ring.spread(held.key))
+        held.hot_key_offset = self.random.randrange(self.ring.count_replicas(held.key))
         self.attempts.taken.append(self.now)
-        shed = not held.needs_origin and self.health.sheds(kind.name)
-        if shed or self.guide.exceeds(self.now, request.tenant):
+        shed = not held.needs_origin and self.load_shedding.should_shed(kind.name)
+        if shed or self.guide.exceeds_tenant_rate(self.now, request.tenant):
             self._end(held)
         else:
             self._advance(held)
@@ -130,11 +135,11 @@
 
     def _advance(self, held: PendingRequest) -> None:
         """Send the next attempt, hold the request for one, or end it."""
-        if self.ring.stale:
+        if self.ring.needs_rebuild:
             self._build_ring()
         if self.now >= held.give_up_at:
             self._end(held)
-        elif self.ring.places and not held.needs_origin:
+        elif self.ring.virtual_nodes and not held.needs_origin:
             server = self.walk.choose(self.now, held)
             if server is None:
                 self._end(held)
@@ -167,19 +172,15 @@
     def _on_overdue(self, name: str, number: str) -> None:
         """Guards against servers that answer nothing: a second copy, or one in its place, while calm."""
         held, attempt = self.held.get(name), self.attempts.out.get((name, int(number)))
-        if (
-            held is None
-            or attempt is None
-            or held.is_queued
-            or held.is_streaming
-            or held.needs_origin
-        ):
+        if held is None or attempt is None:
+            return
+        if held.is_queued or held.is_streaming or held.needs_origin:
             return
-        crowded = not self.health.calm(attempt.latency_objective) or held.open_attempts() > 1
-        if crowded or self.attempts.spent(self.now, held):
+        is_late = self.load_shedding.is_uncongested(attempt.latency_objective)
+        if not is_late or held.open_attempts() > 1 or self.attempts.spent(self.now, held):
             return
         if self.settings.hedging_allowed:
-            usable = self.ring.places and not self.ring.stale
+            usable = self.ring.virtual_nodes and not self.ring.needs_rebuild
             server = self.walk.choose(self.now, held) if usable else None
             if server is not None:
                 self.attempts.send(self.now, held, server, self.out)
@@ -192,10 +193,8 @@
         if held.is_streaming or held.open_attempts():
             held.is_queued = False
             return
-        name, pause = (
-            held.request.request_id,
-            max(self.settings.timer_resolution, self.health.latency),
-        )  # till there is room
+        name = held.request.request_id
+        pause = max(self.settings.timer_resolution, self.load_shedding.mean_latency)
         refusable = self.attempts.permits(self.now, held, None)
         self.out.append(
             actions.RejectRequest(name, pause) if refusable else actions.FailRequest(name)
@@ -215,11 +214,11 @@
             return
         now, out, cache = self.now, self.out, attempt.server.is_cache
         if event.status is not AttemptStatus.NOT_SENT:
-            if self.limits.crowd and cache:
-                self.limits.linger(now, attempt, event.status)
-            self.health.learn(now, attempt, event, out)
-            self.limits.learn(now, attempt, event, out)
-            self.links.learn(attempt, event)
+            if self.limits.servers_are_shared and cache:
+                self.limits.track_abandoned(now, attempt, event.status)
+            self.health.on_attempt_ended(now, attempt, event, out)
+            self.limits.on_attempt_ended(now, attempt, event, out)
+            self.links.on_attempt_ended(attempt, event)
         held = self.held.get(event.request_id)
         missed = event.status is AttemptStatus.MISS and self.settings.hedging_allowed
         if held is not None:
--- a/ironrail/policy/slow_start.py
+++ b/ironrail/policy/slow_start.py
@@ -1,4 +1,4 @@
-"""What servers may be sent that have just started: a budget by what others carry (retries swell demand)."""
+"""Slow start: the work that may be sent to servers which have just started."""
 
 from __future__ import annotations
 
@@ -8,63 +8,75 @@
 from ironrail.policy.settings import Settings
 from ironrail.policy.state import Server
 
-# Of N, the requests of mean work that the settings allow a cold server in a window. It falls beyond N + 2
-# roots of N + 2 from all routers together. Each refills by this share of its own part of N as what the
-# others carry tells, so all refill by this share of N, told too high by up to two: by weights that flatter
-# (1.3 here), by others that carry more than usual in a surge (1.5). At worst that is m of N, and the rest is
-# for chance: sends by chance with work that deviates by its mean vary by roots of 2 m N. Three such, as one
-# release has hundreds of windows, fit while (3 roots of 2 m - 2) squared is at most 8 (1 - m): m up to 0.7.
-WARM_SPEND = 0.35
+# Of the work that a warming server is allowed in a window, the part that routers may plan with.
+# The rest covers chance, weights that rate a server too high, and surges in the fleet.
+BUDGET_FRACTION = 0.35
 
 
 class SlowStart:
-    """Budgets of servers that warm up."""
+    """Token buckets of work for warming servers, refilled by what the fleet is seen to serve."""
 
     def __init__(self, settings: Settings, draws: random.Random, now: float) -> None:
-        self._settings, self._draws, self._began = settings, draws, now
-        self.servers = 1  # that share what comes
-        self._served, self._each = (
-            0.0,
-            0.0,
-        )  # work, fading: of all, and of each as many as there were then
+        self._settings = settings
+        self._draws = draws
+        self._started_at = now
+        self.server_count = 1  # servers on the ring
+        self._fleet_work = 0.0  # decayed sum of work served
+        self._work_per_server = 0.0  # the same, each divided by the servers of its time
 
-    def carried(self, fade: float, work: float) -> None:
-        """The fleet did some work; what it did before counts for so much less."""
-        self._served = self._served * fade + work
-        self._each = self._each * fade + work / self.servers
+    def record_work(self, decay: float, work: float) -> None:
+        """Add work that the fleet served; what it served before is multiplied by `decay`."""
+        self._fleet_work = self._fleet_work * decay + work
+        self._work_per_server = self._work_per_server * decay + work / self.server_count
 
-    def share(self, now: float, server: Server) -> float:
-        """Share of its capacity that a server surely has, from the cold share to all over the ramp."""
-        since, ramp = server.endpoint.started_at, self._settings.slow_start_duration
-        if since <= 0 or now - since >= ramp:
+    def capacity_fraction(self, now: float, server: Server) -> float:
+        """Return the fraction of its full capacity that a server is sure to have."""
+        started_at = server.endpoint.started_at
+        duration = self._settings.slow_start_duration
+        if started_at <= 0 or now - started_at >= duration:
             return 1.0
-        return 1.0 - (1.0 - self._settings.slow_start_share) * (1.0 - max(0.0, now - since) / ramp)
+        remaining = 1.0 - max(0.0, now - started_at) / duration
+        return 1.0 - (1.0 - self._settings.slow_start_share) * remaining
 
-    def bears(self, now: float, server: Server, cost: float, weight: float) -> bool:
-        """Guards against pushing over a cold server that has so many times the mean share of the ring."""
-        share, conf = self.share(now, server), self._settings
-        if (
-            server.tokens_refilled_at == -math.inf
-        ):  # by chance, as hundreds of routers with one send each are a flood
-            server.slow_start_tokens, server.tokens_refilled_at = self._draws.random() * cost, now
-        # a router that has not run for long has served as much in less time
-        span = conf.slow_start_duration * (
-            1.0 - math.exp((self._began - now) / conf.slow_start_duration)
-        )
-        span = max(span, conf.overload_window)
-        # guards a fleet that shrinks: what more servers carried is no measure of these, nor of more now
-        fair = share * weight * min(self._each, self._served / self.servers) / span
-        refill = WARM_SPEND * conf.overload_multiple * fair
-        most = max(cost, refill * conf.overload_window)
-        server.slow_start_tokens = min(
-            most, server.slow_start_tokens + refill * (now - server.tokens_refilled_at)
-        )
-        server.tokens_refilled_at = now
-        # guards one that is slow besides: the budget alone goes on, however little it answers
-        if (
-            server.in_flight
-            and server.in_flight_work + cost > WARM_SPEND * fair * conf.overload_window
-        ):
+    def admits(self, now: float, server: Server, cost: float, weight: float) -> bool:
+        """Return whether a warming server may be sent work of `cost`.
+
+        Args:
+            now: The time in seconds.
+            server: A server that is warming up.
+            cost: The expected work of the request; 1 is the mean.
+            weight: The share of the ring that the server has, in multiples of the mean share.
+        """
+        conf = self._settings
+        fair_rate = self._fair_rate(now, server, weight)
+        refill_rate = BUDGET_FRACTION * conf.overload_multiple * fair_rate
+        self._refill(now, server, cost, refill_rate)
+        # a server that is also slow must not collect work in flight, whatever its tokens
+        max_in_flight = BUDGET_FRACTION * fair_rate * conf.overload_window
+        if server.in_flight and server.in_flight_work + cost > max_in_flight:
             return False
-        # with nothing served yet there is no guide: one at a time, whose answer is the first
-        return server.slow_start_tokens >= cost or not self._served and not server.in_flight
+        if server.slow_start_tokens >= cost:
+            return True
+        # before the first answer of the fleet there is no rate: one attempt at a time
+        return not self._fleet_work and not server.in_flight
+
+    def _fair_rate(self, now: float, server: Server, weight: float) -> float:
+        """Return the work per second that a server of this weight would get from this router."""
+        conf = self._settings
+        # a router that started recently has counted for a shorter time
+        uptime_fraction = 1.0 - math.exp((self._started_at - now) / conf.slow_start_duration)
+        span = max(conf.slow_start_duration * uptime_fraction, conf.overload_window)
+        # the lesser of both, as the fleet may have shrunk or grown since the work was counted
+        mean_work = min(self._work_per_server, self._fleet_work / self.server_count)
+        return self.capacity_fraction(now, server) * weight * mean_work / span
+
+    def _refill(self, now: float, server: Server, cost: float, refill_rate: float) -> None:
+        """Add the tokens earned since the last refill, up to those of one overload window."""
+        if server.tokens_refilled_at == -math.inf:
+            # at random, as a first attempt by each of hundreds of routers is a flood
+            server.slow_start_tokens = self._draws.random() * cost
+            server.tokens_refilled_at = now
+        max_tokens = max(cost, refill_rate * self._settings.overload_window)
+        earned = refill_rate * (now - server.tokens_refilled_at)
+        server.slow_start_tokens = min(max_tokens, server.slow_start_tokens + earned)
+        server.tokens_refilled_at = now
--- a/ironrail/policy/state.py
+++ b/ironrail/policy/state.py
@@ -12,6 +12,7 @@
 
 LIMIT_START = 4.0  # first guess of what one router may have out at a server; moves within seconds
 SMOOTHING = 0.2  # of the latest sample in a mean; five answers or so are remembered
+SERVED = (AttemptStatus.OK, AttemptStatus.MISS)
 ANSWERED = (AttemptStatus.OK, AttemptStatus.MISS, AttemptStatus.ERROR, AttemptStatus.BUSY)
 
 
--- a/ironrail/policy/zone_latency.py
+++ b/ironrail/policy/zone_latency.py
@@ -1,69 +1,71 @@
-"""What the links to other halls bear, as the map of latency has it: a further reason to go on clockwise.
+"""Latency of the links to other zones, as an additional criterion for choosing a server.
 
-Without the event, or while it knows of no link, nothing here moves a decision. A hall that is not known while
-others are is taken to be as far as the farthest of those: unknown is not near.
+While no link is known, no decision depends on it. A zone without data, while others have some, is
+taken to be as far as the farthest zone that is reachable.
 """
 
 from __future__ import annotations
 
 import math
 
-from ironrail.policy.events import AttemptEnded, AttemptStatus, LinkState, ZoneLinksChanged
-from ironrail.policy.state import SMOOTHING, Attempt, Server
+from ironrail.policy.events import AttemptEnded, LinkState, ZoneLinksChanged
+from ironrail.policy.state import SERVED, SMOOTHING, Attempt, Server
 
-SUSPECTED = (LinkState.SLOW, LinkState.CUT)
-SERVED = (AttemptStatus.OK, AttemptStatus.MISS)
+SUSPECTED_STATES = (LinkState.SLOW, LinkState.CUT)
 
 
 class ZoneLatency:
-    """The latest word on each hall."""
+    """The latest state and round trip of the link to each zone."""
 
     def __init__(self) -> None:
-        self.known = False  # of any link
+        self.has_links = False
         self._states: dict[str, LinkState] = {}  # by zone
-        self._trips: dict[str, float] = {}  # seconds there and back; infinite where cut
-        self._farthest = 0.0  # of those that are not cut
+        self._round_trips: dict[str, float] = {}  # seconds, by zone; infinite where cut
+        self._longest_round_trip = 0.0  # of links that are not cut
 
-    def follow(self, event: ZoneLinksChanged) -> None:
-        """Decide by this from now on."""
-        cut = LinkState.CUT
-        told = {z: k for z, k in event.links.items() if k.median < math.inf or k.state is cut}
-        self._states = {zone: link.state for zone, link in told.items()}
-        self._trips = {zone: link.median for zone, link in told.items()}
-        self._farthest = max(
-            (trip for trip in self._trips.values() if trip < math.inf), default=0.0
-        )
-        self.known = bool(told)
+    def update(self, event: ZoneLinksChanged) -> None:
+        """Replace all links by those of the event."""
+        known = {
+            zone: link
+            for zone, link in event.links.items()
+            if link.median < math.inf or link.state is LinkState.CUT
+        }
+        self._states = {zone: link.state for zone, link in known.items()}
+        self._round_trips = {zone: link.median for zone, link in known.items()}
+        finite = [seconds for seconds in self._round_trips.values() if seconds < math.inf]
+        self._longest_round_trip = max(finite, default=0.0)
+        self.has_links = bool(known)
 
-    def cut(self, server: Server) -> bool:
-        """Whether nothing new goes there while there is another place."""
+    def is_cut(self, server: Server) -> bool:
+        """Return whether the link is cut: new attempts go there only as a last resort."""
         return self._states.get(server.endpoint.zone) is LinkState.CUT
 
-    def suspected(self, server: Server) -> bool:
-        """Whether no second copy goes there."""
-        return self._states.get(server.endpoint.zone) in SUSPECTED
+    def is_suspected(self, server: Server) -> bool:
+        """Return whether the link is slow or cut: no hedged request goes there."""
+        return self._states.get(server.endpoint.zone) in SUSPECTED_STATES
 
-    def trip(self, server: Server) -> float:
-        """Seconds of a round trip; 0 while nothing is known of any link."""
-        return self._trips.get(server.endpoint.zone, self._farthest)
+    def round_trip(self, server: Server) -> float:
+        """Return the seconds of a round trip; 0 while no link is known."""
+        return self._round_trips.get(server.endpoint.zone, self._longest_round_trip)
 
-    def adds(self, server: Server) -> float:
-        """Seconds that an answer may be later for the link's sake: none more for one that is suspected."""
-        return 0.0 if self.suspected(server) else self.trip(server)
+    def expected_delay(self, server: Server) -> float:
+        """Return the seconds by which the link may delay an answer; 0 for a suspected link."""
+        return 0.0 if self.is_suspected(server) else self.round_trip(server)
 
-    def too_far(self, server: Server, left: float) -> bool:
-        """Whether the link is why an answer can't be back: without it, it would be."""
-        return server.service_time <= left < server.service_time + self.trip(server)
+    def is_too_far(self, server: Server, time_left: float) -> bool:
+        """Return whether an answer would be back in time but for the round trip."""
+        service_time = server.service_time
+        return service_time <= time_left < service_time + self.round_trip(server)
 
-    def learn(self, attempt: Attempt, event: AttemptEnded) -> None:
-        """How long a server takes, without the way there and back as it was when it was asked."""
-        server, took = attempt.server, max(0.0, event.latency - attempt.round_trip)
-        if (
-            self.known
-            and server.is_cache
-            and event.status in SERVED
-            and attempt.round_trip < math.inf
-        ):
-            server.service_time += (
-                SMOOTHING * (took - server.service_time) if server.service_time else took
-            )
+    def on_attempt_ended(self, attempt: Attempt, event: AttemptEnded) -> None:
+        """Learn a server's service time, without the round trip at the time of the attempt."""
+        server = attempt.server
+        if not self.has_links or not server.is_cache or event.status not in SERVED:
+            return
+        if attempt.round_trip == math.inf:
+            return
+        service_time = max(0.0, event.latency - attempt.round_trip)
+        if server.service_time:
+            server.service_time += SMOOTHING * (service_time - server.service_time)
+        else:
+            server.service_time = service_time
--- a/ironrail/rehearsal/experiments/plan.py
+++ b/ironrail/rehearsal/experiments/plan.py
@@ -46,7 +46,8 @@
     def _named(cls, constants: dict[str, float | int]) -> dict[str, float | int]:
         for name in constants:
             if not re.fullmatch(r"ironrail(\.[a-z_0-9]+)+\.[A-Z][A-Z_0-9]*", name):
-                raise ValueError(f"{name!r} is no constant, as ironrail.policy.hash_ring.EPSILON is")
+                example = "ironrail.policy.hash_ring.BOUNDED_LOAD_MARGIN_RATIO"
+                raise ValueError(f"{name!r} is no constant, as {example} is")
         return constants
 
 
--- a/ironrail/rehearsal/losses/tap.py
+++ b/ironrail/rehearsal/losses/tap.py
@@ -60,7 +60,7 @@
 
     def __init__(self, router: Router, decided: dict[str, Decided]) -> None:
         self._router, self._decided = router, decided
-        self._heard = 0.0  # as it was before the event in hand
+        self._answers_before = 0.0  # as they were before the event in hand
         self._end = router._end
         router._end = self._ending  # type: ignore[method-assign]
 
@@ -69,7 +69,7 @@
 
     def handle(self, now: float, event: Event) -> list[Action]:
         """As the module itself."""
-        self._heard = self._router.health.heard
+        self._answers_before = self._router.load_shedding.answers
         if isinstance(event, RequestReceived):
             self._decided[event.request_id] = Decided(now)
         elif isinstance(event, AttemptEnded):
@@ -102,7 +102,7 @@
     def _why(self, held: PendingRequest) -> Why:
         """What keeps the request from another send, by the module's own books."""
         router, now = self._router, self._router.now
-        if not held.attempts and router.health.heard > self._heard:
+        if not held.attempts and router.load_shedding.answers > self._answers_before:
             return Why.SHED
         if now >= held.give_up_at - router.settings.timer_resolution:
             return Why.TIME
@@ -131,7 +131,7 @@
             return Why.LIMIT
         if router.now < server.ejected_until:
             return Why.REST
-        if router.cold.share(router.now, server) < 1.0 and server.slow_start_tokens < (
+        if router.cold.capacity_fraction(router.now, server) < 1.0 and server.slow_start_tokens < (
             held.request.work_hint or 1.0
         ):
             return Why.COLD
--- a/tests/mutants/floods_cold.py
+++ b/tests/mutants/floods_cold.py
@@ -11,9 +11,9 @@
 def break_it() -> None:
     choose = CandidateSelection.choose
 
-    def eager(self: CandidateSelection, now: float, held: PendingRequest) -> Server | None:
-        servers = [self.servers[i] for i in self.ring.points]
-        cold = [s for s in servers if self.cold.share(now, s) < 1.0]
-        return cold[0] if cold and not held.attempts else choose(self, now, held)
+    def eager(self: CandidateSelection, now: float, pending: PendingRequest) -> Server | None:
+        servers = [self.servers[i] for i in self.ring.virtual_node_counts]
+        cold = [s for s in servers if self.slow_start.capacity_fraction(now, s) < 1.0]
+        return cold[0] if cold and not pending.attempts else choose(self, now, pending)
 
     CandidateSelection.choose = eager  # type: ignore[method-assign]
--- a/tests/policy/fleets.py
+++ b/tests/policy/fleets.py
@@ -28,6 +28,6 @@
     """The servers clockwise from a key, each once."""
     r = d.router
     r._build_ring()
-    places = r.ring.places
+    places = r.ring.virtual_nodes
     start = next((i for i, (p, _) in enumerate(places) if p >= hash_ring.ring_hash(key)), 0)
     return list(dict.fromkeys(name for _, name in places[start:] + places[:start]))
--- a/tests/policy/test_answers.py
+++ b/tests/policy/test_answers.py
@@ -137,4 +137,4 @@
     r = d.router
     assert not r.held and not r.attempts.out and r.attempts.ring_load == 0
     assert len(r.servers) <= 5 and len(r.queue) < 100
-    assert len(r.ring.recent) == hash_ring.RECENT
+    assert len(r.ring.recent_keys) == hash_ring.NUM_RECENT_KEYS
--- a/tests/policy/test_cold.py
+++ b/tests/policy/test_cold.py
@@ -121,7 +121,7 @@
 def test_what_all_routers_have_out_at_a_cold_server_is_bounded() -> None:
     """One that was slow besides had nearly five times what it could do, within the budget of each router."""
     quick, slow = (sent_to_a_cold_server(15, takes, True) for takes in (0.02, 0.8))
-    assert len(quick) > 160 * slow_start.WARM_SPEND  # its budget
+    assert len(quick) > 160 * slow_start.BUDGET_FRACTION  # its budget
     in_a_window = max(sum(t - 1.0 < u <= t for u in slow) for t in slow)
     assert in_a_window <= 1.5 * 15  # one each, most of them answered
 
@@ -129,7 +129,9 @@
 def test_a_cold_server_that_does_not_answer_is_left_for_a_while_though_others_are_crowded(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(slow_start, "WARM_SPEND", 1.0)  # so that silence holds back more than the budget does
+    monkeypatch.setattr(
+        slow_start, "BUDGET_FRACTION", 1.0
+    )  # so that silence holds back more than the budget does
     answering, silent = (sent_to_a_cold_server(15, 0.8, answers) for answers in (True, False))
     assert 0 < sum(t > 1.0 for t in silent) < 0.45 * sum(t > 1.0 for t in answering)
 
@@ -205,6 +207,6 @@
 def test_a_start_that_nobody_minds_is_seen_to_be_one() -> None:
     """The play can fail: where each router spends three times as much a cold server falls by all of them."""
     with pytest.MonkeyPatch.context() as patch:
-        patch.setattr(slow_start, "WARM_SPEND", 3 * slow_start.WARM_SPEND)
+        patch.setattr(slow_start, "BUDGET_FRACTION", 3 * slow_start.BUDGET_FRACTION)
         sent = play(Play(3, 40.0, hints=False), 0)
     assert sent.most > 1.0 and sent.told == 1.0
--- a/tests/policy/test_health.py
+++ b/tests/policy/test_health.py
@@ -6,7 +6,7 @@
 import math
 
 import pytest
-from ironrail.policy import outlier_detection
+from ironrail.policy import load_shedding
 from ironrail.policy.actions import CloseIdleConnections, SendAttempt
 from ironrail.policy.events import AttemptStatus
 
@@ -77,7 +77,7 @@
         server = d.request(f"lost{n}", key="k")
         d.end(f"lost{n}", AttemptStatus.TIMEOUT, latency=0.6)
         d.router.servers[str(server)].ejected_until = d.now
-    assert d.router.health.keep == math.inf
+    assert d.router.connections.idle_survival == math.inf
 
 
 def test_idle_connections_that_work_are_kept() -> None:
@@ -86,7 +86,10 @@
     for n in range(20):
         d.now += 3.0
         d.request(f"r{n}", key="k", finish=True)
-    assert not any(isinstance(a, CloseIdleConnections) for a in d.last) and d.router.health.keep == math.inf
+    assert (
+        not any(isinstance(a, CloseIdleConnections) for a in d.last)
+        and d.router.connections.idle_survival == math.inf
+    )
 
 
 def test_connections_are_let_go_after_use_while_connects_are_refused() -> None:
@@ -147,4 +150,4 @@
         if d.request(f"r{n}", key=f"k{n}"):
             sent += n >= 300
             d.end(f"r{n}", AttemptStatus.OK, latency=0.1 if n % 2 else 1.5)
-    assert 0.5 * 300 >= sent >= 0.6 * (1 - outlier_detection.MOST_SHED) * 300
+    assert 0.5 * 300 >= sent >= 0.6 * (1 - load_shedding.MAX_SHED_FRACTION) * 300
--- a/tests/policy/test_limits.py
+++ b/tests/policy/test_limits.py
@@ -66,7 +66,7 @@
 
 def test_what_was_given_up_counts_as_out_until_a_later_answer_or_an_aim() -> None:
     """Servers go on with it: 200 routers kept old ones full of it, and next to nothing came."""
-    d = Driver(settings(max_attempts=1, hedging_allowed=False, router_count=hash_ring.CROWD))
+    d = Driver(settings(max_attempts=1, hedging_allowed=False, router_count=hash_ring.NUM_ROUTERS_PER_SUBSET))
     d.list(*fleet("a"))
     d.router.servers["a"].concurrency_limit = 3.0
     assert [d.request(f"r{n}", key="k") for n in range(4)] == ["a", "a", "a", None]
@@ -86,12 +86,15 @@
 
 @pytest.mark.parametrize(
     ("status", "limit"),
-    [(AttemptStatus.ERROR, 2 * concurrency_limit.LIMIT_CUT), (AttemptStatus.TIMEOUT, 1.0)],
+    [
+        (AttemptStatus.ERROR, 2 * concurrency_limit.MULTIPLICATIVE_DECREASE_FACTOR),
+        (AttemptStatus.TIMEOUT, 1.0),
+    ],
 )
 def test_where_routers_are_many_a_limit_is_cut_from_what_is_out(status: AttemptStatus, limit: float) -> None:
     """Limits of nine, grown while all was well, took eight cuts to bound the three that were out."""
     found = []
-    for routers in (1, hash_ring.CROWD):
+    for routers in (1, hash_ring.NUM_ROUTERS_PER_SUBSET):
         d = Driver(settings(max_attempts=1, hedging_allowed=False, router_count=routers))
         d.list(*fleet("a"))
         d.router.servers["a"].concurrency_limit = 9.0
@@ -100,7 +103,10 @@
         for n in range(2):
             d.end(f"r{n}", status, latency=0.9)
         found.append(d.router.servers["a"].concurrency_limit)
-    assert found == [9.0 * concurrency_limit.LIMIT_CUT, limit]  # two out of which one has ended, or one left
+    assert found == [
+        9.0 * concurrency_limit.MULTIPLICATIVE_DECREASE_FACTOR,
+        limit,
+    ]  # two out of which one has ended, or one left
 
 
 def test_a_full_server_shows_what_it_bears() -> None:
@@ -128,7 +134,7 @@
 
 def test_an_origin_behind_a_cut_is_not_taken_for_one_that_refuses() -> None:
     """Connects that took long to fail lowered the limit, and fetches stayed few long after the cut."""
-    d = Driver(settings(**ASIDE, router_count=10 * concurrency_limit.ORIGIN_CROWD))
+    d = Driver(settings(**ASIDE, router_count=10 * concurrency_limit.NUM_ROUTERS_PER_ORIGIN))
     d.list(*fleet("a", "o"))
     for n in range(20):
         missed(d, f"r{n}", key=f"k{n}")
--- a/tests/policy/test_queue.py
+++ b/tests/policy/test_queue.py
@@ -77,7 +77,7 @@
 
 def test_an_origin_that_stopped_is_tried_now_and_then() -> None:
     """A fetch each from hundreds of routers and retries at once: eight attempts a request, none connected."""
-    d = Driver(settings(**ASIDE, router_count=10 * concurrency_limit.ORIGIN_CROWD))
+    d = Driver(settings(**ASIDE, router_count=10 * concurrency_limit.NUM_ROUTERS_PER_ORIGIN))
     d.list(*fleet("a", "o"))
     tries = 0
     for n in range(800):
--- a/tests/policy/test_random_events.py
+++ b/tests/policy/test_random_events.py
@@ -8,7 +8,7 @@
 from hypothesis import HealthCheck, Phase, given
 from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
-from ironrail.policy.discovery_freshness import NO_LIST
+from ironrail.policy.discovery_freshness import FAILED_UPDATES
 from ironrail.policy.endpoints import EndpointListKind, EndpointState
 from ironrail.policy.events import AttemptStatus, ClientDisconnected, EndpointListUpdate
 from ironrail.policy.router import Router
@@ -59,7 +59,7 @@
             )
             for n in names
         ]
-        if kind in (*NO_LIST, EndpointListKind.RELOCATED):  # none brings entries
+        if kind in (*FAILED_UPDATES, EndpointListKind.RELOCATED):  # none brings entries
             self.feed(EndpointListUpdate(kind))
         else:
             self.list(*rows, kind=kind)
--- a/tests/policy/test_ring.py
+++ b/tests/policy/test_ring.py
@@ -22,24 +22,29 @@
 
 def test_points_of_the_papers_example() -> None:
     # 100/225, 50/225, 50/225 and 25/225 of 150 are 66.67, 33.33, 33.33 and 16.67; two are left over
-    points = hash_ring.share_points({"s1": 100, "s2": 50, "s3": 50, "s4": 25})
+    points = hash_ring.allocate_virtual_nodes({"s1": 100, "s2": 50, "s3": 50, "s4": 25})
     assert points == {"s1": 67, "s2": 33, "s3": 33, "s4": 17}
 
 
 def test_leftover_ties_go_by_id() -> None:
     # 150 / 4 = 37.5 each: the two leftovers go to the first two ids, whatever the order listed
-    assert hash_ring.share_points({"d": 1, "b": 1, "a": 1, "c": 1}) == {"a": 38, "b": 38, "c": 37, "d": 37}
+    assert hash_ring.allocate_virtual_nodes({"d": 1, "b": 1, "a": 1, "c": 1}) == {
+        "a": 38,
+        "b": 38,
+        "c": 37,
+        "d": 37,
+    }
 
 
 def test_points_grow_with_the_fleet() -> None:
     """A hundred servers shared 150 points, one or two each: one had eleven times the mean load."""
-    points = hash_ring.share_points({f"s{n}": 1.0 for n in range(100)})
+    points = hash_ring.allocate_virtual_nodes({f"s{n}": 1.0 for n in range(100)})
     assert set(points.values()) == {15}
 
 
 @pytest.mark.parametrize("weights", [{"a": 0.0, "b": 0.0}, {"a": 5.0, "b": 0.0}])
 def test_missing_weights_count_as_the_mean(weights: dict[str, float]) -> None:
-    assert hash_ring.share_points(weights) == {"a": 75, "b": 75}
+    assert hash_ring.allocate_virtual_nodes(weights) == {"a": 75, "b": 75}
 
 
 def primary_of(key: str, servers: dict[str, int]) -> str:
@@ -99,12 +104,14 @@
     for n in range(40):
         d.list(entry(f"s{n}", state=EndpointState.REMOVED), kind=EndpointListKind.DELTA)
         d.list(entry(f"s{n + 30}", weight=1 + n % 2), kind=EndpointListKind.DELTA)
-        assert d.router.ring.stale
+        assert d.router.ring.needs_rebuild
         d.request(f"r{n}", key=f"k{n}", finish=True)
         fresh = Driver(settings())
         fresh.list(*(s.endpoint for s in d.router.servers.values()))
         fresh.request("r", key="k")
-        assert not d.router.ring.stale and d.router.ring.places == fresh.router.ring.places
+        assert (
+            not d.router.ring.needs_rebuild and d.router.ring.virtual_nodes == fresh.router.ring.virtual_nodes
+        )
 
 
 def test_a_popular_key_is_shared_before_any_cap_is_reached() -> None:
--- a/tests/policy/test_walk.py
+++ b/tests/policy/test_walk.py
@@ -52,5 +52,5 @@
     d.router.servers[second].last_used_at = d.now
     assert d.request("r0", key="k", finish=True) == first
     d.router.servers[first].last_used_at = -math.inf
-    d.router.health.signs["vain"] = 0.3
+    d.router.connections.rates.connect_timeouts = 0.3
     assert d.request("r1", key="k") == second
--- a/tests/rehearsal/experiments/test_run.py
+++ b/tests/rehearsal/experiments/test_run.py
@@ -178,11 +178,16 @@
 def test_a_tree_has_its_constants_and_its_own_digest(tmp_path: Path) -> None:
     plain = make_tree(Variant(name="a"), tmp_path / "a")
     changed = make_tree(
-        Variant.model_validate({"name": "b", "set": {"ironrail.policy.hash_ring.EPSILON": 0.5}}),
+        Variant.model_validate(
+            {"name": "b", "set": {"ironrail.policy.hash_ring.BOUNDED_LOAD_MARGIN_RATIO": 0.5}}
+        ),
         tmp_path / "b",
     )
     assert plain == digest_of(PACKAGE) != changed
-    assert "\nEPSILON = 0.5\n" in (tmp_path / "b" / "ironrail" / "policy" / "hash_ring.py").read_text()
+    assert (
+        "\nBOUNDED_LOAD_MARGIN_RATIO = 0.5\n"
+        in (tmp_path / "b" / "ironrail" / "policy" / "hash_ring.py").read_text()
+    )
     (tmp_path / "operator.toml").write_text("[connections]\ndepth = 1\n")
     operated = make_tree(Variant(name="c", operator=str(tmp_path / "operator.toml")), tmp_path / "c")
     assert operated != plain
--- a/tests/rehearsal/fleet/test_fleet.py
+++ b/tests/rehearsal/fleet/test_fleet.py
@@ -47,20 +47,20 @@
 
 
 def test_routers_that_call_for_the_list_in_step_fail(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(DiscoveryFreshness, "first", lambda self, draws: 0.0)
-    monkeypatch.setattr(DiscoveryFreshness, "failed", lambda self, now, how, draws: 0.05)
+    monkeypatch.setattr(DiscoveryFreshness, "initial_delay", lambda self, draws: 0.0)
+    monkeypatch.setattr(DiscoveryFreshness, "on_failure", lambda self, now, how, draws: 0.05)
     assert "calls for the list in a second" in failed(world("release"))
 
 
 def test_routers_without_a_budget_for_cold_caches_fail(monkeypatch: pytest.MonkeyPatch) -> None:
     choose = CandidateSelection.choose
 
-    def eager(self: CandidateSelection, now: float, held: PendingRequest) -> Server | None:
-        servers = [self.servers[i] for i in self.ring.points]
-        cold = [s for s in servers if self.cold.share(now, s) < 1.0]
-        return cold[0] if cold and not held.attempts else choose(self, now, held)
+    def eager(self: CandidateSelection, now: float, pending: PendingRequest) -> Server | None:
+        servers = [self.servers[i] for i in self.ring.virtual_node_counts]
+        cold = [s for s in servers if self.slow_start.capacity_fraction(now, s) < 1.0]
+        return cold[0] if cold and not pending.attempts else choose(self, now, pending)
 
-    monkeypatch.setattr(SlowStart, "bears", lambda *given: True)
+    monkeypatch.setattr(SlowStart, "admits", lambda *given: True)
     monkeypatch.setattr(CandidateSelection, "choose", eager)
     scenario = world("hall")
     told = scenario.registry.model_copy(update={"rate": 1000.0})  # or few would know that they are cold
--- a/tests/rehearsal/losses/test_planted.py
+++ b/tests/rehearsal/losses/test_planted.py
@@ -52,7 +52,7 @@
 
 
 def held_at_one(patch: pytest.MonkeyPatch) -> None:
-    learn = ConcurrencyLimiter.learn
+    learn = ConcurrencyLimiter.on_attempt_ended
 
     def stuck(
         self: ConcurrencyLimiter, now: float, attempt: Attempt, event: AttemptEnded, out: list[Action]
@@ -60,7 +60,7 @@
         learn(self, now, attempt, event, out)
         attempt.server.concurrency_limit = 1.0
 
-    patch.setattr(ConcurrencyLimiter, "learn", stuck)
+    patch.setattr(ConcurrencyLimiter, "on_attempt_ended", stuck)
 
 
 def without_budget(patch: pytest.MonkeyPatch) -> None:
--- a/tests/test_asking.py
+++ b/tests/test_asking.py
@@ -12,7 +12,13 @@
 from hypothesis import given
 from hypothesis import strategies as st
 from ironrail.policy.actions import FetchEndpointList, SetTimer
-from ironrail.policy.discovery_freshness import AFTER_FAILURE, AT_ONCE, IN_TIME, UNTOLD, DiscoveryFreshness
+from ironrail.policy.discovery_freshness import (
+    FAILED_POLL_INTERVAL_FACTOR,
+    MAX_STALENESS_SECONDS,
+    NUM_IMMEDIATE_POLLS,
+    POLL_INTERVAL_FRACTION,
+    DiscoveryFreshness,
+)
 from ironrail.policy.endpoints import EndpointListKind
 from ironrail.policy.events import AttemptStatus, EndpointListUpdate
 from ironrail.policy.settings import Settings
@@ -57,7 +63,7 @@
         )
         draws = random.Random(seed)
         askings = [DiscoveryFreshness(conf) for _ in range(self.routers)]
-        due = [(asking.first(draws), n) for n, asking in enumerate(askings)]
+        due = [(asking.initial_delay(draws), n) for n, asking in enumerate(askings)]
         heapq.heapify(due)
         while due and due[0][0] < until:
             at, n = heapq.heappop(due)
@@ -68,7 +74,7 @@
                 continue
             if not self.grows:
                 askings[n].failures = -1  # the spread stays as it was
-            heapq.heappush(due, (ends + askings[n].failed(ends, EndpointListKind.FAILED, draws), n))
+            heapq.heappush(due, (ends + askings[n].on_failure(ends, EndpointListKind.FAILED, draws), n))
 
 
 @pytest.mark.parametrize("seed", range(5))
@@ -110,17 +116,17 @@
         poll_interval=must_ask,
     )
     asking, draws = DiscoveryFreshness(conf), random.Random(seed)
-    assert 0 <= asking.first(draws) <= IN_TIME * must_ask
+    assert 0 <= asking.initial_delay(draws) <= POLL_INTERVAL_FRACTION * must_ask
     at_once = 0
     for n, how in enumerate(ways):
-        at_once = AT_ONCE if how is EndpointListKind.WATCH_TIMED_OUT else at_once
-        pause = asking.failed(1.0, how, draws)
+        at_once = NUM_IMMEDIATE_POLLS if how is EndpointListKind.WATCH_TIMED_OUT else at_once
+        pause = asking.on_failure(1.0, how, draws)
         assert (pause == 0) is (at_once > 0)
         at_once -= 1
-        assert pause <= IN_TIME * AFTER_FAILURE * must_ask
+        assert pause <= POLL_INTERVAL_FRACTION * FAILED_POLL_INTERVAL_FACTOR * must_ask
         assert EndpointListKind.MALFORMED not in ways[: n + 1] or pause <= max(ramp, window)
-    asking.told()
-    assert asking.failures == 0 and asking.proof_from(100.0) == -math.inf
+    asking.on_update()
+    assert asking.failures == 0 and asking.require_success_since(100.0) == -math.inf
 
 
 def test_after_a_spoilt_answer_calls_wait_for_no_others_until_there_is_a_list() -> None:
@@ -136,14 +142,16 @@
     failed, spoilt, _ = KINDS
     for _ in range(100):
         asking = DiscoveryFreshness(conf)
-        assert asking.failed(0.0, failed, draws) > 4.0
-        asking.told()
-        assert asking.failed(7.0, spoilt, draws) <= 0.5 and asking.failed(7.5, failed, draws) <= 1.0
-        assert asking.proof_from(11.9) == -math.inf and asking.proof_from(12.0) == 7.0
-        asking.failed(11.0, spoilt, draws)  # the first one counts
-        assert asking.proof_from(12.0) == 7.0
-        asking.told()
-        assert asking.proof_from(12.0) == -math.inf and asking.failed(12.0, failed, draws) > 4.0
+        assert asking.on_failure(0.0, failed, draws) > 4.0
+        asking.on_update()
+        assert asking.on_failure(7.0, spoilt, draws) <= 0.5 and asking.on_failure(7.5, failed, draws) <= 1.0
+        assert asking.require_success_since(11.9) == -math.inf and asking.require_success_since(12.0) == 7.0
+        asking.on_failure(11.0, spoilt, draws)  # the first one counts
+        assert asking.require_success_since(12.0) == 7.0
+        asking.on_update()
+        assert (
+            asking.require_success_since(12.0) == -math.inf and asking.on_failure(12.0, failed, draws) > 4.0
+        )
 
 
 def test_after_a_silent_watch_two_calls_fit_in_before_what_it_missed_counts_as_told() -> None:
@@ -157,12 +165,14 @@
     )
     draws = random.Random(1)
     asking = DiscoveryFreshness(conf)
-    assert asking.failed(20.5, EndpointListKind.WATCH_TIMED_OUT, draws) == 0.0
-    assert asking.failed(21.2, EndpointListKind.FAILED, draws) == 0.0
-    assert asking.proof_from(20.9) == -math.inf and asking.proof_from(21.0) == 20.5
-    assert asking.failed(21.5, EndpointListKind.FAILED, draws) > 4.0  # it is a crowd: not a third one at once
-    asking.told()
-    assert asking.proof_from(99.0) == -math.inf
+    assert asking.on_failure(20.5, EndpointListKind.WATCH_TIMED_OUT, draws) == 0.0
+    assert asking.on_failure(21.2, EndpointListKind.FAILED, draws) == 0.0
+    assert asking.require_success_since(20.9) == -math.inf and asking.require_success_since(21.0) == 20.5
+    assert (
+        asking.on_failure(21.5, EndpointListKind.FAILED, draws) > 4.0
+    )  # it is a crowd: not a third one at once
+    asking.on_update()
+    assert asking.require_success_since(99.0) == -math.inf
 
 
 @pytest.mark.parametrize("missed", [EndpointListKind.MALFORMED, EndpointListKind.WATCH_TIMED_OUT])
@@ -201,7 +211,7 @@
         down = 2.0 <= d.now - began < 4.0  # less than the doubt takes to bind
         server = d.request(f"r{n}", key=f"k{n % 97}")
         while f"r{n}" in d.open and server is not None:
-            sent[server] += d.now - began >= UNTOLD
+            sent[server] += d.now - began >= MAX_STALENESS_SECONDS
             lost = server == "a" and down
             server = d.end(f"r{n}", AttemptStatus.CONNECT_FAILED if lost else AttemptStatus.OK, latency=0.001)
     assert not sent["a"] and all(sent[name] for name in "bcdef")
@@ -216,13 +226,17 @@
         DiscoveryFreshness(settings(polls_endpoint_list=True, router_count=1000, slow_start_duration=5.0)),
         random.Random(1),
     )
-    assert asking.first(draws) <= 5.0
-    assert all(asking.failed(0.0, EndpointListKind.FAILED, draws) <= 4 * 5.0 for _ in range(1200))
+    assert asking.initial_delay(draws) <= 5.0
+    assert all(asking.on_failure(0.0, EndpointListKind.FAILED, draws) <= 4 * 5.0 for _ in range(1200))
 
 
 def test_a_push_needs_no_spread() -> None:
     conf = Settings(settings().classes, router_count=40)
-    assert DiscoveryFreshness(conf).spread == 0.0 == DiscoveryFreshness(conf).first(random.Random(1))
+    assert (
+        DiscoveryFreshness(conf).poll_spread
+        == 0.0
+        == DiscoveryFreshness(conf).initial_delay(random.Random(1))
+    )
 
 
 def test_routers_that_are_told_of_another_place_at_once_do_not_ask_there_at_once() -> None:
@@ -240,7 +254,7 @@
         pauses += [a.delay for a in actions if isinstance(a, SetTimer) and a.token == "list"]
     assert len(pauses) == 40
     assert max(sum(at <= pause < at + 1 for pause in pauses) for at in pauses) <= 13
-    assert max(pauses) <= IN_TIME * 10.0
+    assert max(pauses) <= POLL_INTERVAL_FRACTION * 10.0
 
 
 def test_few_routers_ask_at_once_where_the_list_is_told_now() -> None:
--- a/tests/test_node_lists.py
+++ b/tests/test_node_lists.py
@@ -169,9 +169,9 @@
         poll_interval=600.0,
         overload_window=0.05,
     )
-    monkeypatch.setattr(discovery_freshness, "SPREAD", 0.0)  # of the first call
+    monkeypatch.setattr(discovery_freshness, "POLL_SPREAD_RATIO", 0.0)  # of the first call
     await world.start()
-    world.node._host._router.asking.spread = 600.0
+    world.node._host._router.asking.poll_spread = 600.0
     half = orjson.dumps({"version": 2, "full": True, "servers": world.rows()})[:-9]
     head = b"HTTP/1.1 200 X\r\nContent-Length: %d\r\n\r\n" % (len(half) + 9)
     if how in ("stops short", "breaks off"):
--- a/tests/test_silent_list.py
+++ b/tests/test_silent_list.py
@@ -46,7 +46,7 @@
     """2 s after its wait all that it missed counts as told: by then a second call is out, in its place."""
     monkeypatch.setattr(watcher, "WAIT", 0.2)
     monkeypatch.setattr(watcher, "WAIT_SPREAD", 0.0)
-    monkeypatch.setattr(discovery_freshness, "SPREAD", 0.0)  # of the first call
+    monkeypatch.setattr(discovery_freshness, "POLL_SPREAD_RATIO", 0.0)  # of the first call
     world = await World(
         polls_endpoint_list=True,
         router_count=200,
@@ -54,7 +54,7 @@
         slow_start_duration=600.0,
         router_index=1,
     ).start()
-    world.node._host._router.asking.spread = 600.0
+    world.node._host._router.asking.poll_spread = 600.0
     over = time.monotonic() + 0.2
     assert (await world.discovery.next()).head == b"GET /api/targets"  # silent as well
     assert 0.4 < time.monotonic() - over < 0.95  # 1 s is the patience with a usual call
--- a/tests/test_told_in_time.py
+++ b/tests/test_told_in_time.py
@@ -10,7 +10,13 @@
 
 import pytest
 from ironrail.net.discovery import http_client, watcher
-from ironrail.policy.discovery_freshness import CROWD, MOST_PAUSE, UNTOLD, UNTOLD_MOVED, DiscoveryFreshness
+from ironrail.policy.discovery_freshness import (
+    MAX_BACKOFF_SECONDS,
+    MAX_STALENESS_SECONDS,
+    NUM_CONCURRENT_POLLERS,
+    RELOCATION_STALENESS_SECONDS,
+    DiscoveryFreshness,
+)
 from ironrail.policy.endpoints import EndpointListKind
 from ironrail.policy.events import AttemptStatus, EndpointListUpdate
 
@@ -26,10 +32,10 @@
 
 def test_two_calls_fit_in_where_few_ask() -> None:
     """One that was out and lost when discovery could be reached again, a pause, and one that is answered."""
-    answered = CROWD / 2.6  # behind all others, at the pace that was measured
-    assert watcher.ASKED_PATIENCE + MOST_PAUSE + min(answered, 1.5) <= TOLD
+    answered = NUM_CONCURRENT_POLLERS / 2.6  # behind all others, at the pace that was measured
+    assert watcher.ASKED_PATIENCE + MAX_BACKOFF_SECONDS + min(answered, 1.5) <= TOLD
     assert http_client.CONNECT_PATIENCE <= watcher.ASKED_PATIENCE
-    assert UNTOLD <= TOLD - 1.0 and UNTOLD_MOVED <= 4.0 - 1.0
+    assert MAX_STALENESS_SECONDS <= TOLD - 1.0 and RELOCATION_STALENESS_SECONDS <= 4.0 - 1.0
 
 
 def test_two_calls_fit_in_at_an_agent() -> None:
@@ -63,7 +69,7 @@
         )
         draws, service = random.Random(self.seed), Service(self.rate, REFUSES)
         self.askings = [DiscoveryFreshness(conf) for _ in range(self.routers)]
-        due = [(a.failed(0.0, first, draws, 0.0), n) for n, a in enumerate(self.askings)]
+        due = [(a.on_failure(0.0, first, draws, 0.0), n) for n, a in enumerate(self.askings)]
         heapq.heapify(due)
         while due and due[0][0] < until:
             at, n = heapq.heappop(due)
@@ -72,12 +78,12 @@
             if at >= self.lasts:
                 ends, listed = service.call(at)
             for look in (at, ends - 1e-6):
-                self.doubts.append((look, self.askings[n].proof_from(look), n))
+                self.doubts.append((look, self.askings[n].require_success_since(look), n))
             if listed:
                 self.told[n] = ends
-                self.askings[n].told()
+                self.askings[n].on_update()
             else:
-                again = ends + self.askings[n].failed(ends, EndpointListKind.FAILED, draws, ends)
+                again = ends + self.askings[n].on_failure(ends, EndpointListKind.FAILED, draws, ends)
                 heapq.heappush(due, (again, n))
 
     def unguarded(self, change: float) -> list[float]:
@@ -88,7 +94,7 @@
         counts = max(change, self.lasts) + TOLD
         late = [n for n in range(self.routers) if self.told.get(n, math.inf) > counts]
         looks = [(at, proof) for at, proof, n in self.doubts if n in late and at >= counts]
-        looks += [(counts, self.askings[n].proof_from(counts)) for n in late if n not in self.told]
+        looks += [(counts, self.askings[n].require_success_since(counts)) for n in late if n not in self.told]
         return [at for at, proof in looks if proof < change]
 
     def most_calls(self, after: float) -> int:
@@ -103,7 +109,7 @@
         outage = Outage(3, 2.6, hangs, seed, lasts)
         outage.run(lasts + 30.0)
         assert len(outage.told) == 3 and max(outage.told.values()) <= lasts + TOLD
-        assert outage.most_calls(0.0) <= 3 / (MOST_PAUSE / 2)
+        assert outage.most_calls(0.0) <= 3 / (MAX_BACKOFF_SECONDS / 2)
         assert not outage.unguarded(0.1)
 
 
@@ -140,8 +146,8 @@
         DiscoveryFreshness(settings(polls_endpoint_list=True, slow_start_duration=8.9, poll_interval=10.0)),
         random.Random(1),
     )
-    pauses = [asking.failed(float(n), EndpointListKind.FAILED, draws) for n in range(20)]
-    assert asking.proof_from(1000.0) == -math.inf and max(pauses) > 4.0
+    pauses = [asking.on_failure(float(n), EndpointListKind.FAILED, draws) for n in range(20)]
+    assert asking.require_success_since(1000.0) == -math.inf and max(pauses) > 4.0
 
 
 def test_one_failed_call_with_a_list_soon_after_costs_nothing() -> None:
@@ -149,10 +155,10 @@
         DiscoveryFreshness(settings(polls_endpoint_list=True, router_count=200, poll_interval=10.0)),
         random.Random(1),
     )
-    asking.failed(100.0, EndpointListKind.FAILED, draws, 0.0)
-    assert asking.proof_from(104.9) == -math.inf
-    asking.told()
-    assert asking.proof_from(200.0) == -math.inf
+    asking.on_failure(100.0, EndpointListKind.FAILED, draws, 0.0)
+    assert asking.require_success_since(104.9) == -math.inf
+    asking.on_update()
+    assert asking.require_success_since(200.0) == -math.inf
 
 
 def test_a_move_binds_within_four_seconds() -> None:
@@ -160,16 +166,16 @@
     d.list(*(entry(name) for name in "ab"))
     d.feed(EndpointListUpdate(EndpointListKind.RELOCATED))
     asking = d.router.asking
-    assert asking.proof_from(d.now + 2.9) == -math.inf
-    assert asking.proof_from(d.now + 3.0) == d.now  # a second early
-    assert asking.proof_from(d.now + 20.0) == d.now + 20.0 - UNTOLD
+    assert asking.require_success_since(d.now + 2.9) == -math.inf
+    assert asking.require_success_since(d.now + 3.0) == d.now  # a second early
+    assert asking.require_success_since(d.now + 20.0) == d.now + 20.0 - MAX_STALENESS_SECONDS
 
 
 def test_a_first_call_that_fails_binds_from_the_start() -> None:
     """What changed while it was put off counts as told by then."""
     asking = DiscoveryFreshness(settings(polls_endpoint_list=True, router_count=200, poll_interval=10.0))
-    asking.failed(109.0, EndpointListKind.FAILED, random.Random(1), 9.0)
-    assert asking.proof_from(109.0) == 104.0
+    asking.on_failure(109.0, EndpointListKind.FAILED, random.Random(1), 9.0)
+    assert asking.require_success_since(109.0) == 104.0
 
 
 @pytest.mark.parametrize("rate", [2.0, 50.0])
--- a/tests/test_told_played.py
+++ b/tests/test_told_played.py
@@ -83,5 +83,5 @@
 def test_routers_that_trust_the_last_list_for_as_long_as_that_is_young_break_the_rule(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(DiscoveryFreshness, "proof_from", lambda self, now: float("-inf"))
+    monkeypatch.setattr(DiscoveryFreshness, "require_success_since", lambda self, now: float("-inf"))
     assert {b.rule for b in play("1500 ms", monkeypatch).result.broken} == {"drains"}
