--- a/ironrail/policy/admission.py
+++ b/ironrail/policy/admission.py
@@ -6,7 +6,7 @@
 
 from __future__ import annotations
 
-from ironrail.policy.outlier_detection import OutlierDetection
+from ironrail.policy.load_shedding import LoadShedding
 from ironrail.policy.policy_overrides import PolicyOverrides
 from ironrail.policy.state import PendingRequest
 
@@ -14,10 +14,8 @@
 class AdmissionControl:
     """Decides on new requests."""
 
-    def __init__(
-        self, outlier_detection: OutlierDetection, policy_overrides: PolicyOverrides
-    ) -> None:
-        self._outlier_detection = outlier_detection
+    def __init__(self, load_shedding: LoadShedding, policy_overrides: PolicyOverrides) -> None:
+        self._load_shedding = load_shedding
         self._policy_overrides = policy_overrides
 
     def admits(self, now: float, pending: PendingRequest) -> bool:
@@ -25,7 +23,7 @@
 
         What goes to the origin alone is not shed: the load of the caches says nothing of it.
         """
-        sheds = self._outlier_detection.sheds
-        if not pending.needs_origin and sheds(pending.request_class.name):
+        class_name = pending.request_class.name
+        if not pending.needs_origin and self._load_shedding.should_shed(class_name):
             return False
-        return not self._policy_overrides.exceeds(now, pending.request.tenant)
+        return not self._policy_overrides.exceeds_tenant_rate(now, pending.request.tenant)
--- a/ironrail/policy/attempt_sender.py
+++ b/ironrail/policy/attempt_sender.py
@@ -6,8 +6,8 @@
 
 from ironrail.policy.actions import Action, CloseIdleConnections, SendAttempt, SetTimer
 from ironrail.policy.attempts_in_flight import AttemptsInFlight
+from ironrail.policy.connection_health import ConnectionHealth
 from ironrail.policy.hedging import can_be_overdue, hedge_delay
-from ironrail.policy.outlier_detection import OutlierDetection
 from ironrail.policy.retry_budget import RetryBudget
 from ironrail.policy.retry_policy import RetryPolicy
 from ironrail.policy.settings import Settings
@@ -30,14 +30,14 @@
         attempts_in_flight: AttemptsInFlight,
         retry_budget: RetryBudget,
         retry_policy: RetryPolicy,
-        outlier_detection: OutlierDetection,
+        connection_health: ConnectionHealth,
         zone_latency: ZoneLatency,
     ) -> None:
         self._connection_idle_timeout = settings.connection_idle_timeout
         self._attempts_in_flight = attempts_in_flight
         self._retry_budget = retry_budget
         self._retry_policy = retry_policy
-        self._outlier_detection = outlier_detection
+        self._connection_health = connection_health
         self._zone_latency = zone_latency
 
     def send(
@@ -73,9 +73,9 @@
         round_trip = 0.0
         if server.is_cache:
             target_fraction = CACHE_LATENCY_TARGET_FRACTION
-            if self._zone_latency.known:
-                link_delay = self._zone_latency.adds(server)
-                round_trip = self._zone_latency.trip(server)
+            if self._zone_latency.has_links:
+                link_delay = self._zone_latency.expected_delay(server)
+                round_trip = self._zone_latency.round_trip(server)
         return Attempt(
             server=server,
             latency_target=target_fraction * objective,
@@ -94,7 +94,7 @@
         Has idle connections closed that are unlikely to work any more.
         """
         idle = 0.0 if server.in_flight else now - server.last_used_at
-        if self._outlier_detection.linked(now, server):
+        if self._connection_health.is_connected(now, server):
             return idle
         if idle <= self._connection_idle_timeout:
             actions.append(CloseIdleConnections(server.endpoint.name))
--- a/ironrail/policy/hedging.py
+++ b/ironrail/policy/hedging.py
@@ -7,7 +7,7 @@
 
 from __future__ import annotations
 
-from ironrail.policy.outlier_detection import OutlierDetection
+from ironrail.policy.load_shedding import LoadShedding
 from ironrail.policy.retry_policy import RetryPolicy
 from ironrail.policy.settings import Idempotency
 from ironrail.policy.state import Attempt, PendingRequest, Server
@@ -38,15 +38,15 @@
 class HedgingPolicy:
     """Decides what becomes of an attempt whose hedge timer fires."""
 
-    def __init__(self, retry_policy: RetryPolicy, outlier_detection: OutlierDetection) -> None:
+    def __init__(self, retry_policy: RetryPolicy, load_shedding: LoadShedding) -> None:
         self._retry_policy = retry_policy
-        self._outlier_detection = outlier_detection
+        self._load_shedding = load_shedding
 
     def may_overtake(self, now: float, pending: PendingRequest, attempt: Attempt) -> bool:
         """Return whether a request may be sent again while this attempt of it is overdue."""
         if pending.is_queued or pending.is_streaming or pending.needs_origin:
             return False
-        if not self._outlier_detection.calm(attempt.latency_objective):
+        if not self._load_shedding.is_uncongested(attempt.latency_objective):
             return False
         if pending.open_attempt_count() > 1:
             return False
--- a/ironrail/policy/request_lifecycle.py
+++ b/ironrail/policy/request_lifecycle.py
@@ -26,8 +26,8 @@
 from ironrail.policy.events import AttemptEnded, AttemptStatus, RequestReceived
 from ironrail.policy.hash_ring import HashRing
 from ironrail.policy.hedging import HedgingPolicy
+from ironrail.policy.load_shedding import LoadShedding
 from ironrail.policy.origin_queue import OriginQueue, available_origin, can_finish_in_time
-from ironrail.policy.outlier_detection import OutlierDetection
 from ironrail.policy.retry_budget import RetryBudget
 from ironrail.policy.retry_policy import RetryPolicy
 from ironrail.policy.settings import Idempotency, RequestClass, Settings
@@ -52,7 +52,7 @@
     origin_queue: OriginQueue
     candidate_selection: CandidateSelection
     attempt_sender: AttemptSender
-    outlier_detection: OutlierDetection
+    load_shedding: LoadShedding
     pending_requests: dict[str, PendingRequest] = field(default_factory=dict)  # by request id
 
     def on_request_received(self, request: RequestReceived) -> None:
@@ -80,23 +80,23 @@
             request_class=request_class,
             give_up_at=self.context.now + longest_wait,
             needs_origin=settings.cache_aside and request.is_write,
-            hot_key_offset=self.random.randrange(self.ring.spread(key)),
+            hot_key_offset=self.random.randrange(self.ring.count_replicas(key)),
         )
 
     def advance(self, pending: PendingRequest) -> None:
         """Send the next attempt of a request, let it wait for an origin, or give it up."""
-        self.build_ring_if_stale()
+        self.rebuild_ring_if_needed()
         if self.context.now >= pending.give_up_at:
             self._give_up(pending)
-        elif self.ring.places and not pending.needs_origin:
+        elif self.ring.virtual_nodes and not pending.needs_origin:
             self._send_to_cache(pending)
         else:
             self._wait_for_origin(pending)
 
-    def build_ring_if_stale(self) -> None:
+    def rebuild_ring_if_needed(self) -> None:
         """Bring the ring up to date, once for all changes since the last send."""
-        if self.ring.stale:
-            self.context.actions += self.ring.build(self.context.now, self.servers)
+        if self.ring.needs_rebuild:
+            self.context.actions += self.ring.rebuild(self.context.now, self.servers)
 
     def _send_to_cache(self, pending: PendingRequest) -> None:
         server = self.candidate_selection.choose(self.context.now, pending)
@@ -182,7 +182,7 @@
             self.context.actions.append(CancelAttempt(request_id, attempt_number))
 
     def _hedge(self, pending: PendingRequest) -> None:
-        if self.ring.stale or not self.ring.places:
+        if self.ring.needs_rebuild or not self.ring.virtual_nodes:
             return
         server = self.candidate_selection.choose(self.context.now, pending)
         if server is not None:
@@ -216,7 +216,7 @@
             return
         request_id = pending.request.request_id
         if self.retry_policy.may_reject(pending):
-            retry_after = max(self.settings.timer_resolution, self.outlier_detection.latency)
+            retry_after = max(self.settings.timer_resolution, self.load_shedding.mean_latency)
             self.context.actions.append(RejectRequest(request_id, retry_after))
         else:
             self.context.actions.append(FailRequest(request_id))
--- a/ironrail/policy/retry_budget.py
+++ b/ironrail/policy/retry_budget.py
@@ -49,7 +49,7 @@
         if pending.retry_tokens > 0:
             return True
         allowed = self.settings.reserve + self.settings.ratio * len(self._request_times)
-        allowed *= self._policy_overrides.further(pending.request_class.name)
+        allowed *= self._policy_overrides.retry_ratio(pending.request_class.name)
         return len(self._charge_times) + 1 <= allowed
 
     def on_attempt_sent(self, now: float, pending: PendingRequest) -> None:
--- a/ironrail/policy/router.py
+++ b/ironrail/policy/router.py
@@ -15,6 +15,7 @@
 from ironrail.policy.attempts_in_flight import AttemptsInFlight
 from ironrail.policy.candidate_selection import CandidateSelection
 from ironrail.policy.concurrency_limit import ConcurrencyLimiter
+from ironrail.policy.connection_health import ConnectionHealth
 from ironrail.policy.discovery_freshness import DiscoveryFreshness
 from ironrail.policy.event_context import EventContext
 from ironrail.policy.events import (
@@ -32,6 +33,7 @@
 )
 from ironrail.policy.hash_ring import HashRing
 from ironrail.policy.hedging import HedgingPolicy
+from ironrail.policy.load_shedding import LoadShedding
 from ironrail.policy.membership import Membership
 from ironrail.policy.origin_queue import OriginQueue
 from ironrail.policy.outlier_detection import OutlierDetection
@@ -73,18 +75,22 @@
         self.slow_start = SlowStart(settings, self._random, now)
         self.ring = HashRing(settings, self.slow_start, self.policy_overrides)
         self.concurrency_limiter = ConcurrencyLimiter(settings)
-        self.outlier_detection = OutlierDetection(
+        self.connection_health = ConnectionHealth(settings, now)
+        self.load_shedding = LoadShedding(
             settings, self._random, now, self.slow_start, self.policy_overrides
         )
+        self.outlier_detection = OutlierDetection(
+            settings, self._random, self.slow_start, self.load_shedding, self.connection_health
+        )
 
     def _wire_requests(self) -> None:
         """Create the parts that decide on requests and their attempts."""
         settings = self.settings
-        self.admission = AdmissionControl(self.outlier_detection, self.policy_overrides)
+        self.admission = AdmissionControl(self.load_shedding, self.policy_overrides)
         self.attempts_in_flight = AttemptsInFlight()
         self.retry_budget = RetryBudget(settings, self.policy_overrides)
         self.retry_policy = RetryPolicy(settings, self.retry_budget)
-        self.hedging = HedgingPolicy(self.retry_policy, self.outlier_detection)
+        self.hedging = HedgingPolicy(self.retry_policy, self.load_shedding)
         self.origin_queue = OriginQueue()
         self.candidate_selection = CandidateSelection(
             self.servers,
@@ -93,7 +99,7 @@
             self.retry_policy,
             self.concurrency_limiter,
             self.slow_start,
-            self.outlier_detection,
+            self.connection_health,
             self.discovery_freshness,
             self.zone_latency,
         )
@@ -111,7 +117,7 @@
             origin_queue=self.origin_queue,
             candidate_selection=self.candidate_selection,
             attempt_sender=self._new_attempt_sender(),
-            outlier_detection=self.outlier_detection,
+            load_shedding=self.load_shedding,
         )
 
     def _new_attempt_sender(self) -> AttemptSender:
@@ -120,7 +126,7 @@
             self.attempts_in_flight,
             self.retry_budget,
             self.retry_policy,
-            self.outlier_detection,
+            self.connection_health,
             self.zone_latency,
         )
 
@@ -149,7 +155,7 @@
             case PolicyOverridesChanged():
                 self._on_policy_overrides_changed(event)
             case ZoneLinksChanged():
-                self.zone_latency.follow(event)
+                self.zone_latency.update(event)
             case ClientDisconnected(request_id):
                 self.requests.on_client_disconnected(request_id)
             case DeadlineReached(request_id):
@@ -160,7 +166,7 @@
 
     def server_counts(self, now: float) -> tuple[int, int]:
         """Return how many servers are listed, and how many of them are draining or ejected."""
-        return self.membership.server_counts(now)
+        return self.membership.count_unavailable(now)
 
     def _on_attempt_ended(self, event: AttemptEnded) -> None:
         attempt = self.attempts_in_flight.finish(event)
@@ -176,20 +182,20 @@
         """Have each part learn of the server from the end of an attempt."""
         now = self.context.now
         actions = self.context.actions
-        if self.concurrency_limiter.crowd and attempt.server.is_cache:
-            self.concurrency_limiter.linger(now, attempt, event.status)
-        self.outlier_detection.learn(now, attempt, event, actions)
-        self.concurrency_limiter.learn(now, attempt, event, actions)
-        self.zone_latency.learn(attempt, event)
+        if self.concurrency_limiter.servers_are_shared and attempt.server.is_cache:
+            self.concurrency_limiter.track_abandoned(now, attempt, event.status)
+        self.outlier_detection.on_attempt_ended(now, attempt, event, actions)
+        self.concurrency_limiter.on_attempt_ended(now, attempt, event, actions)
+        self.zone_latency.on_attempt_ended(attempt, event)
 
     def _on_endpoint_list_update(self, event: EndpointListUpdate) -> None:
-        if self.membership.take(self.context.now, event, self.context.actions):
-            self.ring.stale = True
+        if self.membership.update(self.context.now, event, self.context.actions):
+            self.ring.needs_rebuild = True
             self.requests.advance_queued()
 
     def _on_policy_overrides_changed(self, event: PolicyOverridesChanged) -> None:
-        self.policy_overrides.follow(event)
-        self.ring.stale = True
+        self.policy_overrides.update(event)
+        self.ring.needs_rebuild = True
 
     def _on_timer_fired(self, timer: Timer) -> None:
         match timer:
--- a/tests/policy/test_answers.py
+++ b/tests/policy/test_answers.py
@@ -139,4 +139,4 @@
     r = d.router
     assert not r.pending_requests and not r.attempts_in_flight and r.attempts_in_flight.cache_count == 0
     assert len(r.servers) <= 5 and len(r.origin_queue) < 100
-    assert len(r.ring.recent) == hash_ring.RECENT
+    assert len(r.ring.recent_keys) == hash_ring.NUM_RECENT_KEYS
