--- a/ironrail/policy/endpoints.py
+++ b/ironrail/policy/endpoints.py
@@ -15,7 +15,7 @@
 
 
 class EndpointListKind(Enum):
-    """How an endpoint list update relates to the list that is known, or how a call for it failed."""
+    """How an endpoint list relates to the one that is known, or how a call for it failed."""
 
     DELTA = "delta"  # a watch event: only the endpoints that changed
     FULL = "full"
--- a/ironrail/policy/events.py
+++ b/ironrail/policy/events.py
@@ -62,7 +62,10 @@
 
 @dataclass(slots=True, frozen=True)
 class PolicyOverridesChanged:
-    """The operators' policy has changed. Emitted by the peers' runtime; what is absent is not limited."""
+    """The operators' policy has changed. Emitted by the peers' runtime.
+
+    Zones, classes and tenants that it does not name are not limited.
+    """
 
     drained_zones: frozenset[str] = frozenset()  # zones whose servers get no new attempts
     # by request class: the excess load, as a fraction, from which on it is shed
--- a/ironrail/policy/request_lifecycle.py
+++ b/ironrail/policy/request_lifecycle.py
@@ -1,5 +1,9 @@
 """The life of a request: admitted, sent, retried, hedged or queued, and answered exactly once.
 
+It is retried when its attempts have ended without an answer, as `retry_policy.py` and
+`retry_budget.py` permit, and hedged when one is overdue while the fleet is not congested
+(`hedging.py`).
+
 Each request ends in one of these ways:
 
 * an attempt is answered, and the host sends the answer on;
--- a/ironrail/policy/retry_budget.py
+++ b/ironrail/policy/retry_budget.py
@@ -1,8 +1,8 @@
-"""The retry budget: how many further attempts the requests of one router may share.
+"""The retry budget: how many extra attempts the requests of one router may share.
 
-It bounds the load that retries and hedged requests add when servers fail, so that an overload does
-not feed itself. A request that ends for want of budget was rejected or failed although its class
-would have permitted another attempt.
+An extra attempt is a retry or a hedged request. The budget bounds the load that these add when
+servers fail, so that an overload does not feed itself. A request that the budget ends is rejected
+or failed although its class would permit another attempt.
 """
 
 from __future__ import annotations
@@ -14,12 +14,12 @@
 from ironrail.policy.state import PendingRequest
 
 # where the settings state no budget, over the duration of a slow start
-DEFAULT_RETRY_RATIO = 0.2  # further attempts for each request
+DEFAULT_RETRY_RATIO = 0.2  # extra attempts for each request
 DEFAULT_RESERVE_ATTEMPTS = 10.0  # covers what is in flight at a server that is lost
 
 
 class RetryBudget:
-    """Allows `reserve + ratio x requests` further attempts in any `window` seconds.
+    """Allows `reserve + ratio x requests` extra attempts in any `window` seconds.
 
     An attempt is charged to the budget unless its request has a retry token left. A request has one
     token for its first attempt, and gets one for each miss: a fetch after a miss is regular work.
--- a/ironrail/policy/retry_policy.py
+++ b/ironrail/policy/retry_policy.py
@@ -20,7 +20,7 @@
 
 
 class RetryPolicy:
-    """Decides on further attempts of a request, and on its rejection."""
+    """Decides whether a request is sent again, to which servers, or rejected."""
 
     def __init__(self, settings: Settings, retry_budget: RetryBudget) -> None:
         self._cache_aside = settings.cache_aside
@@ -82,7 +82,7 @@
     ) -> None:
         """Settle what the next attempt may use: a free one after a miss, the origin or a cache.
 
-        With cache-aside the other caches lack the key, so the origin is next; only after a broken
+        With `cache_aside` the other caches lack the key, so the origin is next; only after a broken
         connection the same cache is asked again, as it most likely still has the key.
         """
         if status is AttemptStatus.MISS:
--- a/ironrail/policy/router.py
+++ b/ironrail/policy/router.py
@@ -1,8 +1,8 @@
 """Every decision of a router, as a state machine without I/O.
 
-Events (`ironrail/policy/events.py`) go in, actions (`ironrail/policy/actions.py`) come out. Each module
-beside this one decides one thing and owns the state that it needs. The router wires these parts and
-hands each event to those that it concerns.
+Events (`ironrail/policy/events.py`) go in, actions (`ironrail/policy/actions.py`) come out. Each
+module beside this one decides one thing and owns the state that it needs. The router wires these
+parts and hands each event to those that it concerns.
 """
 
 from __future__ import annotations
@@ -62,7 +62,8 @@
         self.context = EventContext(now)
         self._random = random.Random(seed)
         self._wire_fleet(now)
-        self._wire_requests()
+        self._wire_attempts()
+        self.requests = self._new_request_lifecycle()
 
     def _wire_fleet(self, now: float) -> None:
         """Create the parts that know the servers, and what the operators override."""
@@ -83,8 +84,8 @@
             settings, self._random, self.slow_start, self.load_shedding, self.connection_health
         )
 
-    def _wire_requests(self) -> None:
-        """Create the parts that decide on requests and their attempts."""
+    def _wire_attempts(self) -> None:
+        """Create the parts that decide on the attempts of requests."""
         settings = self.settings
         self.admission = AdmissionControl(self.load_shedding, self.policy_overrides)
         self.attempts_in_flight = AttemptsInFlight()
@@ -103,8 +104,18 @@
             self.discovery_freshness,
             self.zone_latency,
         )
-        self.requests = RequestLifecycle(
-            settings=settings,
+        self.attempt_sender = AttemptSender(
+            settings,
+            self.attempts_in_flight,
+            self.retry_budget,
+            self.retry_policy,
+            self.connection_health,
+            self.zone_latency,
+        )
+
+    def _new_request_lifecycle(self) -> RequestLifecycle:
+        return RequestLifecycle(
+            settings=self.settings,
             context=self.context,
             random=self._random,
             servers=self.servers,
@@ -116,20 +127,10 @@
             hedging=self.hedging,
             origin_queue=self.origin_queue,
             candidate_selection=self.candidate_selection,
-            attempt_sender=self._new_attempt_sender(),
+            attempt_sender=self.attempt_sender,
             load_shedding=self.load_shedding,
         )
 
-    def _new_attempt_sender(self) -> AttemptSender:
-        return AttemptSender(
-            self.settings,
-            self.attempts_in_flight,
-            self.retry_budget,
-            self.retry_policy,
-            self.connection_health,
-            self.zone_latency,
-        )
-
     @property
     def now(self) -> float:
         """Seconds on the host's clock, of the latest event."""
--- a/ironrail/policy/settings.py
+++ b/ironrail/policy/settings.py
@@ -38,7 +38,7 @@
 
 @dataclass(slots=True, frozen=True)
 class RetryBudgetSettings:
-    """At most `reserve + ratio x requests` further attempts in any `window`; after a miss one is free."""
+    """Allows `reserve + ratio x requests` retries and hedged requests in any `window`."""
 
     reserve: float  # attempts
     ratio: float  # attempts for each request received
