--- a/ironrail/policy/candidate_selection.py
+++ b/ironrail/policy/candidate_selection.py
@@ -23,7 +23,7 @@
 
 # standard deviations above the mean load: with few requests in flight chance would split keys
 LOAD_DEVIATION_FACTOR = 2.0
-MAX_VISITED_SERVERS = 3  # that a key may try in turn: servers further on do not have it cached
+MAX_VISITED_SERVERS = 3  # for one key: servers beyond these do not have it cached
 CONNECTED_FIRST_FRACTION = 1 / 4  # of the ring, searched for open connections
 
 
@@ -45,7 +45,7 @@
     pending: PendingRequest
     time_left: float  # seconds in which the answer must be back; infinite if that is no criterion
     max_in_flight: int  # the bounded load
-    connected_first: int  # servers without an open connection that are put off
+    connected_first: int  # servers without an open connection to pass over
     visited: set[str] = field(default_factory=set)
     ineligible: set[str] = field(default_factory=set)
     last_resorts: dict[str, Server] = field(default_factory=dict)
@@ -87,7 +87,7 @@
         return nearby
 
     def _search(self, now: float, pending: PendingRequest, time_left: float) -> Server | None:
-        """Return the first server to be chosen, else one over its bounded load, else a last resort."""
+        """Return the first server chosen, else one over the bounded load, else a last resort."""
         search = Search(
             now, pending, time_left, self._bounded_load(), self._count_connected_first()
         )
@@ -123,13 +123,13 @@
         )
 
     def _count_connected_first(self) -> int:
-        """Return how many servers to put off in search of an open connection, if connects fail."""
+        """Return how many unconnected servers to pass over while connects time out."""
         if not self.connections.connects_time_out:
             return 0
         return int(CONNECTED_FIRST_FRACTION * len(self.ring.virtual_node_counts))
 
     def _clockwise(self, pending: PendingRequest) -> Iterator[str]:
-        """Yield the server of each virtual node from the key on, without the hot-key offset."""
+        """Yield the server of each virtual node clockwise from the key, past the hot-key offset."""
         nodes = self.ring.virtual_nodes
         start = bisect_left(nodes, (self.ring.hash(pending.key), ""))
         skipped: set[str] = set()
@@ -152,9 +152,8 @@
             return Verdict.AT_CONCURRENCY_LIMIT if is_visit else Verdict.INELIGIBLE
         if is_cut or now < server.ejected_until:
             return Verdict.LAST_RESORT
-        if len(search.last_resorts) < search.connected_first and not self.connections.is_connected(
-            now, server
-        ):
+        prefers_connected = len(search.last_resorts) < search.connected_first
+        if prefers_connected and not self.connections.is_connected(now, server):
             return Verdict.LAST_RESORT
         if server.in_flight < search.max_in_flight or server.endpoint.name in search.visited:
             return Verdict.CHOSEN
--- a/ironrail/policy/concurrency_limit.py
+++ b/ironrail/policy/concurrency_limit.py
@@ -13,7 +13,7 @@
 
 NUM_ROUTERS_PER_ORIGIN = 32  # routers with a fetch each that the origin can serve
 # for each success before the first decrease: a restart under load must not take seconds
-INITIAL_GROWTH_LIMIT = 1.0
+INITIAL_GROWTH_COUNT = 1.0
 MIN_ORIGIN_LIMIT = 1 / 4  # keeps attempts frequent enough to find the origin recovered
 MULTIPLICATIVE_DECREASE_FACTOR = 0.75
 MIN_UTILIZATION_RATIO = 1 / 2  # of the limit in use, for an answer to show that more is possible
@@ -84,7 +84,7 @@
         return event.latency <= FAST_REFUSAL_FACTOR * self._timer_resolution
 
     def _update_latency(self, attempt: Attempt, latency: float, rejected: bool) -> None:
-        """Update the smoothed latency, and its ratio to the target, by an attempt of `latency` s."""
+        """Smooth the latency in seconds, and its ratio to the latency target."""
         server = attempt.server
         if not rejected:
             server.mean_latency += SMOOTHING * (latency - server.mean_latency)
@@ -114,7 +114,7 @@
         if server.limit_cut_at > -math.inf:
             step = 1 / server.concurrency_limit
         elif server.is_cache:
-            step = INITIAL_GROWTH_LIMIT
+            step = INITIAL_GROWTH_COUNT
         else:
-            step = INITIAL_GROWTH_LIMIT * self._origin_share
+            step = INITIAL_GROWTH_COUNT * self._origin_share
         server.concurrency_limit += min(server.concurrency_limit, step)
--- a/ironrail/policy/connection_health.py
+++ b/ironrail/policy/connection_health.py
@@ -18,6 +18,7 @@
 
 
 def _smoothed(fraction: float, failed: bool) -> float:
+    """Return the fraction of failures after one more sample."""
     return fraction + FAILURE_SMOOTHING * (failed - fraction)
 
 
@@ -76,7 +77,7 @@
         self._record_loss(now, attempt, lost)
 
     def _should_close_idle(self, server: Server, failed: bool) -> bool:
-        """Return whether unused connections are to be closed, as broken or to free accept queues."""
+        """Return whether to close unused connections: as broken, or to free accept queues."""
         if server.in_flight or server.last_used_at == -math.inf:
             return False
         return failed or self.rates.full_accept_queues > SIGNIFICANT_FRACTION
--- a/ironrail/policy/discovery_freshness.py
+++ b/ironrail/policy/discovery_freshness.py
@@ -2,7 +2,7 @@
 
 All routers poll one service that works through few calls. A call that waits too long there is
 refused, but worked off all the same, so routers that poll too fast get no answers. Polls are
-therefore spread by the number of routers, and further after each failure.
+therefore spread by the number of routers, and more widely after each failure.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 from ironrail.policy.state import Server
 
 NUM_CONCURRENT_POLLERS = 4  # routers that may poll at once
-POLL_SPREAD_RATIO = 0.3  # of the overload window, for each further router
+POLL_SPREAD_RATIO = 0.3  # of the overload window, for each router beyond these
 FAILED_POLL_INTERVAL_FACTOR = 4.0  # times the poll interval that may pass after a failure
 POLL_INTERVAL_FRACTION = 0.7  # leaves time for the call itself
 # where few routers poll; with `net/discovery/watcher.py` it keeps within MAX_STALENESS_SECONDS
@@ -122,7 +122,7 @@
         max_backoff = MAX_BACKOFF_SECONDS if has_few_pollers else conf.slow_start_duration
         backoff = min(max_backoff, conf.overload_window * BACKOFF_WINDOW_RATIO * doublings)
         if not self._was_malformed:
-            # after a malformed answer the list is due within seconds, whoever else polls
+            # after a malformed answer the list is due within seconds, however many others poll
             backoff += self.poll_spread * doublings
         max_interval = POLL_INTERVAL_FRACTION * FAILED_POLL_INTERVAL_FACTOR * self._poll_interval
         return min(backoff, max_interval)
--- a/ironrail/policy/hash_ring.py
+++ b/ironrail/policy/hash_ring.py
@@ -142,6 +142,7 @@
         self.virtual_nodes.sort()
 
     def _virtual_node(self, server: str, index: int) -> VirtualNode:
+        """Return the virtual node of a server with this index."""
         return self.hash(f"{server}-vnode-{index}"), server
 
     def relative_weight(self, server: Server) -> float:
--- a/ironrail/policy/membership.py
+++ b/ironrail/policy/membership.py
@@ -56,6 +56,7 @@
         return True
 
     def _remove_unlisted(self, listed: set[str]) -> None:
+        """Remove the servers that a full list no longer has."""
         for name in [name for name in self.servers if name not in listed]:
             del self.servers[name]
 
@@ -76,10 +77,12 @@
         self._schedule_fetch(self._freshness.initial_delay(self._draws), actions)
 
     def _retry_fetch(self, now: float, event: EndpointListUpdate, actions: list[Action]) -> None:
+        """Fetch the list again, after the backoff of a failed fetch."""
         delay = self._freshness.on_failure(now, event.kind, self._draws, event.uncertain_for)
         self._schedule_fetch(delay, actions)
         failures = self._freshness.failures
         actions.append(LogMessage(f"list out of reach, {failures} in a row"))
 
     def _schedule_fetch(self, delay: float, actions: list[Action]) -> None:
+        """Fetch the list after a delay in seconds, or now if that is 0."""
         actions.append(SetTimer(delay, "list") if delay else FetchEndpointList())
--- a/ironrail/policy/outlier_detection.py
+++ b/ironrail/policy/outlier_detection.py
@@ -20,7 +20,7 @@
     """Ejects servers that do not answer or cannot be connected to.
 
     A server is probed by the next request of one of its keys after `Server.ejected_until`. Each
-    further loss in a row doubles the ejection, up to the slow start duration.
+    loss in a row doubles the ejection, up to the slow start duration.
     """
 
     def __init__(
--- a/tests/policy/fleets.py
+++ b/tests/policy/fleets.py
@@ -1,4 +1,4 @@
-"""What several tests of decisions share: servers, and how a key meets them."""
+"""Endpoints for tests of decisions, and the order in which a key visits them."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 from tests.driver import Driver, entry
 
-ASIDE: dict[str, Any] = {"cache_aside": True, "origin_kind": "origin"}
+CACHE_ASIDE: dict[str, Any] = {"cache_aside": True, "origin_kind": "origin"}
 
 
 def fleet(*names: str) -> list[Endpoint]:
@@ -18,13 +18,13 @@
     return [entry(n, zone="xy"[i % 2], cell=i % 2, kind="origin" if n == "o" else "std") for i, n in cells]
 
 
-def missed(d: Driver, *names: str, key: str = "k") -> None:
+def end_with_misses(d: Driver, *names: str, key: str = "k") -> None:
     for name in names:
         d.request(name, key=key)
         d.end(name, AttemptStatus.MISS)
 
 
-def order_of(d: Driver, key: str) -> list[str]:
+def servers_clockwise(d: Driver, key: str) -> list[str]:
     """The servers clockwise from a key, each once."""
     r = d.router
     r._build_ring()
--- a/tests/policy/test_answers.py
+++ b/tests/policy/test_answers.py
@@ -18,7 +18,7 @@
 )
 
 from tests.driver import Driver, entry, settings
-from tests.policy.fleets import ASIDE, fleet
+from tests.policy.fleets import CACHE_ASIDE, fleet
 
 
 def test_held_requests_are_answered_in_time_without_any_server() -> None:
@@ -48,7 +48,7 @@
 @pytest.mark.parametrize("kind", ["read", "once"])
 def test_what_waits_when_time_is_up_is_refused_at_once_whatever_its_own_timer_does(kind: str) -> None:
     """Its timer came due within the same millisecond as the host's, which failed it for want of an answer."""
-    d = Driver(settings(**ASIDE, timer_resolution=0.001))
+    d = Driver(settings(**CACHE_ASIDE, timer_resolution=0.001))
     d.list(*fleet("a", "o"))
     for n in range(40):  # more than the origin is sent at first
         d.request(f"r{n}", class_name=kind, is_write=True)
@@ -61,7 +61,7 @@
 
 
 def test_reads_that_wait_for_the_origin_are_answered_in_time() -> None:
-    d = Driver(settings(**ASIDE))
+    d = Driver(settings(**CACHE_ASIDE))
     d.list(*fleet("a", "o"))
     for n in range(60):
         d.request(f"r{n}", key=f"k{n}")
@@ -121,7 +121,7 @@
 
 def test_a_long_run_holds_bounded_memory() -> None:
     """Many keys, servers and requests pass through; what is kept follows what is in hand."""
-    d = Driver(settings(**ASIDE))
+    d = Driver(settings(**CACHE_ASIDE))
     for n in range(3000):
         if n % 20 == 0:
             d.list(*fleet(*(f"s{n // 20 + i}" for i in range(4)), *["o"] * (n % 40 > 0)))
--- a/tests/policy/test_attempts.py
+++ b/tests/policy/test_attempts.py
@@ -14,7 +14,7 @@
 from ironrail.policy.settings import Idempotency, IdempotencyScope, RequestClass, RetryBudgetSettings
 
 from tests.driver import Driver, entry, settings
-from tests.policy.fleets import ASIDE, fleet
+from tests.policy.fleets import CACHE_ASIDE, fleet
 
 MAY_HAVE_RUN = [AttemptStatus.ERROR, AttemptStatus.RESET, AttemptStatus.TIMEOUT, AttemptStatus.CANCELLED]
 NEVER_RAN = [AttemptStatus.BUSY, AttemptStatus.CONNECT_FAILED, AttemptStatus.CANCELLED_BEFORE_SEND]
@@ -124,7 +124,7 @@
 @pytest.mark.parametrize("early", [0.0003, 0.01])
 def test_an_attempt_that_was_given_up_as_overdue_is_no_broken_connection(early: float) -> None:
     """Its timer may fire a fraction of a tick early: the silent server got the request a second time."""
-    d = Driver(settings(**ASIDE, hedging_allowed=False))
+    d = Driver(settings(**CACHE_ASIDE, hedging_allowed=False))
     d.list(*fleet("a", "b", "o"))
     d.request("r", key="k")
     d.wait(0.51)
@@ -157,7 +157,7 @@
 
 
 def test_a_miss_pays_for_its_fetch() -> None:
-    d = Driver(settings(**ASIDE, retry_budget=RetryBudgetSettings(0, 0.0, 5.0)))
+    d = Driver(settings(**CACHE_ASIDE, retry_budget=RetryBudgetSettings(0, 0.0, 5.0)))
     d.list(*fleet("a", "b", "o"))
     d.request("r", key="k")
     assert d.end("r", AttemptStatus.MISS) == "o"
@@ -167,7 +167,7 @@
 
 def test_after_a_failure_at_a_cache_the_origin_is_next() -> None:
     """The next attempt went to a cache that mostly lacked the key, and took the budget and the time."""
-    d = Driver(settings(**ASIDE))
+    d = Driver(settings(**CACHE_ASIDE))
     d.list(*fleet("a", "b", "o"))
     d.request("r", key="k")
     assert d.end("r", AttemptStatus.TIMEOUT) == "o"
@@ -176,7 +176,7 @@
 @pytest.mark.parametrize("status", [AttemptStatus.RESET, AttemptStatus.ERROR, AttemptStatus.CANCELLED])
 def test_what_a_broken_connection_loses_goes_to_the_same_cache_again(status: AttemptStatus) -> None:
     """Each spoilt reply and reset went to the origin, which bears few, and its server was passed over."""
-    d = Driver(settings(**ASIDE))
+    d = Driver(settings(**CACHE_ASIDE))
     d.list(*fleet("a", "b", "o"))
     first = d.request("r", key="k")
     assert d.end("r", status) == first
--- a/tests/policy/test_walk.py
+++ b/tests/policy/test_candidate_selection.py
@@ -1,54 +1,54 @@
-"""Which servers a key is sent on to."""
+"""Which servers a key goes to after its first one."""
 
 from __future__ import annotations
 
 import math
 
 from tests.driver import Driver, settings
-from tests.policy.fleets import fleet, order_of
+from tests.policy.fleets import fleet, servers_clockwise
 
 
-def crowd(d: Driver, *names: str) -> None:
+def fill(d: Driver, *names: str) -> None:
     for name in names:
         d.router.servers[name].concurrency_limit = 0.0
 
 
-def test_a_key_goes_no_further_than_the_third_crowded_server() -> None:
-    """Crowded servers sent keys on to servers that lack them; with two many were refused beside idle ones."""
+def test_a_key_visits_three_servers_at_their_limit_at_most() -> None:
+    """More visits send keys to servers without them; with two, idle servers are left unused."""
     d = Driver(settings())
     d.list(*fleet("a", "b", "c", "d"))
-    first, second, third, fourth = order_of(d, "k")
-    crowd(d, first)
+    first, second, third, fourth = servers_clockwise(d, "k")
+    fill(d, first)
     assert d.request("r1", key="k") == second
-    crowd(d, second)
+    fill(d, second)
     assert d.request("r2", key="k") == third
-    crowd(d, third)
+    fill(d, third)
     assert d.request("r3", key="k") is None and d.ended["r3"] == "refused"
     assert d.router.servers[fourth].in_flight == 0
 
 
-def test_lost_servers_are_passed_without_being_counted() -> None:
-    """Servers behind a cut used up those that a key may pass, and their keys were refused."""
+def test_ejected_servers_do_not_count_as_visited() -> None:
+    """Otherwise keys of servers beyond a cut link would be rejected."""
     d = Driver(settings())
     d.list(*fleet("a", "b", "c", "d"))
-    first, second, third, _ = order_of(d, "k")
+    first, second, third, _ = servers_clockwise(d, "k")
     for name in (first, second):
         d.router.servers[name].ejected_until = d.now + 1.0
     assert d.request("r1", key="k") == third
 
 
-def test_with_all_servers_lost_one_is_tried_all_the_same() -> None:
+def test_an_ejected_server_is_the_last_resort_where_all_are_ejected() -> None:
     d = Driver(settings(max_attempts=1))
     d.list(*fleet("a", "b"))
     for name in "ab":
         d.router.servers[name].ejected_until = d.now + 9.0
-    assert d.request("r1", key="k") == order_of(d, "k")[0]
+    assert d.request("r1", key="k") == servers_clockwise(d, "k")[0]
 
 
-def test_open_connections_go_first_while_connects_are_in_vain() -> None:
+def test_servers_with_open_connections_come_first_while_connects_time_out() -> None:
     d = Driver(settings(max_attempts=1))
     d.list(*fleet(*"abcdefgh"))
-    first, second = order_of(d, "k")[:2]
+    first, second = servers_clockwise(d, "k")[:2]
     d.router.servers[second].last_used_at = d.now
     assert d.request("r0", key="k", finish=True) == first
     d.router.servers[first].last_used_at = -math.inf
--- a/tests/policy/test_ring.py
+++ b/tests/policy/test_hash_ring.py
@@ -1,4 +1,4 @@
-"""Placement on the ring and the bounded walk, against values worked by hand from the design's formulas."""
+"""Virtual nodes, placement of keys and bounded loads, against values worked out by hand."""
 
 import hashlib
 
@@ -20,14 +20,14 @@
     assert hash_ring.ring_hash("") == 0x427E
 
 
-def test_points_of_the_papers_example() -> None:
-    # 100/225, 50/225, 50/225 and 25/225 of 150 are 66.67, 33.33, 33.33 and 16.67; two are left over
+def test_virtual_nodes_are_allocated_by_weight_with_the_largest_remainders_rounded_up() -> None:
+    # 100/225, 50/225, 50/225 and 25/225 of 150 are 66.67, 33.33, 33.33 and 16.67; two remain
     points = hash_ring.allocate_virtual_nodes({"s1": 100, "s2": 50, "s3": 50, "s4": 25})
     assert points == {"s1": 67, "s2": 33, "s3": 33, "s4": 17}
 
 
-def test_leftover_ties_go_by_id() -> None:
-    # 150 / 4 = 37.5 each: the two leftovers go to the first two ids, whatever the order listed
+def test_equal_remainders_are_rounded_up_in_order_of_name() -> None:
+    # 150 / 4 = 37.5 each: the remaining two go to the first two names, in any order of the list
     assert hash_ring.allocate_virtual_nodes({"d": 1, "b": 1, "a": 1, "c": 1}) == {
         "a": 38,
         "b": 38,
@@ -36,24 +36,24 @@
     }
 
 
-def test_points_grow_with_the_fleet() -> None:
-    """A hundred servers shared 150 points, one or two each: one had eleven times the mean load."""
+def test_the_number_of_virtual_nodes_grows_with_the_fleet() -> None:
+    """With 150 virtual nodes for a hundred servers one had eleven times the mean load."""
     points = hash_ring.allocate_virtual_nodes({f"s{n}": 1.0 for n in range(100)})
     assert set(points.values()) == {15}
 
 
 @pytest.mark.parametrize("weights", [{"a": 0.0, "b": 0.0}, {"a": 5.0, "b": 0.0}])
-def test_missing_weights_count_as_the_mean(weights: dict[str, float]) -> None:
+def test_a_server_without_a_weight_gets_the_mean_weight(weights: dict[str, float]) -> None:
     assert hash_ring.allocate_virtual_nodes(weights) == {"a": 75, "b": 75}
 
 
 def primary_of(key: str, servers: dict[str, int]) -> str:
-    """The first point clockwise, by plain search."""
+    """Return the server of the first virtual node clockwise, by plain search."""
     ring = sorted((md5_16(f"{s}-vnode-{j}"), s) for s, n in servers.items() for j in range(n))
     return next((s for p, s in ring if p >= md5_16(key)), ring[0][1])
 
 
-def test_primary_is_first_point_clockwise() -> None:
+def test_a_key_goes_to_the_first_virtual_node_clockwise() -> None:
     d = Driver(settings())
     d.list(entry("a", weight=2), entry("b", weight=1), entry("c", weight=1))
     for n in range(200):
@@ -62,7 +62,7 @@
         d.ok(f"r{n}")
 
 
-def test_a_change_of_list_moves_only_the_arcs_concerned() -> None:
+def test_a_removed_server_moves_few_keys_but_its_own() -> None:
     d = Driver(settings())
     names = [f"s{i}" for i in range(10)]
     d.list(*(entry(n) for n in names))
@@ -71,34 +71,34 @@
     after = {k: d.request(f"b{k}", key=f"k{k}", finish=True) for k in range(500)}
     moved = [k for k in before if before[k] != after[k]]
     assert all(after[k] != "s9" for k in after)
-    # keys of the server that left move; a few more where the other nine got points 15, 16 of its 15
+    # keys of the removed server move, and a few more as the other nine get its virtual nodes
     assert sum(before[k] == "s9" for k in before) <= len(moved) < 120
 
 
-def test_weights_show_in_the_keys() -> None:
+def test_a_server_gets_keys_by_its_weight() -> None:
     d = Driver(settings())
     d.list(entry("big", weight=9), entry("small", weight=1))
     hits = [d.request(f"r{n}", key=f"k{n}", finish=True) for n in range(1000)]
     assert 800 < hits.count("big") < 980
 
 
-def walk(d: Driver, name: str, key: str) -> str:
+def sent_to(d: Driver, name: str, key: str) -> str:
     sent = d.request(name, key=key)
     assert sent is not None
     return sent
 
 
-def test_hot_key_spills_clockwise() -> None:
-    """One key, never answered: its requests spread over the servers instead of piling on the first."""
+def test_a_key_spills_clockwise_over_the_bounded_load() -> None:
+    """Requests for one key, all unanswered, are spread over the servers."""
     d = Driver(settings())
     d.list(*(entry(n) for n in "abcd"))
-    sent = [walk(d, f"r{n}", "hot") for n in range(8)]
+    sent = [sent_to(d, f"r{n}", "hot") for n in range(8)]
     assert len(set(sent)) > 1
     assert sent[0] == primary_of("hot", {"a": 38, "b": 38, "c": 37, "d": 37})
 
 
-def test_the_ring_follows_changes_without_being_built_anew() -> None:
-    """A deploy over 150 servers and 1,000 routers spent 150 us of CPU on every event, nearly all on rings."""
+def test_an_updated_ring_equals_one_built_from_the_same_servers() -> None:
+    """A deployment over 150 servers and 1,000 routers cost 150 us of CPU for each event."""
     d = Driver(settings())
     d.list(*(entry(f"s{n}", weight=1 + n % 3) for n in range(30)))
     for n in range(40):
@@ -114,33 +114,33 @@
         )
 
 
-def test_a_popular_key_is_shared_before_any_cap_is_reached() -> None:
-    """Hundreds of routers with a request each in flight drowned the first server of a hot key."""
+def test_a_hot_key_is_replicated_before_the_bounded_load_is_reached() -> None:
+    """Hundreds of routers with one request each in flight overloaded the server of a hot key."""
     d = Driver(settings())
     d.list(*(entry(f"s{n}") for n in range(50)))
     for n in range(200):
         d.request(f"hot{n}", key="hot", finish=True)
-        for i in range(4):  # no other key comes twice
+        for i in range(4):  # no other key repeats
             d.request(f"r{n}-{i}", key=f"k{n}-{i}", finish=True)
     late = [d.sends[f"hot{n}"][0] for n in range(100, 200)]
-    # a fifth of all: 50 servers with at most 1.25 times the average need 8 for it
+    # a fifth of all requests: with at most 1.25 times the mean load, 8 of 50 servers serve it
     assert 6 <= len(set(late)) <= 12 and max(late.count(s) for s in late) < 35
 
 
-def test_a_rare_key_stays_with_its_server() -> None:
+def test_a_key_that_is_not_hot_stays_with_one_server() -> None:
     d = Driver(settings())
     d.list(*(entry(f"s{n}") for n in range(50)))
     sent = [d.request(f"r{n}", key=f"k{n % 40}", finish=True) for n in range(400)]
     assert all(sent[n] == sent[n % 40] for n in range(400))
 
 
-def test_draining_servers_hold_no_points() -> None:
+def test_a_draining_server_has_no_virtual_nodes() -> None:
     d = Driver(settings())
     d.list(entry("a"), entry("b", state=EndpointState.DRAINING))
     assert {d.request(f"r{n}", key=f"k{n}", finish=True) for n in range(50)} == {"a"}
 
 
-def test_origin_holds_no_points_and_gets_writes_and_misses() -> None:
+def test_the_origin_has_no_virtual_nodes_and_gets_writes_and_misses() -> None:
     d = Driver(settings(cache_aside=True, origin_kind="origin"))
     d.list(entry("a"), entry("o", kind="origin"))
     assert d.request("w", key="k", is_write=True) == "o"
@@ -149,13 +149,13 @@
     assert d.end("r", AttemptStatus.MISS) == "o"
 
 
-def test_through_mode_walks_writes_on_the_ring() -> None:
+def test_without_cache_aside_writes_go_to_the_server_of_their_key() -> None:
     d = Driver(settings())
     d.list(entry("a"), entry("b"))
     assert d.request("w", key="k", is_write=True) == primary_of("k", {"a": 75, "b": 75})
 
 
-def test_hash_cache_is_bounded() -> None:
+def test_the_cache_of_hashes_is_bounded() -> None:
     d = Driver(settings())
     d.list(entry("a"), entry("b"))
     for n in range(5000):
@@ -164,15 +164,15 @@
     assert not d.router.held and not d.router.attempts.out
 
 
-def test_chance_does_not_split_a_key_at_light_load() -> None:
-    """Own counts near one tripped the plain cap by chance, and neighbours then both kept the key."""
+def test_a_key_stays_with_one_server_at_light_load() -> None:
+    """With counts near one a plain bound was exceeded by chance, and two servers cached the key."""
     d = Driver(settings())
     d.list(*(entry(n) for n in "abcd"))
-    assert len({walk(d, f"r{n}", "k") for n in range(3)}) == 1
+    assert len({sent_to(d, f"r{n}", "k") for n in range(3)}) == 1
 
 
-def test_what_the_budget_counts_is_forgotten_in_time() -> None:
-    """It was emptied only by a retry: on calm days it grew for good."""
+def test_requests_leave_the_retry_budget_after_its_window() -> None:
+    """Without retries the record of requests must not grow."""
     d = Driver(settings())
     d.list(entry("a"), entry("b"))
     for n in range(200):
--- a/tests/policy/test_news.py
+++ b/tests/policy/test_membership.py
@@ -1,4 +1,4 @@
-"""The list of servers: when it is asked for, and what is learned anew."""
+"""The endpoint list: when it is fetched, and what an update resets."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from tests.policy.fleets import fleet
 
 
-def test_discovery_down_for_days_is_asked_again() -> None:
+def test_the_backoff_stays_bounded_after_a_thousand_failures() -> None:
     d = Driver(settings(polls_endpoint_list=True))
     for _ in range(1100):
         d.list(kind=EndpointListKind.FAILED)
@@ -19,7 +19,7 @@
         assert 0 < pause <= d.conf.slow_start_duration
 
 
-def test_subscribes_and_backs_off_after_failures() -> None:
+def test_the_list_is_fetched_again_with_backoff_after_failures() -> None:
     d = Driver(settings(polls_endpoint_list=True))
     assert FetchEndpointList() in d.list(*fleet("a"), kind=EndpointListKind.CACHED)
     pauses = []
@@ -33,7 +33,7 @@
     assert pauses[-1] > pauses[0]
 
 
-def test_many_routers_do_not_ask_for_the_list_together() -> None:
+def test_many_routers_fetch_the_list_at_different_times() -> None:
     delays = []
     for seed in range(40):
         d = Driver(
@@ -45,13 +45,13 @@
         delays.append(timer.delay)
         for _ in range(9):
             (again,) = [a for a in d.list(kind=EndpointListKind.FAILED) if isinstance(a, SetTimer)]
-            assert 1.0 < again.delay < 4 * 3.0  # after the interval the old list may not be used any more
+            assert 1.0 < again.delay < 4 * 3.0  # the old list may not be used for longer than the interval
     assert max(delays) < 3.0  # nor at the start
     assert max(delays) - min(delays) > 1.5
 
 
-def test_a_restarted_server_is_learned_anew() -> None:
-    """What an earlier process bore, and its silence, say nothing of its successor."""
+def test_nothing_learned_of_a_server_outlives_its_restart() -> None:
+    """Limits and losses of an earlier process do not apply to its successor."""
     d = Driver(settings())
     d.list(*fleet("a"))
     d.router.servers["a"].concurrency_limit = 1.0
--- a/tests/policy/test_guidance.py
+++ b/tests/policy/test_policy_overrides.py
@@ -1,4 +1,4 @@
-"""What operators have routers decide by."""
+"""Overrides that operators set for all routers."""
 
 from __future__ import annotations
 
@@ -10,54 +10,56 @@
 
 from tests.driver import Driver, entry, settings
 
-HALLS = [entry(f"{hall}{n}", zone=hall) for hall in "ab" for n in range(3)]
+ENDPOINTS = [entry(f"{zone}{n}", zone=zone) for zone in "ab" for n in range(3)]
 
 
-def test_nothing_new_goes_to_an_emptied_hall_until_it_is_so_no_longer() -> None:
+def test_a_drained_zone_gets_no_attempts_until_the_override_ends() -> None:
     d = Driver(settings(max_attempts=3))
-    d.list(*HALLS)
+    d.list(*ENDPOINTS)
     d.feed(PolicyOverridesChanged(drained_zones=frozenset("a")))
     sent = Counter(str(d.request(f"r{n}", key=f"k{n}", finish=True))[0] for n in range(60))
     assert sent == {"b": 60}
     d.request("again", key="k1")
-    assert str(d.end("again", AttemptStatus.CONNECT_FAILED))[0] == "b"  # a further attempt, too
+    assert str(d.end("again", AttemptStatus.CONNECT_FAILED))[0] == "b"  # retries as well
     d.feed(PolicyOverridesChanged())
     sent = Counter(str(d.request(f"s{n}", key=f"k{n}", finish=True))[0] for n in range(60))
     assert sent["a"] > 10
 
 
-def test_with_all_halls_emptied_requests_are_refused_in_time() -> None:
+def test_requests_are_rejected_in_time_where_all_zones_are_drained() -> None:
     d = Driver(settings())
-    d.list(*HALLS)
+    d.list(*ENDPOINTS)
     d.feed(PolicyOverridesChanged(drained_zones=frozenset("ab")))
     assert d.request("r1") is None
     d.wait(2.0)
     assert d.ended["r1"] == "refused"
 
 
-# a second's worth at once, and two seconds' more
+# the burst of a second, and two seconds of the rate
 RATES = [(20.0, 1, 60), (20.0, 4, 15), (1.0, 4, 1), (0.0, 1, 0)]
 
 
 @pytest.mark.parametrize(("rate", "routers", "most"), RATES)
-def test_a_title_s_rate_is_of_all_routers_and_others_have_none(rate: float, routers: int, most: int) -> None:
+def test_a_tenant_rate_is_shared_by_all_routers_and_limits_no_other_tenant(
+    rate: float, routers: int, most: int
+) -> None:
     d = Driver(settings(router_count=routers))
-    d.list(*HALLS)
+    d.list(*ENDPOINTS)
     d.feed(PolicyOverridesChanged(tenant_rates={"x": rate}))
     served: Counter[str] = Counter()
     for n in range(200):  # 50 a second of each for 2 s
         d.now += 0.01
-        title = "xy"[n % 2]
-        served[title] += d.request(f"r{n}", key=f"k{n}", tenant=title, finish=False) is not None
+        tenant = "xy"[n % 2]
+        served[tenant] += d.request(f"r{n}", key=f"k{n}", tenant=tenant, finish=False) is not None
         if f"r{n}" in d.open:
             d.ok(f"r{n}")
     assert most * 0.9 <= served["x"] <= most and served["y"] == 100
     assert all(how in ("served", "refused") for how in d.ended.values())  # at once
 
 
-def crowd(d: Driver, shed: dict[str, float]) -> dict[str, Counter[str]]:
-    """A fleet that answers a third of what it is asked in time: which classes get through."""
-    d.list(*HALLS)
+def overload(d: Driver, shed: dict[str, float]) -> dict[str, Counter[str]]:
+    """Count what each class is sent in a fleet that answers a third of its requests in time."""
+    d.list(*ENDPOINTS)
     d.feed(PolicyOverridesChanged(shed_thresholds=shed))
     out: dict[str, Counter[str]] = {"read": Counter(), "late": Counter()}
     for n in range(600):
@@ -70,19 +72,19 @@
     return out
 
 
-def test_classes_are_shed_in_the_order_that_was_told() -> None:
+def test_classes_are_shed_by_their_thresholds() -> None:
     classes = {name: RequestClass(name, 0.8) for name in ("read", "late")}
     d = Driver(settings(classes=classes))
-    got = crowd(d, {"late": 0.05, "read": 0.95})
+    got = overload(d, {"late": 0.05, "read": 0.95})
     assert got["read"]["shed"] == 0 < got["late"]["shed"]
     assert got["late"]["sent"] < 0.7 * got["read"]["sent"]
 
 
-def test_further_attempts_of_a_class_are_what_was_told() -> None:
+def test_the_retry_ratio_of_a_class_limits_its_retries() -> None:
     counts = []
     for share in (1.0, 0.25, 0.0):
         d = Driver(settings(max_attempts=3, retry_budget=RetryBudgetSettings(0.0, 0.4, 10.0)))
-        d.list(*HALLS)
+        d.list(*ENDPOINTS)
         d.feed(PolicyOverridesChanged(retry_ratios={"read": share}))
         for n in range(100):
             d.now += 0.01
--- a/tests/policy/test_queue.py
+++ b/tests/policy/test_queue.py
@@ -7,15 +7,15 @@
 from ironrail.policy.events import AttemptStatus, ClientDisconnected
 
 from tests.driver import Driver, settings
-from tests.policy.fleets import ASIDE, fleet, missed
+from tests.policy.fleets import CACHE_ASIDE, end_with_misses, fleet
 
 
 @pytest.mark.parametrize("how", ["gone", "failed"])
 def test_a_lost_fetch_does_not_strand_those_waiting(how: str) -> None:
-    d = Driver(settings(**ASIDE))
+    d = Driver(settings(**CACHE_ASIDE))
     d.list(*fleet("a", "o"))
     d.router.servers["o"].concurrency_limit = 1.0
-    missed(d, "r1", "r2", "r3")
+    end_with_misses(d, "r1", "r2", "r3")
     assert [d.sends[n] for n in ("r1", "r2", "r3")] == [["a", "o"], ["a"], ["a"]]
     if how == "gone":
         d.finish("r1", "gone")
@@ -28,12 +28,12 @@
 
 def test_no_fetch_is_sent_that_cannot_be_back_in_time() -> None:
     """With a slow origin, fetches were sent that came back after the aim, and kept others out."""
-    d = Driver(settings(**ASIDE))
+    d = Driver(settings(**CACHE_ASIDE))
     d.list(*fleet("a", "o"))
     d.router.servers["o"].concurrency_limit = 2.0
     d.router.servers["o"].mean_latency = 0.45
     for n in "123":
-        missed(d, f"r{n}", key=f"k{n}")
+        end_with_misses(d, f"r{n}", key=f"k{n}")
     assert d.sends["r2"] == ["a", "o"] and d.sends["r3"] == ["a"]
     d.now += 0.5
     d.ok("r1")
@@ -42,10 +42,10 @@
 
 def test_a_fetch_needs_twice_the_usual_latency() -> None:
     """A third of fetches were given up midway by their clients, and so were not even stored."""
-    d = Driver(settings(**ASIDE))
+    d = Driver(settings(**CACHE_ASIDE))
     d.list(*fleet("a", "o"))
     d.router.servers["o"].mean_latency = 0.4
-    missed(d, "r1", key="k1")
+    end_with_misses(d, "r1", key="k1")
     d.request("r2", key="k2", time_left=0.7)
     assert d.end("r2", AttemptStatus.MISS) is None and d.ended["r2"] == "refused"
     d.request("r3", key="k3", time_left=0.9)
@@ -54,7 +54,7 @@
 
 def test_a_write_needs_the_usual_latency_but_once() -> None:
     """With an origin somewhat slow every booking was failed at once, though most would have been in time."""
-    d = Driver(settings(**ASIDE))
+    d = Driver(settings(**CACHE_ASIDE))
     d.list(*fleet("a", "o"))
     d.request("r0", key="k0", is_write=True)
     d.router.servers["o"].mean_latency = 0.6
@@ -65,11 +65,11 @@
 
 def test_worth_goes_first_at_the_origin() -> None:
     """Bookings waited behind the misses of reads when the origin was slow."""
-    d = Driver(settings(**ASIDE))
+    d = Driver(settings(**CACHE_ASIDE))
     d.list(*fleet("a", "o"))
     d.router.servers["o"].concurrency_limit = 1.0
-    missed(d, "r1", key="k1")
-    missed(d, "r2", key="k2")
+    end_with_misses(d, "r1", key="k1")
+    end_with_misses(d, "r2", key="k2")
     d.request("w", class_name="keyed", key="k3", is_write=True)
     d.end("r1", AttemptStatus.RESET)
     assert d.sends.get("w") == ["o"] and d.sends["r2"] == ["a"]
@@ -77,11 +77,11 @@
 
 def test_an_origin_that_stopped_is_tried_now_and_then() -> None:
     """A fetch each from hundreds of routers and retries at once: eight attempts a request, none connected."""
-    d = Driver(settings(**ASIDE, router_count=10 * concurrency_limit.NUM_ROUTERS_PER_ORIGIN))
+    d = Driver(settings(**CACHE_ASIDE, router_count=10 * concurrency_limit.NUM_ROUTERS_PER_ORIGIN))
     d.list(*fleet("a", "o"))
     tries = 0
     for n in range(800):
-        missed(d, f"r{n}", key=f"k{n}")
+        end_with_misses(d, f"r{n}", key=f"k{n}")
         d.wait(0.05)
         for name in [n for n in d.open if d.sends[n][-1] == "o"]:
             while d.sends[name][-1] == "o" and d.state[name, len(d.sends[name]) - 1] is None:
@@ -98,11 +98,11 @@
 
 def test_the_queue_for_the_origin_stays_bounded() -> None:
     """Reads long ended lay behind a steady flow of writes of more worth."""
-    d = Driver(settings(**ASIDE))
+    d = Driver(settings(**CACHE_ASIDE))
     d.list(*fleet("a", "o"))
     d.router.servers["o"].concurrency_limit = 1.0
     for n in range(2000):
-        missed(d, f"r{n}", key=f"k{n}")
+        end_with_misses(d, f"r{n}", key=f"k{n}")
         d.router.servers["o"].concurrency_limit = 1.0
         d.wait(0.05)
     assert len(d.router.queue) < 200 and len(d.router.held) < 100
--- a/tests/policy/test_random_events.py
+++ b/tests/policy/test_random_events.py
@@ -15,7 +15,7 @@
 from ironrail.policy.settings import Idempotency, IdempotencyScope, RequestClass, RetryBudgetSettings
 
 from tests.driver import Driver, entry, settings
-from tests.policy.fleets import ASIDE, fleet
+from tests.policy.fleets import CACHE_ASIDE, fleet
 
 
 class Random(Driver):
@@ -84,7 +84,7 @@
         retry_budget=data.draw(
             st.sampled_from([None, RetryBudgetSettings(2, 0.1, 0.9), RetryBudgetSettings(0, 0.5, 2.0)])
         ),
-        **(ASIDE if data.draw(st.booleans()) else {}),
+        **(CACHE_ASIDE if data.draw(st.booleans()) else {}),
     )
     d = Random(conf, make=make)
     d.list(*fleet("a", "b", "c", "d", "o"), kind=EndpointListKind.CACHED)
--- a/tests/policy/test_cold.py
+++ b/tests/policy/test_slow_start.py
@@ -1,4 +1,4 @@
-"""What servers are sent that have just started."""
+"""The work that is sent to servers which have just started."""
 
 from __future__ import annotations
 
@@ -7,12 +7,12 @@
 from ironrail.policy.events import AttemptStatus
 
 from tests.driver import Driver, entry, settings
-from tests.policy.cold_fleet import Play, play
+from tests.policy.warming_fleet import ServerStart, play
 
 
 @pytest.mark.parametrize("hits", [1, 10])
-def test_a_cold_server_gets_its_share_soon_after_a_start_and_where_most_keys_are_new(hits: int) -> None:
-    """The little that this router has served by then is no measure of what the fleet carries."""
+def test_a_warming_server_gets_its_share_from_a_new_router_and_with_few_hits(hits: int) -> None:
+    """A router that has just started has seen little of the work of the fleet."""
     d = Driver(
         settings(
             slow_start_duration=10.0,
@@ -28,12 +28,12 @@
         if d.request(name, key=f"k{n}") is not None:
             d.end(name, AttemptStatus.OK if n % hits == 0 else AttemptStatus.MISS)
         d.now += 0.01
-    cold = sum(s == ["d"] for s in d.sends.values())
-    assert 300 / 4 * 0.5 < cold < 300 / 4 * 1.4
+    warming = sum(s == ["d"] for s in d.sends.values())
+    assert 300 / 4 * 0.5 < warming < 300 / 4 * 1.4
 
 
-def test_warming_server_gets_its_share_and_not_more() -> None:
-    """A surge of a thousand requests in a second just after a start: not the full arcs."""
+def test_a_warming_server_gets_no_more_than_its_share_in_a_surge() -> None:
+    """A surge of a thousand requests in a second follows the start of the server."""
     d = Driver(
         settings(slow_start_duration=10.0, slow_start_share=0.3, overload_multiple=2.0, overload_window=1.0)
     )
@@ -43,12 +43,12 @@
             d.list(entry("a"), entry("b"), entry("c"), entry("d", started_at=d.now))
         d.now += 0.01 if n < 3000 else 0.001
         d.request(f"r{n}", key=f"k{n}", finish=True)
-    cold = sum(s == ["d"] for s in d.sends.values())
-    assert 5 < cold < 1000 / 4 * 0.45
+    warming = sum(s == ["d"] for s in d.sends.values())
+    assert 5 < warming < 1000 / 4 * 0.45
 
 
-def test_budget_of_a_cold_server_does_not_grow_with_requests_that_fail() -> None:
-    """Client retries in an overload multiplied what was asked for, and with it the budget."""
+def test_failed_requests_add_nothing_to_the_budget_of_a_warming_server() -> None:
+    """Retries of clients in an overload must not raise the budget."""
     d = Driver(
         settings(
             slow_start_duration=10.0,
@@ -63,13 +63,13 @@
         d.now += 0.001
         if d.request(f"r{n}", key=f"k{n}") is not None:
             d.end(f"r{n}", AttemptStatus.OK if n % 10 == 0 else AttemptStatus.ERROR)
-    cold = sum(s == ["b"] and d.sent_at[n][0] > 102.0 for n, s in d.sends.items())
+    warming = sum(s == ["b"] and d.sent_at[n][0] > 102.0 for n, s in d.sends.items())
     # 100 a second are served: half of the rule's 2 times 0.3 to 0.4 of half of these
-    assert 1 <= cold <= 25
+    assert 1 <= warming <= 25
 
 
-def test_many_quiet_routers_do_not_push_over_a_cold_server_together() -> None:
-    """Each of hundreds of routers might send one request in any window, and all together did."""
+def test_many_routers_with_little_load_do_not_overload_a_warming_server_together() -> None:
+    """One request of each of hundreds of routers in a window is too much."""
     sent = 0
     for seed in range(200):
         d = Driver(
@@ -85,12 +85,14 @@
             d.now += 0.5
             d.request(f"r{n}", key=f"k{seed}-{n}", finish=True)
         sent += sum(s == ["b"] and d.sent_at[n][0] > 120.0 for n, s in d.sends.items())
-    # a warm server was sent 200 a second; from 0.3 to 0.65 of that in 5 s, once as much for chance
+    # a warm server gets 200 a second, this one 0.3 to 0.65 of that in 5 s, and as much for chance
     assert 50 < sent < 200 * 5 * 0.65
 
 
-def sent_to_a_cold_server(routers: int, takes: float, answers: bool) -> list[float]:
-    """When so many routers sent to one that takes so long, in 4 s from its start; the others are crowded."""
+def sent_to_a_warming_server(routers: int, takes: float, answers: bool) -> list[float]:
+    """Return when routers sent to a server of this latency, in 4 s from its start.
+
+    All other servers are congested."""
     sent: list[float] = []
     for seed in range(routers):
         conf = settings(
@@ -104,7 +106,7 @@
         warm = [entry(f"s{n}") for n in range(9)]
         d.list(*warm)
         out: list[tuple[float, str]] = []
-        for n in range(500):  # six seconds, and four more in which it is there
+        for n in range(500):  # six seconds, and four more with the new server
             if n == 300:
                 d.list(*warm, entry("cold", started_at=d.now))
             d.now += 0.02
@@ -118,40 +120,38 @@
     return sent
 
 
-def test_what_all_routers_have_out_at_a_cold_server_is_bounded() -> None:
-    """One that was slow besides had nearly five times what it could do, within the budget of each router."""
-    quick, slow = (sent_to_a_cold_server(15, takes, True) for takes in (0.02, 0.8))
+def test_the_work_in_flight_at_a_slow_warming_server_is_bounded() -> None:
+    """A slow server got nearly five times its capacity within the budgets of the routers."""
+    quick, slow = (sent_to_a_warming_server(15, takes, True) for takes in (0.02, 0.8))
     assert len(quick) > 160 * slow_start.BUDGET_FRACTION  # its budget
     in_a_window = max(sum(t - 1.0 < u <= t for u in slow) for t in slow)
     assert in_a_window <= 1.5 * 15  # one each, most of them answered
 
 
-def test_a_cold_server_that_does_not_answer_is_left_for_a_while_though_others_are_crowded(
-    monkeypatch: pytest.MonkeyPatch,
-) -> None:
+def test_a_silent_warming_server_is_ejected_in_a_congested_fleet(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(
         slow_start, "BUDGET_FRACTION", 1.0
-    )  # so that silence holds back more than the budget does
-    answering, silent = (sent_to_a_cold_server(15, 0.8, answers) for answers in (True, False))
+    )  # so that ejection has more effect than the budget
+    answering, silent = (sent_to_a_warming_server(15, 0.8, answers) for answers in (True, False))
     assert 0 < sum(t > 1.0 for t in silent) < 0.45 * sum(t > 1.0 for t in answering)
 
 
-def test_a_fleet_all_cold_is_not_left_idle() -> None:
-    """With nothing served yet there is no guide to a budget, and none would ever come."""
+def test_a_fleet_of_warming_servers_gets_its_first_request() -> None:
+    """Without any work served there is no rate for a budget."""
     d = Driver(settings(slow_start_duration=10.0, slow_start_share=0.3))
     d.list(entry("a", started_at=d.now), entry("b", started_at=d.now))
     assert d.request("r0", key="k0", finish=True) in ("a", "b")
 
 
-def test_a_fleet_all_cold_is_not_flooded_before_its_first_answer() -> None:
-    """Each cold server gets one request; the others of the first moment are refused at once."""
+def test_a_fleet_of_warming_servers_gets_one_request_each_before_the_first_answer() -> None:
+    """The other requests of the first moment are rejected at once."""
     d = Driver(settings(slow_start_duration=10.0, slow_start_share=0.3))
     d.list(entry("a", started_at=d.now), entry("b", started_at=d.now))
     chosen = [d.request(f"r{n}", key=f"k{n}") for n in range(40)]
     assert sorted(name for name in chosen if name is not None) == ["a", "b"]
 
 
-def test_warm_server_gets_all_its_arcs_again() -> None:
+def test_a_server_gets_all_its_keys_after_the_slow_start() -> None:
     d = Driver(settings(slow_start_duration=10.0, slow_start_share=0.3))
     d.list(entry("a"), entry("b", started_at=d.now))
     d.now += 10.0
@@ -160,7 +160,7 @@
 
 
 @pytest.mark.parametrize("hints", [False, True])
-def test_a_burst_on_one_key_does_not_push_over_a_cold_server(hints: bool) -> None:
+def test_a_burst_on_one_key_does_not_overload_a_warming_server(hints: bool) -> None:
     d = Driver(
         settings(slow_start_duration=10.0, slow_start_share=0.3, overload_multiple=2.0, overload_window=1.0)
     )
@@ -177,36 +177,38 @@
 
 
 PLAYS = [
-    Play(3, 40.0),
-    Play(3, 40.0, hints=False),
-    Play(3, 40.0, after=3.0, returns=True, hints=False),
-    Play(16, 40.0, hints=False),
-    Play(20, 20.0, after=3.0, returns=True, hints=False),
-    Play(30, 20.0, hints=False),
-    Play(40, 4.0),
-    Play(200, 4.0, hints=False),
-    Play(3, 40.0, live=4.0),
-    Play(3, 40.0, surge=0.5, leave=8),
+    ServerStart(3, 40.0),
+    ServerStart(3, 40.0, hints=False),
+    ServerStart(3, 40.0, surge_after=3.0, was_listed=True, hints=False),
+    ServerStart(16, 40.0, hints=False),
+    ServerStart(20, 20.0, surge_after=3.0, was_listed=True, hints=False),
+    ServerStart(30, 20.0, hints=False),
+    ServerStart(40, 4.0),
+    ServerStart(200, 4.0, hints=False),
+    ServerStart(3, 40.0, live_weight=4.0),
+    ServerStart(3, 40.0, surge_factor=0.5, removed_servers=8),
 ]
 
 
 @pytest.mark.parametrize("p", PLAYS, ids=str)
-def test_all_routers_together_keep_to_what_a_cold_server_bears(p: Play) -> None:
-    """With 0.5 in place of 0.35 it was up to 1.2 of that where clients give no hints."""
-    worst = max((play(p, seed) for seed in range(2 if p.routers < 200 else 1)), key=lambda sent: sent.most)
-    assert worst.count > 0 and worst.most < 1.0
+def test_all_routers_together_keep_below_the_capacity_of_a_warming_server(p: ServerStart) -> None:
+    """A budget fraction of 0.5 gave 1.2 times the capacity without work hints."""
+    worst = max(
+        (play(p, seed) for seed in range(2 if p.routers < 200 else 1)), key=lambda sent: sent.max_load
+    )
+    assert worst.count > 0 and worst.max_load < 1.0
 
 
-def test_a_start_that_some_routers_know_of_is_not_broken_by_those() -> None:
-    """What the others send is not theirs to hold back: but two thirds of a fall never come from them."""
-    for told, seed in ((0.6, 0), (0.8, 1), (0.95, 2)):
-        sent = play(Play(25, 20.0, told=told, hints=False), seed)
-        assert sent.count > 0 and (sent.most < 1.0 or sent.told <= 2 / 3), (told, sent)
+def test_routers_that_know_of_a_start_are_not_the_main_cause_of_an_overload() -> None:
+    """They cannot limit what the other routers send, but must not send most of an overload."""
+    for informed, seed in ((0.6, 0), (0.8, 1), (0.95, 2)):
+        sent = play(ServerStart(25, 20.0, informed_fraction=informed, hints=False), seed)
+        assert sent.count > 0 and (sent.max_load < 1.0 or sent.informed_fraction <= 2 / 3), (informed, sent)
 
 
-def test_a_start_that_nobody_minds_is_seen_to_be_one() -> None:
-    """The play can fail: where each router spends three times as much a cold server falls by all of them."""
+def test_the_play_detects_routers_that_overload_a_warming_server() -> None:
+    """With three times the budget the routers overload it, which shows that the play can fail."""
     with pytest.MonkeyPatch.context() as patch:
         patch.setattr(slow_start, "BUDGET_FRACTION", 3 * slow_start.BUDGET_FRACTION)
-        sent = play(Play(3, 40.0, hints=False), 0)
-    assert sent.most > 1.0 and sent.told == 1.0
+        sent = play(ServerStart(3, 40.0, hints=False), 0)
+    assert sent.max_load > 1.0 and sent.informed_fraction == 1.0
--- a/tests/policy/test_links.py
+++ b/tests/policy/test_zone_latency.py
@@ -1,4 +1,4 @@
-"""What a router makes of what it is told of the links between halls."""
+"""How the latency of the links between zones changes decisions."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 from tests.driver import Driver, entry, settings
 from tests.policy.decision_digests import digest
-from tests.policy.fleets import order_of
+from tests.policy.fleets import servers_clockwise
 from tests.policy.test_decisions import KNOWN
 
 ZONES = "abc"
@@ -26,7 +26,7 @@
     return ZoneLink(state, typical, typical, 0.0, 0.0)
 
 
-def halls(**others: ZoneLink) -> ZoneLinksChanged:
+def links_with(**others: ZoneLink) -> ZoneLinksChanged:
     return ZoneLinksChanged({"a": NEAR} | others)
 
 
@@ -38,13 +38,13 @@
 
 
 def key_of(d: Driver, *zones: str) -> str:
-    """A key whose servers clockwise stand in these halls."""
+    """Return a key whose servers clockwise are in these zones."""
     keys = (f"k{n}" for n in range(10_000))
-    return next(k for k in keys if tuple(s[0] for s in order_of(d, k))[: len(zones)] == zones)
+    return next(k for k in keys if tuple(s[0] for s in servers_clockwise(d, k))[: len(zones)] == zones)
 
 
-class Told(Router):
-    """One that was told of halls of which nobody knows anything."""
+class RouterWithUnknownLinks(Router):
+    """A router that knows of zones, but of no link to them."""
 
     def __init__(self, *args: Any) -> None:
         super().__init__(*args)
@@ -52,32 +52,32 @@
 
 
 @pytest.mark.parametrize("seed", range(0, 24, 3))
-def test_without_any_evidence_decisions_are_those_without_a_map(seed: int) -> None:
-    assert digest(seed, Told) == KNOWN[str(seed)]
+def test_links_that_are_all_unknown_change_no_decision(seed: int) -> None:
+    assert digest(seed, RouterWithUnknownLinks) == KNOWN[str(seed)]
 
 
-links = st.one_of(
+drawn_links = st.one_of(
     st.builds(link, st.sampled_from([GOOD, SLOW]), st.floats(0.001, 3.0)), st.builds(link, st.just(CUT))
 )
 
 
-@given(st.fixed_dictionaries(dict.fromkeys(ZONES, links)), st.integers(0, 200), st.floats(0.02, 2.0))
-def test_a_key_goes_clockwise_to_the_first_in_time_or_else_the_first_not_cut(
-    told: dict[str, ZoneLink], number: int, time_left: float
+@given(st.fixed_dictionaries(dict.fromkeys(ZONES, drawn_links)), st.integers(0, 200), st.floats(0.02, 2.0))
+def test_a_key_goes_to_the_first_server_in_time_or_else_the_first_that_is_not_cut_off(
+    zone_links: dict[str, ZoneLink], number: int, time_left: float
 ) -> None:
-    d = fleet(ZoneLinksChanged(told))
-    order = order_of(d, f"k{number}")
+    d = fleet(ZoneLinksChanged(zone_links))
+    order = servers_clockwise(d, f"k{number}")
     left = min(time_left - d.conf.timer_resolution, d.conf.classes["read"].latency_objective)
-    there = [s for s in order if told[s[0]].state is not CUT]
-    in_time = [s for s in there if told[s[0]].median <= left]
+    there = [s for s in order if zone_links[s[0]].state is not CUT]
+    in_time = [s for s in there if zone_links[s[0]].median <= left]
     sent = d.request("r", key=f"k{number}", time_left=time_left)
     assert sent == (in_time or there or order)[0]
 
 
-def test_the_work_of_a_server_counts_with_the_way_and_alone_is_no_reason() -> None:
-    d = fleet(halls(b=link(GOOD, 0.1), c=link(GOOD, 0.1)))
+def test_a_server_is_too_far_only_by_service_time_and_round_trip_together() -> None:
+    d = fleet(links_with(b=link(GOOD, 0.1), c=link(GOOD, 0.1)))
     key = key_of(d, "b", "a")
-    first, second = order_of(d, key)[:2]
+    first, second = servers_clockwise(d, key)[:2]
     for n in range(10):
         d.request(f"r{n}", key=key)
         d.end(f"r{n}", AttemptStatus.OK, latency=0.5)
@@ -87,16 +87,16 @@
     assert d.request("late anyway", key=key, time_left=0.38) == first
 
 
-def test_a_hall_that_is_not_known_is_as_far_as_the_farthest_that_is() -> None:
-    d = fleet(halls(b=link(GOOD, 0.5), c=link(UNKNOWN)))
+def test_an_unknown_zone_is_as_far_as_the_farthest_known_one() -> None:
+    d = fleet(links_with(b=link(GOOD, 0.5), c=link(UNKNOWN)))
     key = key_of(d, "c", "a")
-    first, second = order_of(d, key)[:2]
+    first, second = servers_clockwise(d, key)[:2]
     assert d.request("enough", key=key, time_left=0.6) == first
     assert d.request("too little", key=key, time_left=0.4) == second
 
 
 @pytest.mark.parametrize("typical", [0.001, 3.0])  # in time, and not
-def test_full_servers_of_a_cut_hall_do_not_count_as_visited(typical: float) -> None:
+def test_full_servers_beyond_a_cut_link_do_not_count_as_visited(typical: float) -> None:
     d = fleet(ZoneLinksChanged({"a": link(GOOD, typical), "b": link(CUT), "c": link(GOOD, typical)}), each=4)
     key = key_of(d, "b", "b", "b")
     for server in d.router.servers.values():
@@ -104,44 +104,44 @@
     assert str(d.request("r", key=key))[0] in "ac"
 
 
-def test_the_limits_and_the_budget_of_a_cold_server_stand_above_the_map() -> None:
-    d = fleet(halls(b=link(CUT), c=link(CUT)))
+def test_slow_start_applies_where_all_other_zones_are_cut_off() -> None:
+    d = fleet(links_with(b=link(CUT), c=link(CUT)))
     d.list(
         *(entry(f"{z}{n}", zone=z, started_at=d.now if z == "a" else 0.0) for z in ZONES for n in range(2))
     )
     sent = [str(d.request(f"r{n}", key="k")) for n in range(4)]
-    assert [s[0] for s in sent].count("a") == 2  # one at each that is cold, as without a map
+    assert [s[0] for s in sent].count("a") == 2  # one at each warming server, as without links
 
 
-def test_the_hour_of_a_second_copy_moves_with_the_link_within_a_bound() -> None:
-    hours = {}
+def test_the_hedge_delay_grows_with_the_round_trip_up_to_a_bound() -> None:
+    delays = {}
     for typical in (0.001, 0.2, 0.9):
-        d = fleet(halls(b=link(GOOD, typical), c=link(GOOD, typical)))
+        d = fleet(links_with(b=link(GOOD, typical), c=link(GOOD, typical)))
         d.request("r", key=key_of(d, "b"))
-        hours[typical] = next(a.delay for a in d.last if isinstance(a, SetTimer))
-    assert list(hours.values()) == pytest.approx([0.501, 0.7, 1.0])
-    slow = fleet(halls(b=link(SLOW, 0.2)))
+        delays[typical] = next(a.delay for a in d.last if isinstance(a, SetTimer))
+    assert list(delays.values()) == pytest.approx([0.501, 0.7, 1.0])
+    slow = fleet(links_with(b=link(SLOW, 0.2)))
     slow.request("r", key=key_of(slow, "b"))
     assert next(a.delay for a in slow.last if isinstance(a, SetTimer)) == 0.5
 
 
 @pytest.mark.parametrize("state", [SLOW, GOOD])
-def test_no_second_copy_goes_over_a_link_that_is_suspected(state: LinkState) -> None:
-    d = fleet(halls(b=link(state, 0.01), c=NEAR))
+def test_no_hedged_request_goes_over_a_suspected_link(state: LinkState) -> None:
+    d = fleet(links_with(b=link(state, 0.01), c=NEAR))
     d.request("r", key=key_of(d, "a", "b"))
     d.wait(0.6)
     assert len(d.sends["r"]) == 2
     assert (d.sends["r"][1][0] == "b") is (state is GOOD)
 
 
-def test_what_a_long_link_adds_makes_no_server_slow() -> None:
+def test_the_round_trip_does_not_lower_a_concurrency_limit() -> None:
     limits = []
-    for event in (halls(b=link(GOOD, 0.3), c=NEAR), ZoneLinksChanged()):
+    for event in (links_with(b=link(GOOD, 0.3), c=NEAR), ZoneLinksChanged()):
         d = fleet(event)
         key = key_of(d, "b")
         for n in range(30):
             d.now += 0.3
             d.request(f"r{n}", key=key)
             d.end(f"r{n}", AttemptStatus.OK, latency=0.4)
-        limits.append(d.router.servers[order_of(d, key)[0]].concurrency_limit)
+        limits.append(d.router.servers[servers_clockwise(d, key)[0]].concurrency_limit)
     assert limits[0] > 3 * limits[1]
--- a/tests/test_told_in_time.py
+++ b/tests/test_told_in_time.py
@@ -21,7 +21,7 @@
 from ironrail.policy.events import AttemptStatus, EndpointListUpdate
 
 from tests.driver import Driver, entry, settings
-from tests.test_asking import Service
+from tests.policy.test_discovery_freshness import Service
 
 GRACE = 1.0  # seconds in which sends to a server must cease once its drain counts as told
 HELD_UP = 0.15  # seconds for which a router may be held up at any moment
