--- a/ironrail/policy/candidate_selection.py
+++ b/ironrail/policy/candidate_selection.py
@@ -12,6 +12,7 @@
 from dataclasses import dataclass, field
 from enum import Enum, auto
 
+from ironrail.policy.attempts_in_flight import AttemptsInFlight
 from ironrail.policy.concurrency_limit import ConcurrencyLimiter
 from ironrail.policy.connection_health import ConnectionHealth
 from ironrail.policy.discovery_freshness import DiscoveryFreshness
@@ -58,6 +59,7 @@
         self,
         servers: dict[str, Server],
         ring: HashRing,
+        attempts_in_flight: AttemptsInFlight,
         retry_policy: RetryPolicy,
         concurrency_limiter: ConcurrencyLimiter,
         slow_start: SlowStart,
@@ -67,6 +69,7 @@
     ) -> None:
         self.servers = servers
         self.ring = ring
+        self.attempts_in_flight = attempts_in_flight
         self.retry_policy = retry_policy
         self.concurrency_limiter = concurrency_limiter
         self.slow_start = slow_start
@@ -117,7 +120,7 @@
     def _bounded_load(self) -> int:
         """Return how many attempts may be in flight at a server before a key passes it."""
         # including this request, as a bound of 0 would pass over all servers
-        mean = (self.retry_policy.ring_load + 1) / len(self.ring.virtual_node_counts)
+        mean = (self.attempts_in_flight.cache_count + 1) / len(self.ring.virtual_node_counts)
         return math.ceil(
             (1 + BOUNDED_LOAD_MARGIN_RATIO) * mean + LOAD_DEVIATION_FACTOR * math.sqrt(mean)
         )
@@ -165,7 +168,7 @@
             return False
         if any(a.server is server and not a.connection_broke for a in pending.attempts):
             return False
-        is_hedge = pending.open_attempts() > 0
+        is_hedge = pending.open_attempt_count() > 0
         if is_hedge and self.zone_latency.has_links and self.zone_latency.is_suspected(server):
             return False
         if not self.freshness.is_usable(now, server):
@@ -174,4 +177,4 @@
             cost = pending.request.work_hint or 1.0
             if not self.slow_start.admits(now, server, cost, self.ring.relative_weight(server)):
                 return False
-        return self.retry_policy.permits(now, pending, server)
+        return self.retry_policy.may_send(now, pending, server)
--- a/ironrail/policy/concurrency_limit.py
+++ b/ironrail/policy/concurrency_limit.py
@@ -9,7 +9,15 @@
 from ironrail.policy.events import AttemptEnded, AttemptStatus
 from ironrail.policy.hash_ring import NUM_ROUTERS_PER_SUBSET
 from ironrail.policy.settings import Settings
-from ironrail.policy.state import ANSWERED, SERVED, SMOOTHING, Attempt, Server
+from ironrail.policy.state import (
+    ANSWERED_STATUSES,
+    SERVED_STATUSES,
+    SMOOTHING_FACTOR,
+    AbandonedAttempt,
+    Attempt,
+    Server,
+)
+from ironrail.policy.timers import OriginPauseEnded
 
 NUM_ROUTERS_PER_ORIGIN = 32  # routers with a fetch each that the origin can serve
 # for each success before the first decrease: a restart under load must not take seconds
@@ -34,7 +42,7 @@
 
     def is_full(self, now: float, server: Server) -> bool:
         """Return whether a server is at its limit, counting abandoned attempts still in work."""
-        while server.abandoned and server.abandoned[0][1] <= now:
+        while server.abandoned and server.abandoned[0].counted_until <= now:
             server.abandoned.popleft()
         return server.in_flight + len(server.abandoned) >= server.concurrency_limit
 
@@ -46,10 +54,11 @@
         """
         server = attempt.server
         if status in (AttemptStatus.TIMEOUT, AttemptStatus.CANCELLED):
-            server.abandoned.append((attempt.sent_at, now + attempt.latency_objective))
-        elif status in ANSWERED and status is not AttemptStatus.BUSY and server.abandoned:
+            counted_until = now + attempt.latency_objective
+            server.abandoned.append(AbandonedAttempt(attempt.sent_at, counted_until))
+        elif status in ANSWERED_STATUSES and status is not AttemptStatus.BUSY and server.abandoned:
             server.abandoned = deque(
-                (sent_at, until) for sent_at, until in server.abandoned if sent_at > attempt.sent_at
+                abandoned for abandoned in server.abandoned if abandoned.sent_at > attempt.sent_at
             )
 
     def on_attempt_ended(
@@ -62,7 +71,7 @@
         if rejected or server.slowness > 1.0:
             self._decrease(now, attempt, rejected)
         elif (
-            event.status in SERVED
+            event.status in SERVED_STATUSES
             and server.in_flight + 1 >= server.concurrency_limit * MIN_UTILIZATION_RATIO
         ):
             self._increase(server)
@@ -70,7 +79,7 @@
             # less than one attempt at a time is a pause between attempts
             pause = attempt.latency_target * (1 / server.concurrency_limit - 1)
             server.paused_until = now + pause
-            actions.append(SetTimer(server.paused_until - now, "origin"))
+            actions.append(SetTimer(server.paused_until - now, OriginPauseEnded()))
 
     def _is_rejection(self, server: Server, event: AttemptEnded) -> bool:
         """Return whether the server turned the attempt away, or is an origin that has stopped.
@@ -87,9 +96,9 @@
         """Smooth the latency in seconds, and its ratio to the latency target."""
         server = attempt.server
         if not rejected:
-            server.mean_latency += SMOOTHING * (latency - server.mean_latency)
+            server.mean_latency += SMOOTHING_FACTOR * (latency - server.mean_latency)
         ratio = max(0.0, latency - attempt.link_delay) / attempt.latency_target
-        server.slowness += SMOOTHING * (ratio - server.slowness)
+        server.slowness += SMOOTHING_FACTOR * (ratio - server.slowness)
 
     def _decrease(self, now: float, attempt: Attempt, rejected: bool) -> None:
         """Reduce the limit, at most once in a latency target."""
--- a/ironrail/policy/connection_health.py
+++ b/ironrail/policy/connection_health.py
@@ -9,11 +9,11 @@
 from ironrail.policy.backoff import MAX_BACKOFF_DOUBLINGS
 from ironrail.policy.events import AttemptEnded, AttemptStatus
 from ironrail.policy.settings import Settings
-from ironrail.policy.state import ANSWERED, SMOOTHING, Attempt, Server
+from ironrail.policy.state import ANSWERED_STATUSES, SMOOTHING_FACTOR, Attempt, Server
 
 SIGNIFICANT_FRACTION = 0.15  # of failures, or more than elsewhere, that is not chance
 STALE_CONNECTION_RATIO = 0.25  # of the idle time of a lost connection that is still trusted
-FAILURE_SMOOTHING = SMOOTHING / 2  # weight of the latest sample
+FAILURE_SMOOTHING = SMOOTHING_FACTOR / 2  # weight of the latest sample
 SLOW_CONNECT_FRACTION = 1 / 2  # of the connect timeout: a refusal is faster than that
 
 
@@ -67,7 +67,7 @@
         """Learn from an attempt; `lost` when a fault of server or connection took it."""
         server = attempt.server
         connect_failed = event.status is AttemptStatus.CONNECT_FAILED
-        if event.status in ANSWERED:
+        if event.status in ANSWERED_STATUSES:
             server.last_used_at = now
         if self._should_close_idle(server, lost or connect_failed):
             actions.append(CloseIdleConnections(server.endpoint.name))
@@ -87,7 +87,7 @@
         is_slow = event.latency > self._settings.connect_timeout * SLOW_CONNECT_FRACTION
         if failed and not is_slow:
             server.connect_refused = True
-        if event.status in ANSWERED:
+        if event.status in ANSWERED_STATUSES:
             # a stopped process refuses as fast as a full accept queue, but does not answer later
             self.rates.full_accept_queues = _smoothed(
                 self.rates.full_accept_queues, server.connect_refused
--- a/ironrail/policy/load_shedding.py
+++ b/ironrail/policy/load_shedding.py
@@ -9,12 +9,12 @@
 from ironrail.policy.policy_overrides import PolicyOverrides
 from ironrail.policy.settings import Settings
 from ironrail.policy.slow_start import SlowStart
-from ironrail.policy.state import SERVED, SMOOTHING, Attempt
+from ironrail.policy.state import SERVED_STATUSES, SMOOTHING_FACTOR, Attempt
 
 UNCONGESTED_LATENCY_RATIO = 1 / 4  # of the objective: with a higher mean late answers are normal
 MAX_ATTEMPTS_PER_TIMELY_ANSWER = 1.5  # more are shed
 MAX_SHED_FRACTION = 0.9  # of new requests: the rest shows when the overload ends
-LATENCY_SMOOTHING = SMOOTHING / 4  # weight of the latest sample in the mean of the fleet
+LATENCY_SMOOTHING = SMOOTHING_FACTOR / 4  # weight of the latest sample in the mean of the fleet
 
 
 class LoadShedding:
@@ -66,7 +66,9 @@
         self.answers = self.answers * decay + 1
         self._timely_answers = self._timely_answers * decay + in_time
         # misses are work too: in a fleet that is mostly new there are few hits
-        self._slow_start.record_work(decay, attempt.cost if event.status in SERVED else 0.0)
+        self._slow_start.record_work(
+            decay, attempt.cost if event.status in SERVED_STATUSES else 0.0
+        )
         if not rejected:
             latency = max(0.0, event.latency - attempt.link_delay)
             self.mean_latency += LATENCY_SMOOTHING * (latency - self.mean_latency)
--- a/ironrail/policy/membership.py
+++ b/ironrail/policy/membership.py
@@ -14,6 +14,7 @@
 from ironrail.policy.events import EndpointListUpdate
 from ironrail.policy.settings import Settings
 from ironrail.policy.state import Server
+from ironrail.policy.timers import EndpointListPollDue
 
 
 class Membership:
@@ -85,4 +86,4 @@
 
     def _schedule_fetch(self, delay: float, actions: list[Action]) -> None:
         """Fetch the list after a delay in seconds, or now if that is 0."""
-        actions.append(SetTimer(delay, "list") if delay else FetchEndpointList())
+        actions.append(SetTimer(delay, EndpointListPollDue()) if delay else FetchEndpointList())
--- a/ironrail/policy/outlier_detection.py
+++ b/ironrail/policy/outlier_detection.py
@@ -11,7 +11,7 @@
 from ironrail.policy.load_shedding import LoadShedding
 from ironrail.policy.settings import Settings
 from ironrail.policy.slow_start import SlowStart
-from ironrail.policy.state import ANSWERED, SERVED, Attempt, Server
+from ironrail.policy.state import ANSWERED_STATUSES, SERVED_STATUSES, Attempt, Server
 
 FIRST_EJECTION_RATIO = 1 / 2  # of the shortest latency objective
 
@@ -46,11 +46,11 @@
     ) -> None:
         """Learn from an attempt that is no longer counted as in flight."""
         server = attempt.server
-        if event.status in ANSWERED:
+        if event.status in ANSWERED_STATUSES:
             server.consecutive_losses = 0
             if server.is_cache:
                 self._load_shedding.on_answer(now, attempt, event)
-                if event.status in SERVED:
+                if event.status in SERVED_STATUSES:
                     server.proven_at = max(server.proven_at, attempt.sent_at)
             lost = False
         else:
--- a/ironrail/policy/zone_latency.py
+++ b/ironrail/policy/zone_latency.py
@@ -9,7 +9,7 @@
 import math
 
 from ironrail.policy.events import AttemptEnded, LinkState, ZoneLinksChanged
-from ironrail.policy.state import SERVED, SMOOTHING, Attempt, Server
+from ironrail.policy.state import SERVED_STATUSES, SMOOTHING_FACTOR, Attempt, Server
 
 SUSPECTED_STATES = (LinkState.SLOW, LinkState.CUT)
 
@@ -60,12 +60,12 @@
     def on_attempt_ended(self, attempt: Attempt, event: AttemptEnded) -> None:
         """Learn a server's service time, without the round trip at the time of the attempt."""
         server = attempt.server
-        if not self.has_links or not server.is_cache or event.status not in SERVED:
+        if not self.has_links or not server.is_cache or event.status not in SERVED_STATUSES:
             return
         if attempt.round_trip == math.inf:
             return
         service_time = max(0.0, event.latency - attempt.round_trip)
         if server.service_time:
-            server.service_time += SMOOTHING * (service_time - server.service_time)
+            server.service_time += SMOOTHING_FACTOR * (service_time - server.service_time)
         else:
             server.service_time = service_time
--- a/tests/policy/test_candidate_selection.py
+++ b/tests/policy/test_candidate_selection.py
@@ -52,5 +52,5 @@
     d.router.servers[second].last_used_at = d.now
     assert d.request("r0", key="k", finish=True) == first
     d.router.servers[first].last_used_at = -math.inf
-    d.router.connections.rates.connect_timeouts = 0.3
+    d.router.connection_health.rates.connect_timeouts = 0.3
     assert d.request("r1", key="k") == second
--- a/tests/policy/test_concurrency_limit.py
+++ b/tests/policy/test_concurrency_limit.py
@@ -61,7 +61,7 @@
     for n in range(20):
         d.request(f"r{n}", key="k")
         d.end(f"r{n}", AttemptStatus.OK, latency=0.9 if n == 10 else 0.05)
-    assert d.router.servers["a"].concurrency_limit >= state.LIMIT_START
+    assert d.router.servers["a"].concurrency_limit >= state.INITIAL_CONCURRENCY_LIMIT
 
 
 def test_abandoned_attempts_count_as_in_flight_until_a_later_answer_or_the_latency_objective() -> None:
@@ -131,7 +131,7 @@
         if f"r{n}" in d.open:
             d.end(f"r{n}", AttemptStatus.CONNECT_FAILED)
         d.wait(1.0)
-    assert d.router.servers["a"].concurrency_limit == state.LIMIT_START
+    assert d.router.servers["a"].concurrency_limit == state.INITIAL_CONCURRENCY_LIMIT
 
 
 def test_connects_to_the_origin_that_time_out_do_not_decrease_its_limit() -> None:
--- a/tests/policy/test_connection_health.py
+++ b/tests/policy/test_connection_health.py
@@ -46,7 +46,7 @@
         server = d.request(f"lost{n}", key="k")
         d.end(f"lost{n}", AttemptStatus.TIMEOUT, latency=0.6)
         d.router.servers[str(server)].ejected_until = d.now
-    assert d.router.connections.idle_survival == math.inf
+    assert d.router.connection_health.idle_survival == math.inf
 
 
 def test_idle_connections_that_work_stay_open() -> None:
@@ -57,7 +57,7 @@
         d.request(f"r{n}", key="k", finish=True)
     assert (
         not any(isinstance(a, CloseIdleConnections) for a in d.last)
-        and d.router.connections.idle_survival == math.inf
+        and d.router.connection_health.idle_survival == math.inf
     )
 
 
--- a/tests/policy/test_discovery_freshness.py
+++ b/tests/policy/test_discovery_freshness.py
@@ -22,6 +22,7 @@
 from ironrail.policy.endpoints import EndpointListKind
 from ironrail.policy.events import AttemptStatus, EndpointListUpdate
 from ironrail.policy.settings import Settings
+from ironrail.policy.timers import EndpointListPollDue
 
 from tests.driver import Driver, entry, settings
 
@@ -258,7 +259,7 @@
         before = dict(d.router.servers)
         actions = d.feed(EndpointListUpdate(EndpointListKind.RELOCATED))
         assert d.router.servers == before
-        pauses += [a.delay for a in actions if isinstance(a, SetTimer) and a.token == "list"]
+        pauses += [a.delay for a in actions if isinstance(a, SetTimer) and a.timer == EndpointListPollDue()]
     assert len(pauses) == 40
     assert max(sum(at <= pause < at + 1 for pause in pauses) for at in pauses) <= 13
     assert max(pauses) <= POLL_INTERVAL_FRACTION * 10.0
--- a/tests/policy/test_hash_ring.py
+++ b/tests/policy/test_hash_ring.py
@@ -161,7 +161,7 @@
     for n in range(5000):
         d.request(f"r{n}", key=f"k{n}", finish=True)
     assert d.router.ring.hash.cache_info().currsize <= 4096
-    assert not d.router.held and not d.router.attempts.out
+    assert not d.router.pending_requests and not d.router.attempts_in_flight
 
 
 def test_a_key_stays_with_one_server_at_light_load() -> None:
@@ -178,4 +178,4 @@
     for n in range(200):
         d.request(f"r{n}", key=f"k{n}", finish=True)
         d.now += 1.0
-    assert len(d.router.attempts.taken) <= d.router.attempts.budget.window + 1
+    assert len(d.router.retry_budget._request_times) <= d.router.retry_budget.settings.window + 1
