--- a/tests/driver.py
+++ b/tests/driver.py
@@ -1,9 +1,13 @@
-"""Drives one router by hand and keeps the rules' books beside it."""
+"""Drives one router by hand, as its host would, and checks its actions against the service's rules.
+
+The checks keep records of their own, so that they don't depend on those of the policy.
+"""
 
 from __future__ import annotations
 
 from dataclasses import replace
-from typing import Any
+from enum import StrEnum
+from typing import Any, NamedTuple
 
 from ironrail.policy.actions import Action, CancelAttempt, FailRequest, RejectRequest, SendAttempt, SetTimer
 from ironrail.policy.endpoints import Endpoint, EndpointListKind, EndpointState
@@ -17,11 +21,12 @@
 )
 from ironrail.policy.router import Router
 from ironrail.policy.settings import Idempotency, IdempotencyScope, RequestClass, Settings
+from ironrail.policy.state import AttemptId
 from ironrail.policy.timers import Timer
 from ironrail.simulator_wire import encode_timer
 
-READ = RequestClass("read", latency_objective=1.0)
-KEYED = RequestClass(
+SAFE_READ = RequestClass("read", latency_objective=1.0)
+KEYED_WRITE = RequestClass(
     "keyed",
     1.0,
     Idempotency.IDEMPOTENCY_KEY,
@@ -29,7 +34,7 @@
     idempotency_window=1.5,
     priority_weight=5.0,
 )
-ONCE = RequestClass("once", 1.0, Idempotency.UNSAFE, priority_weight=5.0)
+UNSAFE_WRITE = RequestClass("once", 1.0, Idempotency.UNSAFE, priority_weight=5.0)
 NEVER_RAN = {
     AttemptStatus.BUSY,
     AttemptStatus.CONNECT_FAILED,
@@ -37,11 +42,32 @@
     AttemptStatus.MISS,
     AttemptStatus.NOT_SENT,
 }
+GRACE_SECONDS = 0.02  # after its deadline, in which a request has to be answered
+
+
+class Outcome(StrEnum):
+    """How a request ended."""
+
+    SERVED = "served"
+    REJECTED = "rejected"
+    FAILED = "failed"
+    DISCONNECTED = "disconnected"
+
+
+class Due(NamedTuple):
+    """What happens next: the time-out of an attempt or a timer; ordered by its first three fields."""
+
+    at: float
+    request_id: str
+    timer_context: str
+    attempt_number: int
+    timer: Timer | None
 
 
 def settings(**changes: Any) -> Settings:
+    """Make settings with three request classes, where hedging and cancellation are allowed."""
     base = Settings(
-        classes={c.name: c for c in (READ, KEYED, ONCE)},
+        classes={c.name: c for c in (SAFE_READ, KEYED_WRITE, UNSAFE_WRITE)},
         hedging_allowed=True,
         cancellation_allowed=True,
         max_attempts=4,
@@ -49,181 +75,215 @@
     return replace(base, **changes)
 
 
-def entry(server: str, **fields: Any) -> Endpoint:
+def endpoint(server: str, **fields: Any) -> Endpoint:
+    """Make a listed server of weight 1."""
     fields.setdefault("weight", 1.0)
     return Endpoint(server, **fields)
 
 
 class Driver:
-    """A router with a clock, and what a client, the servers and the rules would see of it."""
+    """A router with a clock, and what its client, the servers and the rules see of it."""
 
     def __init__(self, conf: Settings, seed: int = 1, make: type[Router] = Router) -> None:
         self.conf = conf
         self.now = 100.0
         self.router = make(conf, seed, self.now)
-        self.open: dict[str, RequestReceived] = {}
-        self.due: dict[str, float] = {}
-        self.ended: dict[str, str] = {}
-        self.sends: dict[str, list[str]] = {}
+        self.pending: dict[str, RequestReceived] = {}
+        self.deadlines: dict[str, float] = {}
+        self.outcomes: dict[str, Outcome] = {}
+        self.servers_sent_to: dict[str, list[str]] = {}
         self.sent_at: dict[str, list[float]] = {}
-        self.state: dict[tuple[str, int], AttemptStatus | None] = {}
-        self.expiry: dict[tuple[str, int], float] = {}
+        self.statuses: dict[AttemptId, AttemptStatus | None] = {}  # None: in flight
+        self.timeouts: dict[AttemptId, float] = {}
         self.timers: list[tuple[float, Timer]] = []
-        self.listed: dict[str, Endpoint] = {}
-        self.last: list[Action] = []
-        self.taken: list[float] = []
-        self.further: dict[tuple[str, int], float] = {}
-
-    def feed(self, event: Event) -> list[Action]:
-        self.last = self.router.handle(self.now, event)
-        for action in self.last:
+        self.endpoints: dict[str, Endpoint] = {}
+        self.last_actions: list[Action] = []
+        self.request_times: list[float] = []
+        self.charged_at: dict[AttemptId, float] = {}
+
+    def handle(self, event: Event) -> list[Action]:
+        """Hand an event to the router and check the actions that answer it."""
+        self.last_actions = self.router.handle(self.now, event)
+        for action in self.last_actions:
             self.check(action)
-        return self.last
+        return self.last_actions
+
+    def is_in_flight(self, request_id: str, attempt_number: int | None = None) -> bool:
+        """Whether an attempt of a request has not ended; the latest one if none is named."""
+        if attempt_number is None:
+            attempt_number = len(self.servers_sent_to[request_id]) - 1
+        return self.statuses[AttemptId(request_id, attempt_number)] is None
 
-    # What each action means, and the rules it must keep
+    # The rules that actions must keep
 
     def check(self, action: Action) -> None:
         if isinstance(action, SetTimer):
             assert 0 <= action.delay < 4260 and 1 <= len(encode_timer(action.timer)) <= 64
             self.timers.append((self.now + action.delay, action.timer))
         elif isinstance(action, CancelAttempt):
-            assert (action.request_id, action.attempt_number) in self.state, "cancels an attempt never made"
+            attempt_id = AttemptId(action.request_id, action.attempt_number)
+            assert attempt_id in self.statuses, "cancels an attempt never made"
         elif isinstance(action, SendAttempt):
             self.check_send(action)
         elif isinstance(action, RejectRequest):
-            self.check_refusal(action.request_id)
-            self.finish(action.request_id, "refused")
+            self.check_rejection(action.request_id)
+            self.finish_request(action.request_id, Outcome.REJECTED)
         elif isinstance(action, FailRequest):
-            self.finish(action.request_id, "failed")
+            self.finish_request(action.request_id, Outcome.FAILED)
 
     def check_send(self, action: SendAttempt) -> None:
         name = action.request_id
-        assert name in self.open, f"rule 1: sends for {name}, which is ended or unknown"
-        target = self.listed.get(action.server)
+        assert name in self.pending, f"rule 1: sends for {name}, which is ended or unknown"
+        target = self.endpoints.get(action.server)
         assert target is not None and target.state is EndpointState.READY, "rule 3: sends to a drained server"
-        kind = self.conf.classes[self.open[name].class_name]
-        earlier = self.sends.setdefault(name, [])
+        earlier = self.servers_sent_to.setdefault(name, [])
         assert len(earlier) < self.conf.max_attempts, "more attempts than allowed"
-        ran = [i for i in range(len(earlier)) if self.state[name, i] not in NEVER_RAN]
-        outstanding = [i for i in ran if self.state[name, i] is None]
+        ran = self.attempts_that_may_have_run(name)
+        outstanding = [number for number in ran if self.is_in_flight(name, number)]
         assert self.conf.hedging_allowed or not outstanding, "rule 2: two copies out at once"
-        if ran and kind.idempotency is not Idempotency.SAFE:
-            assert kind.idempotency is Idempotency.IDEMPOTENCY_KEY, "rule 2: an unsafe request sent again"
-            first = min(self.sent_at[name][i] for i in ran)
-            assert self.now <= first + kind.idempotency_window, (
-                "rule 2: a keyed request sent after its window"
-            )
-            for i in ran:
-                other = self.listed.get(earlier[i])
-                same = kind.idempotency_scope is IdempotencyScope.ALL or (
-                    other is not None
-                    and (
-                        other.zone == target.zone
-                        if kind.idempotency_scope is IdempotencyScope.ZONE
-                        else other.cell == target.cell
-                    )
-                )
-                assert same, "rule 2: a keyed request sent outside its group"
-        self.check_budget(name, len(earlier))
-        self.state[name, len(earlier)] = None
-        limit = self.due[name] if action.timeout is None else min(self.due[name], self.now + action.timeout)
-        self.expiry[name, len(earlier)] = limit
+        if ran:
+            self.check_repeat(name, ran, target)
+        attempt_id = AttemptId(name, len(earlier))
+        self.check_budget(attempt_id)
+        self.statuses[attempt_id] = None
+        limit = self.deadlines[name]
+        if action.timeout is not None:
+            limit = min(limit, self.now + action.timeout)
+        self.timeouts[attempt_id] = limit
         earlier.append(action.server)
         self.sent_at.setdefault(name, []).append(self.now)
 
-    def check_budget(self, name: str, number: int) -> None:
-        """Counted anew from all that was ever sent: not as the module counts it."""
-        misses = sum(s is AttemptStatus.MISS for (n, _), s in self.state.items() if n == name)
-        spent = sum(n == name for n, _ in self.further)
-        if number <= misses + spent:  # the first, and one for each miss
+    def attempts_that_may_have_run(self, name: str) -> list[int]:
+        """Numbers of the attempts of a request that may have taken effect, or may yet."""
+        numbers = range(len(self.servers_sent_to.get(name, [])))
+        return [number for number in numbers if self.statuses[AttemptId(name, number)] not in NEVER_RAN]
+
+    def check_repeat(self, name: str, ran: list[int], target: Endpoint) -> None:
+        """Rule 2: what may have run is not to take effect twice."""
+        kind = self.conf.classes[self.pending[name].class_name]
+        if kind.idempotency is Idempotency.SAFE:
             return
-        self.further[name, number] = self.now
+        assert kind.idempotency is Idempotency.IDEMPOTENCY_KEY, "rule 2: an unsafe request sent again"
+        first = min(self.sent_at[name][number] for number in ran)
+        assert self.now <= first + kind.idempotency_window, "rule 2: a keyed request sent after its window"
+        for number in ran:
+            other = self.endpoints.get(self.servers_sent_to[name][number])
+            assert in_one_scope(kind.idempotency_scope, other, target), (
+                "rule 2: a keyed request sent outside its group"
+            )
+
+    def check_budget(self, attempt_id: AttemptId) -> None:
+        """Rule 5, counted anew from all attempts ever sent: not as the policy counts it."""
+        name = attempt_id.request_id
+        misses = sum(
+            status is AttemptStatus.MISS for key, status in self.statuses.items() if key.request_id == name
+        )
+        charged = sum(key.request_id == name for key in self.charged_at)
+        if attempt_id.attempt_number <= misses + charged:  # the first, and one for each miss
+            return
+        self.charged_at[attempt_id] = self.now
         budget = self.conf.retry_budget
         if budget is None:
             return
-        counted = [k for k, at in self.further.items() if at > self.now - budget.window]
-        used = sum(self.state.get(k) is not AttemptStatus.CANCELLED_BEFORE_SEND for k in counted)
-        allowed = budget.reserve + budget.ratio * sum(at > self.now - budget.window for at in self.taken)
+        since = self.now - budget.window
+        counted = [key for key, at in self.charged_at.items() if at > since]
+        used = sum(self.statuses.get(key) is not AttemptStatus.CANCELLED_BEFORE_SEND for key in counted)
+        allowed = budget.reserve + budget.ratio * sum(at > since for at in self.request_times)
         assert used <= allowed, f"rule 5: {used} further attempts where {allowed} are allowed"
 
-    def check_refusal(self, name: str) -> None:
-        assert name in self.open, "rule 1: a second answer"
-        kind = self.conf.classes[self.open[name].class_name]
-        ran = [i for i in range(len(self.sends.get(name, []))) if self.state[name, i] not in NEVER_RAN]
-        if ran and kind.idempotency is not Idempotency.SAFE:
+    def check_rejection(self, name: str) -> None:
+        """Rule 2: a client that is rejected may retry."""
+        assert name in self.pending, "rule 1: a second answer"
+        kind = self.conf.classes[self.pending[name].class_name]
+        if self.attempts_that_may_have_run(name) and kind.idempotency is not Idempotency.SAFE:
             harmless = (
                 kind.idempotency is Idempotency.IDEMPOTENCY_KEY
                 and kind.idempotency_scope is IdempotencyScope.ALL
             )
             assert harmless, "rule 2: a refusal of what may have run"
 
-    def finish(self, name: str, how: str) -> None:
-        assert name in self.open, "rule 1: a second answer"
-        del self.open[name]
-        self.ended[name] = how
+    def finish_request(self, name: str, outcome: Outcome) -> None:
+        assert name in self.pending, "rule 1: a second answer"
+        del self.pending[name]
+        self.outcomes[name] = outcome
+
+    def check_deadlines(self) -> None:
+        late = [name for name in self.pending if self.now > self.deadlines[name] + GRACE_SECONDS]
+        assert not late, f"rule 1: no answer in time for {late}"
 
-    # Moves
+    # Events
 
-    def list(self, *entries: Endpoint, kind: EndpointListKind = EndpointListKind.FULL) -> list[Action]:
+    def update_endpoints(
+        self, *endpoints: Endpoint, kind: EndpointListKind = EndpointListKind.FULL
+    ) -> list[Action]:
+        """Discovery lists these servers."""
         if kind in (EndpointListKind.FULL, EndpointListKind.CACHED):
-            gone = EndpointState.REMOVED
-            self.listed = {s: replace(e, state=gone) for s, e in self.listed.items()}
-        self.listed.update({e.name: e for e in entries})
-        return self.feed(EndpointListUpdate(kind, entries))
+            removed = EndpointState.REMOVED
+            self.endpoints = {name: replace(known, state=removed) for name, known in self.endpoints.items()}
+        self.endpoints.update({known.name: known for known in endpoints})
+        return self.handle(EndpointListUpdate(kind, endpoints))
 
-    def request(self, name: str, finish: bool = False, **fields: Any) -> str | None:
-        """A request arrives; answers with the server its first attempt went to, if any."""
+    def receive(self, name: str, finish: bool = False, **fields: Any) -> str | None:
+        """A request arrives; returns the server that its first attempt went to, if any."""
         fields.setdefault("class_name", "read")
         fields.setdefault("time_left", 2.0)
         event = RequestReceived(name, **fields)
-        self.open[name] = event
-        self.due[name] = self.now + event.time_left
-        self.taken.append(self.now)
-        self.feed(event)
-        sent = self.sends.get(name, [None])[0]
+        self.pending[name] = event
+        self.deadlines[name] = self.now + event.time_left
+        self.request_times.append(self.now)
+        self.handle(event)
+        sent = self.servers_sent_to.get(name, [None])[0]
         if finish:
-            self.ok(name)
+            self.succeed(name)
         return sent
 
-    def end(
+    def end_attempt(
         self, name: str, status: AttemptStatus, attempt: int | None = None, latency: float = 0.05
     ) -> str | None:
-        """An attempt ends; answers with the server that the next one went to, if one was sent."""
-        count = len(self.sends[name])
+        """An attempt ends; returns the server that the next one went to, if one was sent."""
+        count = len(self.servers_sent_to[name])
         number = count - 1 if attempt is None else attempt
-        assert self.state[name, number] is None
-        self.state[name, number] = status
-        closed = status is AttemptStatus.OK or name not in self.open
-        if closed and name in self.open:
-            self.finish(name, "served")
-        self.feed(AttemptEnded(name, number, status, closed, latency))
-        return self.sends[name][-1] if len(self.sends[name]) > count else None
-
-    def ok(self, name: str) -> None:
-        self.end(name, AttemptStatus.OK)
-
-    def wait(self, seconds: float) -> None:
+        assert self.is_in_flight(name, number)
+        self.statuses[AttemptId(name, number)] = status
+        request_ended = status is AttemptStatus.OK or name not in self.pending
+        if request_ended and name in self.pending:
+            self.finish_request(name, Outcome.SERVED)
+        self.handle(AttemptEnded(name, number, status, request_ended, latency))
+        return self.servers_sent_to[name][-1] if len(self.servers_sent_to[name]) > count else None
+
+    def succeed(self, name: str) -> None:
+        """The latest attempt of a request is served."""
+        self.end_attempt(name, AttemptStatus.OK)
+
+    def advance(self, seconds: float) -> None:
         """Let time pass, with timers and time-outs in their order."""
         until = self.now + seconds
-        while True:
-            due: list[tuple[float, str, Timer | None, int | None]] = [
-                (t, "", n, None) for t, n in self.timers
-            ]
-            due += [(t, n, None, i) for (n, i), t in self.expiry.items() if self.state[n, i] is None]
-            due.sort(key=lambda d: (d[0], d[1], encode_timer(d[2]) if d[2] is not None else ""))
-            if not due or due[0][0] > until:
-                break
-            at, name, timer, attempt = due[0]
-            self.now = max(self.now, at)
-            if timer is None:
-                self.end(name, AttemptStatus.TIMEOUT, attempt, 1.0)
+        while (due := self.next_due()) is not None and due.at <= until:
+            self.now = max(self.now, due.at)
+            if due.timer is None:
+                self.end_attempt(due.request_id, AttemptStatus.TIMEOUT, due.attempt_number, 1.0)
             else:
-                self.timers.remove((at, timer))
-                self.feed(TimerFired(timer))
-            self.check_overdue()
+                self.timers.remove((due.at, due.timer))
+                self.handle(TimerFired(due.timer))
+            self.check_deadlines()
         self.now = until
-        self.check_overdue()
+        self.check_deadlines()
 
-    def check_overdue(self) -> None:
-        late = [n for n in self.open if self.now > self.due[n] + 0.02]
-        assert not late, f"rule 1: no answer in time for {late}"
+    def next_due(self) -> Due | None:
+        """The first timer or time-out that is still to come."""
+        due = [Due(at, "", encode_timer(timer), 0, timer) for at, timer in self.timers]
+        due += [
+            Due(at, key.request_id, "", key.attempt_number, None)
+            for key, at in self.timeouts.items()
+            if self.statuses[key] is None
+        ]
+        return min(due, key=lambda each: each[:3], default=None)
+
+
+def in_one_scope(scope: IdempotencyScope, one: Endpoint | None, other: Endpoint) -> bool:
+    """Whether two servers know each other's idempotency keys."""
+    if scope is IdempotencyScope.ALL:
+        return True
+    if one is None:
+        return False
+    return one.zone == other.zone if scope is IdempotencyScope.ZONE else one.cell == other.cell
--- a/tests/policy/test_concurrency_limit.py
+++ b/tests/policy/test_concurrency_limit.py
@@ -6,21 +6,21 @@
 from ironrail.policy import concurrency_limit, hash_ring, state
 from ironrail.policy.events import AttemptStatus
 
-from tests.driver import Driver, entry, settings
+from tests.driver import Driver, Outcome, endpoint, settings
 from tests.policy.fleets import CACHE_ASIDE, end_with_misses, fleet
 
 
 def test_a_slow_server_gets_a_lower_limit() -> None:
     """Overloaded servers answer late or not at all."""
     d = Driver(settings())
-    d.list(entry("a"))
+    d.update_endpoints(endpoint("a"))
     for n in range(40):
-        d.request(f"s{n}")
+        d.receive(f"s{n}")
         d.now += 0.6
-        d.end(f"s{n}", AttemptStatus.OK, latency=0.9)
-    sent = [d.request(f"r{n}") for n in range(10)]
+        d.end_attempt(f"s{n}", AttemptStatus.OK, latency=0.9)
+    sent = [d.receive(f"r{n}") for n in range(10)]
     assert sent.count("a") == 1 and sent.count(None) == 9
-    assert [d.ended[f"r{n}"] for n in range(1, 10)] == ["refused"] * 9
+    assert [d.outcomes[f"r{n}"] for n in range(1, 10)] == [Outcome.REJECTED] * 9
 
 
 def test_the_initial_growth_of_the_origin_limit_is_shared_by_all_routers() -> None:
@@ -28,12 +28,12 @@
     limits = {}
     for routers in (1, 40, 200):
         d = Driver(settings(cache_aside=True, origin_kind="o", router_count=routers))
-        d.list(*fleet("a"), entry("o", kind="o"))
+        d.update_endpoints(*fleet("a"), endpoint("o", kind="o"))
         for n in range(12):
-            d.request(f"r{n}", class_name="once", is_write=True)
+            d.receive(f"r{n}", class_name="once", is_write=True)
         for n in range(8):
-            if f"r{n}" in d.sends:
-                d.ok(f"r{n}")
+            if f"r{n}" in d.servers_sent_to:
+                d.succeed(f"r{n}")
         limits[routers] = d.router.servers["o"].concurrency_limit
     assert limits == {1: 11.0, 40: pytest.approx(10.4), 200: 6.0}
 
@@ -41,47 +41,47 @@
 def test_a_limit_grows_faster_before_its_first_decrease() -> None:
     """The limit at the origin took seconds to reach the load, and most requests were rejected."""
     d = Driver(settings(cache_aside=True, origin_kind="o"))
-    d.list(*fleet("a"), entry("o", kind="o"))
+    d.update_endpoints(*fleet("a"), endpoint("o", kind="o"))
     for n in range(40):
-        d.request(f"r{n}", class_name="once", is_write=True)
+        d.receive(f"r{n}", class_name="once", is_write=True)
     for n in range(36):  # as many as it takes until no request is queued
-        if f"r{n}" in d.sends:
-            d.ok(f"r{n}")
+        if f"r{n}" in d.servers_sent_to:
+            d.succeed(f"r{n}")
     assert d.router.servers["o"].concurrency_limit >= 20.0
     d.router.servers["o"].limit_cut_at = d.now  # growth is slow after a decrease
     before = d.router.servers["o"].concurrency_limit
-    d.ok("r39")
+    d.succeed("r39")
     assert d.router.servers["o"].concurrency_limit - before < 0.2
 
 
 def test_one_slow_answer_does_not_decrease_the_limit() -> None:
     """A single heavy request decreased the limit of a healthy server."""
     d = Driver(settings())
-    d.list(*fleet("a"))
+    d.update_endpoints(*fleet("a"))
     for n in range(20):
-        d.request(f"r{n}", key="k")
-        d.end(f"r{n}", AttemptStatus.OK, latency=0.9 if n == 10 else 0.05)
+        d.receive(f"r{n}", key="k")
+        d.end_attempt(f"r{n}", AttemptStatus.OK, latency=0.9 if n == 10 else 0.05)
     assert d.router.servers["a"].concurrency_limit >= state.INITIAL_CONCURRENCY_LIMIT
 
 
 def test_abandoned_attempts_count_as_in_flight_until_a_later_answer_or_the_latency_objective() -> None:
     """Servers work on abandoned attempts: 200 routers kept their queues full of these."""
     d = Driver(settings(max_attempts=1, hedging_allowed=False, router_count=hash_ring.NUM_ROUTERS_PER_SUBSET))
-    d.list(*fleet("a"))
+    d.update_endpoints(*fleet("a"))
     d.router.servers["a"].concurrency_limit = 3.0
-    assert [d.request(f"r{n}", key="k") for n in range(4)] == ["a", "a", "a", None]
-    d.end("r0", AttemptStatus.TIMEOUT, latency=0.1)
-    d.end("r1", AttemptStatus.CANCELLED, latency=0.1)
-    assert d.request("early", key="k") is None  # one in flight, two abandoned
-    d.end("r2", AttemptStatus.BUSY, latency=0.1)  # says nothing of earlier attempts
+    assert [d.receive(f"r{n}", key="k") for n in range(4)] == ["a", "a", "a", None]
+    d.end_attempt("r0", AttemptStatus.TIMEOUT, latency=0.1)
+    d.end_attempt("r1", AttemptStatus.CANCELLED, latency=0.1)
+    assert d.receive("early", key="k") is None  # one in flight, two abandoned
+    d.end_attempt("r2", AttemptStatus.BUSY, latency=0.1)  # says nothing of earlier attempts
     d.router.servers["a"].concurrency_limit = 3.0
-    assert d.request("r4", key="k") == "a" and d.request("more", key="k") is None
-    d.ok("r4")  # was sent after the abandoned ones
-    assert [d.request(f"s{n}", key="k") for n in range(4)] == ["a", "a", "a", None]
-    d.end("s0", AttemptStatus.TIMEOUT, latency=0.1)
-    assert d.request("at once", key="k") is None
+    assert d.receive("r4", key="k") == "a" and d.receive("more", key="k") is None
+    d.succeed("r4")  # was sent after the abandoned ones
+    assert [d.receive(f"s{n}", key="k") for n in range(4)] == ["a", "a", "a", None]
+    d.end_attempt("s0", AttemptStatus.TIMEOUT, latency=0.1)
+    assert d.receive("at once", key="k") is None
     d.now += 1.1  # longer than the latency objective: the server must be tried again
-    assert d.request("later", key="k") == "a"
+    assert d.receive("later", key="k") == "a"
 
 
 @pytest.mark.parametrize(
@@ -98,12 +98,12 @@
     found = []
     for routers in (1, hash_ring.NUM_ROUTERS_PER_SUBSET):
         d = Driver(settings(max_attempts=1, hedging_allowed=False, router_count=routers))
-        d.list(*fleet("a"))
+        d.update_endpoints(*fleet("a"))
         d.router.servers["a"].concurrency_limit = 9.0
         for n in range(3):
-            d.request(f"r{n}", key="k")
+            d.receive(f"r{n}", key="k")
         for n in range(2):
-            d.end(f"r{n}", status, latency=0.9)
+            d.end_attempt(f"r{n}", status, latency=0.9)
         found.append(d.router.servers["a"].concurrency_limit)
     assert found == [
         9.0 * concurrency_limit.MULTIPLICATIVE_DECREASE_FACTOR,
@@ -114,45 +114,45 @@
 def test_a_rejection_lowers_the_limit_to_what_is_in_flight() -> None:
     """Limits fell a quarter in a round while small servers rejected two attempts in three."""
     d = Driver(settings())
-    d.list(*fleet("a"))
+    d.update_endpoints(*fleet("a"))
     d.router.servers["a"].concurrency_limit = 9.0
     for n in range(6):
-        d.request(f"r{n}", key="k")
-    d.end("r5", AttemptStatus.BUSY)
+        d.receive(f"r{n}", key="k")
+    d.end_attempt("r5", AttemptStatus.BUSY)
     assert d.router.servers["a"].concurrency_limit == 5.0
 
 
 def test_failed_connects_to_a_cache_do_not_decrease_its_limit() -> None:
     """Few routers would be slow to raise a limit again after a cut link recovers."""
     d = Driver(settings())
-    d.list(*fleet("a"))
+    d.update_endpoints(*fleet("a"))
     for n in range(5):
-        d.request(f"r{n}", key="k")
-        if f"r{n}" in d.open:
-            d.end(f"r{n}", AttemptStatus.CONNECT_FAILED)
-        d.wait(1.0)
+        d.receive(f"r{n}", key="k")
+        if f"r{n}" in d.pending:
+            d.end_attempt(f"r{n}", AttemptStatus.CONNECT_FAILED)
+        d.advance(1.0)
     assert d.router.servers["a"].concurrency_limit == state.INITIAL_CONCURRENCY_LIMIT
 
 
 def test_connects_to_the_origin_that_time_out_do_not_decrease_its_limit() -> None:
     """Otherwise fetches stay few for long after a cut link recovers."""
     d = Driver(settings(**CACHE_ASIDE, router_count=10 * concurrency_limit.NUM_ROUTERS_PER_ORIGIN))
-    d.list(*fleet("a", "o"))
+    d.update_endpoints(*fleet("a", "o"))
     for n in range(20):
         end_with_misses(d, f"r{n}", key=f"k{n}")
-        if d.sends[f"r{n}"][-1] == "o":
-            d.end(f"r{n}", AttemptStatus.CONNECT_FAILED, latency=0.25)
-        d.wait(1.0)
+        if d.servers_sent_to[f"r{n}"][-1] == "o":
+            d.end_attempt(f"r{n}", AttemptStatus.CONNECT_FAILED, latency=0.25)
+        d.advance(1.0)
     assert d.router.servers["o"].concurrency_limit >= 1.0
 
 
 def test_few_routers_keep_an_origin_limit_of_one() -> None:
     """With three routers a third of the capacity of the origin is lost in each pause of one."""
     d = Driver(settings(**CACHE_ASIDE, router_count=3))
-    d.list(*fleet("a", "o"))
+    d.update_endpoints(*fleet("a", "o"))
     for n in range(20):
         end_with_misses(d, f"r{n}", key=f"k{n}")
-        if d.sends[f"r{n}"][-1] == "o":
-            d.end(f"r{n}", AttemptStatus.BUSY)
-        d.wait(1.0)
+        if d.servers_sent_to[f"r{n}"][-1] == "o":
+            d.end_attempt(f"r{n}", AttemptStatus.BUSY)
+        d.advance(1.0)
     assert d.router.servers["o"].concurrency_limit == 1.0
--- a/tests/policy/test_connection_health.py
+++ b/tests/policy/test_connection_health.py
@@ -16,47 +16,47 @@
     """Lose attempts on connections idle for three seconds, and answer the next ones."""
     for n in range(count):
         d.now += 3.0
-        server = d.request(f"old{n}", key="k")
-        d.end(f"old{n}", lost, latency=0.6)
+        server = d.receive(f"old{n}", key="k")
+        d.end_attempt(f"old{n}", lost, latency=0.6)
         d.router.servers[str(server)].ejected_until = d.now
         for m in range(2):
-            if f"old{n}" in d.open:
-                d.ok(f"old{n}")
-            d.request(f"new{n}-{m}", key="k", finish=True)
+            if f"old{n}" in d.pending:
+                d.succeed(f"old{n}")
+            d.receive(f"new{n}-{m}", key="k", finish=True)
 
 
 @pytest.mark.parametrize("lost", [AttemptStatus.RESET, AttemptStatus.TIMEOUT])
 def test_idle_connections_that_lose_attempts_are_closed_before_use(lost: AttemptStatus) -> None:
     d = Driver(settings(max_attempts=1))
-    d.list(*fleet("a"))
-    d.request("r0", key="k", finish=True)
+    d.update_endpoints(*fleet("a"))
+    d.receive("r0", key="k", finish=True)
     lose_idle_connections(d, lost, 4)
     d.now += 3.0
-    d.request("r", key="k")
-    assert [type(a) for a in d.last[:2]] == [CloseIdleConnections, SendAttempt]
+    d.receive("r", key="k")
+    assert [type(a) for a in d.last_actions[:2]] == [CloseIdleConnections, SendAttempt]
 
 
 def test_losses_on_connections_in_use_leave_the_idle_survival_as_it_is() -> None:
     """Two timeouts at a silent server led to a new connection for every second request."""
     d = Driver(settings(max_attempts=1))
-    d.list(*fleet("a"))
+    d.update_endpoints(*fleet("a"))
     for n in range(8):
-        d.request(f"r{n}", key="k", finish=True)
+        d.receive(f"r{n}", key="k", finish=True)
         d.now += 0.3
-        server = d.request(f"lost{n}", key="k")
-        d.end(f"lost{n}", AttemptStatus.TIMEOUT, latency=0.6)
+        server = d.receive(f"lost{n}", key="k")
+        d.end_attempt(f"lost{n}", AttemptStatus.TIMEOUT, latency=0.6)
         d.router.servers[str(server)].ejected_until = d.now
     assert d.router.connection_health.idle_survival == math.inf
 
 
 def test_idle_connections_that_work_stay_open() -> None:
     d = Driver(settings(max_attempts=1))
-    d.list(*fleet("a"))
+    d.update_endpoints(*fleet("a"))
     for n in range(20):
         d.now += 3.0
-        d.request(f"r{n}", key="k", finish=True)
+        d.receive(f"r{n}", key="k", finish=True)
     assert (
-        not any(isinstance(a, CloseIdleConnections) for a in d.last)
+        not any(isinstance(a, CloseIdleConnections) for a in d.last_actions)
         and d.router.connection_health.idle_survival == math.inf
     )
 
@@ -64,28 +64,28 @@
 def test_connections_are_closed_after_use_while_accept_queues_are_full() -> None:
     """Idle connections of other routers filled the accept queues, and half of all connects failed."""
     d = Driver(settings(max_attempts=1))
-    d.list(*fleet("a"))
+    d.update_endpoints(*fleet("a"))
     for n in range(6):
         d.now += 20.0
-        d.request(f"r{n}", key=f"k{n}")
-        d.end(f"r{n}", AttemptStatus.CONNECT_FAILED, latency=0.0)
+        d.receive(f"r{n}", key=f"k{n}")
+        d.end_attempt(f"r{n}", AttemptStatus.CONNECT_FAILED, latency=0.0)
         d.now += 20.0
-        d.request(f"s{n}", key=f"k{n}", finish=True)
-    assert d.last == [CloseIdleConnections("a")]
+        d.receive(f"s{n}", key=f"k{n}", finish=True)
+    assert d.last_actions == [CloseIdleConnections("a")]
 
 
 def test_connects_refused_by_stopped_servers_close_no_other_connections() -> None:
     """While six in ten servers were replaced, routers opened a connection for each request."""
     d = Driver(settings(max_attempts=1))
     names = [f"s{n}" for n in range(10)]
-    d.list(*fleet(*names))
+    d.update_endpoints(*fleet(*names))
     gone = set(names[:6])
     for n in range(60):
         d.now += 1.0
-        server = d.request(f"r{n}", key=f"k{n}")
+        server = d.receive(f"r{n}", key=f"k{n}")
         if server in gone:
-            d.end(f"r{n}", AttemptStatus.CONNECT_FAILED, latency=0.0)
+            d.end_attempt(f"r{n}", AttemptStatus.CONNECT_FAILED, latency=0.0)
         else:
-            d.ok(f"r{n}")
-            assert not any(isinstance(a, CloseIdleConnections) for a in d.last)
-    assert gone & {sent for sends in d.sends.values() for sent in sends}
+            d.succeed(f"r{n}")
+            assert not any(isinstance(a, CloseIdleConnections) for a in d.last_actions)
+    assert gone & {sent for sends in d.servers_sent_to.values() for sent in sends}
--- a/tests/policy/test_discovery_freshness.py
+++ b/tests/policy/test_discovery_freshness.py
@@ -24,7 +24,7 @@
 from ironrail.policy.settings import Settings
 from ironrail.policy.timers import EndpointListPollDue
 
-from tests.driver import Driver, entry, settings
+from tests.driver import Driver, endpoint, settings
 
 
 @dataclass
@@ -189,43 +189,45 @@
 def test_with_a_stale_list_only_servers_with_recent_successes_are_used(missed: EndpointListKind) -> None:
     """Draining servers reject new requests, and the update that they drain was missed."""
     d = Driver(settings(polls_endpoint_list=True, router_count=5, poll_interval=10.0, max_attempts=3))
-    d.list(*(entry(name) for name in "abcdef"))
-    d.list(kind=missed)
+    d.update_endpoints(*(endpoint(name) for name in "abcdef"))
+    d.update_endpoints(kind=missed)
     sent: dict[bool, Counter[str]] = {False: Counter(), True: Counter()}
     for n in range(600):
         d.now += 0.02
         late = n >= 260
-        server = d.request(f"r{n}", key=f"k{n % 97}")
-        while f"r{n}" in d.open and server is not None:
+        server = d.receive(f"r{n}", key=f"k{n % 97}")
+        while f"r{n}" in d.pending and server is not None:
             sent[late][server] += 1
             drains = server in "ab"
-            server = d.end(f"r{n}", AttemptStatus.BUSY if drains else AttemptStatus.OK, latency=0.005)
+            server = d.end_attempt(f"r{n}", AttemptStatus.BUSY if drains else AttemptStatus.OK, latency=0.005)
     assert sent[False]["a"] and sent[False]["b"]
     assert not sent[True]["a"] and not sent[True]["b"]
     assert all(sent[True][name] for name in "cdef")
-    d.list(*(entry(name) for name in "abcdef"))
-    again = {d.request(f"s{n}", key=f"k{n}") for n in range(60)}
+    d.update_endpoints(*(endpoint(name) for name in "abcdef"))
+    again = {d.receive(f"s{n}", key=f"k{n}") for n in range(60)}
     assert again & {"a", "b"}  # a list ends the staleness
 
 
 def test_with_a_stale_list_a_server_that_refused_a_connect_is_not_used_again() -> None:
     """The server may have been removed from the list, though it answers after a restart."""
     d = Driver(settings(polls_endpoint_list=True, router_count=5, poll_interval=10.0, max_attempts=3))
-    d.list(*(entry(name) for name in "abcdef"))
-    d.list(kind=EndpointListKind.MALFORMED)
+    d.update_endpoints(*(endpoint(name) for name in "abcdef"))
+    d.update_endpoints(kind=EndpointListKind.MALFORMED)
     began, sent = d.now, Counter[str]()
     for n in range(600):
         d.now += 0.02
         down = 2.0 <= d.now - began < 4.0  # before the list counts as stale
-        server = d.request(f"r{n}", key=f"k{n % 97}")
-        while f"r{n}" in d.open and server is not None:
+        server = d.receive(f"r{n}", key=f"k{n % 97}")
+        while f"r{n}" in d.pending and server is not None:
             sent[server] += d.now - began >= MAX_STALENESS_SECONDS
             lost = server == "a" and down
-            server = d.end(f"r{n}", AttemptStatus.CONNECT_FAILED if lost else AttemptStatus.OK, latency=0.001)
+            server = d.end_attempt(
+                f"r{n}", AttemptStatus.CONNECT_FAILED if lost else AttemptStatus.OK, latency=0.001
+            )
     assert not sent["a"] and all(sent[name] for name in "bcdef")
-    d.list(*(entry(name) for name in "abcdef"))
+    d.update_endpoints(*(endpoint(name) for name in "abcdef"))
     d.now += 10.0
-    assert "a" in {d.request(f"s{n}", key=f"k{n}") for n in range(60)}
+    assert "a" in {d.receive(f"s{n}", key=f"k{n}") for n in range(60)}
 
 
 def test_the_backoff_is_bounded_without_a_poll_interval() -> None:
@@ -255,9 +257,9 @@
             settings(polls_endpoint_list=True, router_count=40, router_index=index, poll_interval=10.0),
             seed=index,
         )
-        d.list(entry("a"))
+        d.update_endpoints(endpoint("a"))
         before = dict(d.router.servers)
-        actions = d.feed(EndpointListUpdate(EndpointListKind.RELOCATED))
+        actions = d.handle(EndpointListUpdate(EndpointListKind.RELOCATED))
         assert d.router.servers == before
         pauses += [a.delay for a in actions if isinstance(a, SetTimer) and a.timer == EndpointListPollDue()]
     assert len(pauses) == 40
@@ -267,4 +269,4 @@
 
 def test_few_routers_poll_at_once_after_the_list_is_relocated() -> None:
     d = Driver(settings(polls_endpoint_list=True, router_count=3))
-    assert FetchEndpointList() in d.feed(EndpointListUpdate(EndpointListKind.RELOCATED))
+    assert FetchEndpointList() in d.handle(EndpointListUpdate(EndpointListKind.RELOCATED))
--- a/tests/policy/test_hash_ring.py
+++ b/tests/policy/test_hash_ring.py
@@ -7,7 +7,7 @@
 from ironrail.policy.endpoints import EndpointListKind, EndpointState
 from ironrail.policy.events import AttemptStatus
 
-from tests.driver import Driver, entry, settings
+from tests.driver import Driver, endpoint, settings
 
 
 def md5_16(text: str) -> int:
@@ -55,20 +55,20 @@
 
 def test_a_key_goes_to_the_first_virtual_node_clockwise() -> None:
     d = Driver(settings())
-    d.list(entry("a", weight=2), entry("b", weight=1), entry("c", weight=1))
+    d.update_endpoints(endpoint("a", weight=2), endpoint("b", weight=1), endpoint("c", weight=1))
     for n in range(200):
-        sent = d.request(f"r{n}", key=f"k{n}")
+        sent = d.receive(f"r{n}", key=f"k{n}")
         assert sent == primary_of(f"k{n}", {"a": 75, "b": 38, "c": 37})
-        d.ok(f"r{n}")
+        d.succeed(f"r{n}")
 
 
 def test_a_removed_server_moves_few_keys_but_its_own() -> None:
     d = Driver(settings())
     names = [f"s{i}" for i in range(10)]
-    d.list(*(entry(n) for n in names))
-    before = {k: d.request(f"a{k}", key=f"k{k}", finish=True) for k in range(500)}
-    d.list(*(entry(n) for n in names[:-1]))
-    after = {k: d.request(f"b{k}", key=f"k{k}", finish=True) for k in range(500)}
+    d.update_endpoints(*(endpoint(n) for n in names))
+    before = {k: d.receive(f"a{k}", key=f"k{k}", finish=True) for k in range(500)}
+    d.update_endpoints(*(endpoint(n) for n in names[:-1]))
+    after = {k: d.receive(f"b{k}", key=f"k{k}", finish=True) for k in range(500)}
     moved = [k for k in before if before[k] != after[k]]
     assert all(after[k] != "s9" for k in after)
     # keys of the removed server move, and a few more as the other nine get its virtual nodes
@@ -77,13 +77,13 @@
 
 def test_a_server_gets_keys_by_its_weight() -> None:
     d = Driver(settings())
-    d.list(entry("big", weight=9), entry("small", weight=1))
-    hits = [d.request(f"r{n}", key=f"k{n}", finish=True) for n in range(1000)]
+    d.update_endpoints(endpoint("big", weight=9), endpoint("small", weight=1))
+    hits = [d.receive(f"r{n}", key=f"k{n}", finish=True) for n in range(1000)]
     assert 800 < hits.count("big") < 980
 
 
 def sent_to(d: Driver, name: str, key: str) -> str:
-    sent = d.request(name, key=key)
+    sent = d.receive(name, key=key)
     assert sent is not None
     return sent
 
@@ -91,7 +91,7 @@
 def test_a_key_spills_clockwise_over_the_bounded_load() -> None:
     """Requests for one key, all unanswered, are spread over the servers."""
     d = Driver(settings())
-    d.list(*(entry(n) for n in "abcd"))
+    d.update_endpoints(*(endpoint(n) for n in "abcd"))
     sent = [sent_to(d, f"r{n}", "hot") for n in range(8)]
     assert len(set(sent)) > 1
     assert sent[0] == primary_of("hot", {"a": 38, "b": 38, "c": 37, "d": 37})
@@ -100,15 +100,15 @@
 def test_an_updated_ring_equals_one_built_from_the_same_servers() -> None:
     """A deployment over 150 servers and 1,000 routers cost 150 us of CPU for each event."""
     d = Driver(settings())
-    d.list(*(entry(f"s{n}", weight=1 + n % 3) for n in range(30)))
+    d.update_endpoints(*(endpoint(f"s{n}", weight=1 + n % 3) for n in range(30)))
     for n in range(40):
-        d.list(entry(f"s{n}", state=EndpointState.REMOVED), kind=EndpointListKind.DELTA)
-        d.list(entry(f"s{n + 30}", weight=1 + n % 2), kind=EndpointListKind.DELTA)
+        d.update_endpoints(endpoint(f"s{n}", state=EndpointState.REMOVED), kind=EndpointListKind.DELTA)
+        d.update_endpoints(endpoint(f"s{n + 30}", weight=1 + n % 2), kind=EndpointListKind.DELTA)
         assert d.router.ring.needs_rebuild
-        d.request(f"r{n}", key=f"k{n}", finish=True)
+        d.receive(f"r{n}", key=f"k{n}", finish=True)
         fresh = Driver(settings())
-        fresh.list(*(s.endpoint for s in d.router.servers.values()))
-        fresh.request("r", key="k")
+        fresh.update_endpoints(*(s.endpoint for s in d.router.servers.values()))
+        fresh.receive("r", key="k")
         assert (
             not d.router.ring.needs_rebuild and d.router.ring.virtual_nodes == fresh.router.ring.virtual_nodes
         )
@@ -117,49 +117,49 @@
 def test_a_hot_key_is_replicated_before_the_bounded_load_is_reached() -> None:
     """Hundreds of routers with one request each in flight overloaded the server of a hot key."""
     d = Driver(settings())
-    d.list(*(entry(f"s{n}") for n in range(50)))
+    d.update_endpoints(*(endpoint(f"s{n}") for n in range(50)))
     for n in range(200):
-        d.request(f"hot{n}", key="hot", finish=True)
+        d.receive(f"hot{n}", key="hot", finish=True)
         for i in range(4):  # no other key repeats
-            d.request(f"r{n}-{i}", key=f"k{n}-{i}", finish=True)
-    late = [d.sends[f"hot{n}"][0] for n in range(100, 200)]
+            d.receive(f"r{n}-{i}", key=f"k{n}-{i}", finish=True)
+    late = [d.servers_sent_to[f"hot{n}"][0] for n in range(100, 200)]
     # a fifth of all requests: with at most 1.25 times the mean load, 8 of 50 servers serve it
     assert 6 <= len(set(late)) <= 12 and max(late.count(s) for s in late) < 35
 
 
 def test_a_key_that_is_not_hot_stays_with_one_server() -> None:
     d = Driver(settings())
-    d.list(*(entry(f"s{n}") for n in range(50)))
-    sent = [d.request(f"r{n}", key=f"k{n % 40}", finish=True) for n in range(400)]
+    d.update_endpoints(*(endpoint(f"s{n}") for n in range(50)))
+    sent = [d.receive(f"r{n}", key=f"k{n % 40}", finish=True) for n in range(400)]
     assert all(sent[n] == sent[n % 40] for n in range(400))
 
 
 def test_a_draining_server_has_no_virtual_nodes() -> None:
     d = Driver(settings())
-    d.list(entry("a"), entry("b", state=EndpointState.DRAINING))
-    assert {d.request(f"r{n}", key=f"k{n}", finish=True) for n in range(50)} == {"a"}
+    d.update_endpoints(endpoint("a"), endpoint("b", state=EndpointState.DRAINING))
+    assert {d.receive(f"r{n}", key=f"k{n}", finish=True) for n in range(50)} == {"a"}
 
 
 def test_the_origin_has_no_virtual_nodes_and_gets_writes_and_misses() -> None:
     d = Driver(settings(cache_aside=True, origin_kind="origin"))
-    d.list(entry("a"), entry("o", kind="origin"))
-    assert d.request("w", key="k", is_write=True) == "o"
-    d.ok("w")
-    assert d.request("r", key="k") == "a"
-    assert d.end("r", AttemptStatus.MISS) == "o"
+    d.update_endpoints(endpoint("a"), endpoint("o", kind="origin"))
+    assert d.receive("w", key="k", is_write=True) == "o"
+    d.succeed("w")
+    assert d.receive("r", key="k") == "a"
+    assert d.end_attempt("r", AttemptStatus.MISS) == "o"
 
 
 def test_without_cache_aside_writes_go_to_the_server_of_their_key() -> None:
     d = Driver(settings())
-    d.list(entry("a"), entry("b"))
-    assert d.request("w", key="k", is_write=True) == primary_of("k", {"a": 75, "b": 75})
+    d.update_endpoints(endpoint("a"), endpoint("b"))
+    assert d.receive("w", key="k", is_write=True) == primary_of("k", {"a": 75, "b": 75})
 
 
 def test_the_cache_of_hashes_is_bounded() -> None:
     d = Driver(settings())
-    d.list(entry("a"), entry("b"))
+    d.update_endpoints(endpoint("a"), endpoint("b"))
     for n in range(5000):
-        d.request(f"r{n}", key=f"k{n}", finish=True)
+        d.receive(f"r{n}", key=f"k{n}", finish=True)
     assert d.router.ring.hash.cache_info().currsize <= 4096
     assert not d.router.pending_requests and not d.router.attempts_in_flight
 
@@ -167,15 +167,15 @@
 def test_a_key_stays_with_one_server_at_light_load() -> None:
     """With counts near one a plain bound was exceeded by chance, and two servers cached the key."""
     d = Driver(settings())
-    d.list(*(entry(n) for n in "abcd"))
+    d.update_endpoints(*(endpoint(n) for n in "abcd"))
     assert len({sent_to(d, f"r{n}", "k") for n in range(3)}) == 1
 
 
 def test_requests_leave_the_retry_budget_after_its_window() -> None:
     """Without retries the record of requests must not grow."""
     d = Driver(settings())
-    d.list(entry("a"), entry("b"))
+    d.update_endpoints(endpoint("a"), endpoint("b"))
     for n in range(200):
-        d.request(f"r{n}", key=f"k{n}", finish=True)
+        d.receive(f"r{n}", key=f"k{n}", finish=True)
         d.now += 1.0
     assert len(d.router.retry_budget._request_times) <= d.router.retry_budget.settings.window + 1
--- a/tests/policy/test_load_shedding.py
+++ b/tests/policy/test_load_shedding.py
@@ -12,29 +12,29 @@
 def test_requests_are_shed_while_few_are_answered_in_time() -> None:
     """Without shedding hardly any request is answered in time in an overload."""
     d = Driver(settings(max_attempts=1))
-    d.list(*fleet("a", "b"))
+    d.update_endpoints(*fleet("a", "b"))
     for n in range(400):
         d.now += 0.05
-        if d.request(f"r{n}", key=f"k{n}"):
-            d.end(f"r{n}", AttemptStatus.OK, latency=0.1 if n % 5 == 0 else 1.5)
-    late = [n for n in range(200, 400) if f"r{n}" not in d.sends]
+        if d.receive(f"r{n}", key=f"k{n}"):
+            d.end_attempt(f"r{n}", AttemptStatus.OK, latency=0.1 if n % 5 == 0 else 1.5)
+    late = [n for n in range(200, 400) if f"r{n}" not in d.servers_sent_to]
     assert 80 <= len(late) <= 190
     for n in range(400, 1500):
         d.now += 0.05
-        d.request(f"r{n}", key=f"k{n}", finish=f"r{n}" in d.sends)
-        if f"r{n}" in d.open:
-            d.ok(f"r{n}")
-    assert all(f"r{n}" in d.sends for n in range(1400, 1500))
+        d.receive(f"r{n}", key=f"k{n}", finish=f"r{n}" in d.servers_sent_to)
+        if f"r{n}" in d.pending:
+            d.succeed(f"r{n}")
+    assert all(f"r{n}" in d.servers_sent_to for n in range(1400, 1500))
 
 
 def test_shedding_goes_on_until_most_answers_are_in_time() -> None:
     """The effect of shedding must not reduce the share that is shed."""
     d = Driver(settings(max_attempts=1))
-    d.list(*fleet("a", "b"))
+    d.update_endpoints(*fleet("a", "b"))
     sent = 0
     for n in range(600):  # every second attempt is answered in time, whatever is shed
         d.now += 0.05
-        if d.request(f"r{n}", key=f"k{n}"):
+        if d.receive(f"r{n}", key=f"k{n}"):
             sent += n >= 300
-            d.end(f"r{n}", AttemptStatus.OK, latency=0.1 if n % 2 else 1.5)
+            d.end_attempt(f"r{n}", AttemptStatus.OK, latency=0.1 if n % 2 else 1.5)
     assert 0.5 * 300 >= sent >= 0.6 * (1 - load_shedding.MAX_SHED_FRACTION) * 300
--- a/tests/policy/test_membership.py
+++ b/tests/policy/test_membership.py
@@ -7,29 +7,29 @@
 from ironrail.policy.endpoints import EndpointListKind
 from ironrail.policy.events import EndpointListUpdate, TimerFired
 
-from tests.driver import Driver, entry, settings
+from tests.driver import Driver, endpoint, settings
 from tests.policy.fleets import fleet
 
 
 def test_the_backoff_stays_bounded_after_a_thousand_failures() -> None:
     d = Driver(settings(polls_endpoint_list=True))
     for _ in range(1100):
-        d.list(kind=EndpointListKind.FAILED)
-        pause = next(a.delay for a in d.last if isinstance(a, SetTimer))
+        d.update_endpoints(kind=EndpointListKind.FAILED)
+        pause = next(a.delay for a in d.last_actions if isinstance(a, SetTimer))
         assert 0 < pause <= d.conf.slow_start_duration
 
 
 def test_the_list_is_fetched_again_with_backoff_after_failures() -> None:
     d = Driver(settings(polls_endpoint_list=True))
-    assert FetchEndpointList() in d.list(*fleet("a"), kind=EndpointListKind.CACHED)
+    assert FetchEndpointList() in d.update_endpoints(*fleet("a"), kind=EndpointListKind.CACHED)
     pauses = []
     for _ in range(6):
-        timer, log = d.feed(EndpointListUpdate(EndpointListKind.FAILED))
+        timer, log = d.handle(EndpointListUpdate(EndpointListKind.FAILED))
         assert isinstance(log, LogMessage) and "out of reach" in log.text
         assert isinstance(timer, SetTimer)
         pauses.append(timer.delay)
         d.timers.clear()
-        assert d.feed(TimerFired(timer.timer)) == [FetchEndpointList()]
+        assert d.handle(TimerFired(timer.timer)) == [FetchEndpointList()]
     assert pauses[-1] > pauses[0]
 
 
@@ -40,11 +40,17 @@
             settings(polls_endpoint_list=True, router_count=14, slow_start_duration=8.9, poll_interval=3.0),
             seed,
         )
-        timer = next(a for a in d.list(*fleet("a"), kind=EndpointListKind.CACHED) if isinstance(a, SetTimer))
-        assert d.feed(TimerFired(timer.timer)) == [FetchEndpointList()]
+        timer = next(
+            a
+            for a in d.update_endpoints(*fleet("a"), kind=EndpointListKind.CACHED)
+            if isinstance(a, SetTimer)
+        )
+        assert d.handle(TimerFired(timer.timer)) == [FetchEndpointList()]
         delays.append(timer.delay)
         for _ in range(9):
-            (again,) = [a for a in d.list(kind=EndpointListKind.FAILED) if isinstance(a, SetTimer)]
+            (again,) = [
+                a for a in d.update_endpoints(kind=EndpointListKind.FAILED) if isinstance(a, SetTimer)
+            ]
             assert 1.0 < again.delay < 4 * 3.0  # the old list may not be used for longer than the interval
     assert max(delays) < 3.0  # nor at the start
     assert max(delays) - min(delays) > 1.5
@@ -53,10 +59,10 @@
 def test_nothing_learned_of_a_server_outlives_its_restart() -> None:
     """Limits and losses of an earlier process do not apply to its successor."""
     d = Driver(settings())
-    d.list(*fleet("a"))
+    d.update_endpoints(*fleet("a"))
     d.router.servers["a"].concurrency_limit = 1.0
-    d.request("r1")
-    d.list(entry("a", started_at=d.now), kind=EndpointListKind.DELTA)
+    d.receive("r1")
+    d.update_endpoints(endpoint("a", started_at=d.now), kind=EndpointListKind.DELTA)
     assert d.router.servers["a"].concurrency_limit == state.INITIAL_CONCURRENCY_LIMIT
-    d.ok("r1")
+    d.succeed("r1")
     assert d.router.servers["a"].in_flight == 0 and d.router.attempts_in_flight.cache_count == 0
--- a/tests/policy/test_random_events.py
+++ b/tests/policy/test_random_events.py
@@ -15,19 +15,20 @@
 from ironrail.policy.settings import Idempotency, IdempotencyScope, RequestClass, RetryBudgetSettings
 from ironrail.policy.state import PendingRequest
 
-from tests.driver import Driver, entry, settings
+from tests.driver import Driver, Outcome, endpoint, settings
 from tests.policy.fleets import CACHE_ASIDE, fleet
 
 
-class Random(Driver):
-    """Random legal events, chosen by hypothesis."""
+class RandomDriver(Driver):
+    """Hands random legal events to a router; hypothesis chooses them."""
 
     def step(self, data: st.DataObject, n: int) -> None:
-        move = data.draw(st.sampled_from(["request"] * 4 + ["end"] * 5 + ["wait"] * 2 + ["list", "gone"]))
-        outstanding = [k for k, s in self.state.items() if s is None]
-        if move == "request":
+        moves = ["receive"] * 4 + ["end_attempt"] * 5 + ["advance"] * 2 + ["list", "disconnect"]
+        move = data.draw(st.sampled_from(moves))
+        in_flight = [attempt for attempt, status in self.statuses.items() if status is None]
+        if move == "receive":
             names = sorted(self.conf.classes)
-            self.request(
+            self.receive(
                 f"r{n}",
                 class_name=data.draw(st.sampled_from(names)),
                 time_left=data.draw(st.sampled_from([0.0, 0.01, 0.8, 2.0])),
@@ -35,17 +36,18 @@
                 is_write=data.draw(st.booleans()),
                 work_hint=data.draw(st.sampled_from([None, 0.0, 0.2])),
             )
-        elif move == "end" and outstanding:
-            name, number = data.draw(st.sampled_from(outstanding))
-            self.end(name, data.draw(st.sampled_from(list(AttemptStatus))), number)
-        elif move == "wait":
-            self.wait(data.draw(st.sampled_from([0.0, 0.05, 0.4, 1.0])))
+        elif move == "end_attempt" and in_flight:
+            attempt = data.draw(st.sampled_from(in_flight))
+            status = data.draw(st.sampled_from(list(AttemptStatus)))
+            self.end_attempt(attempt.request_id, status, attempt.attempt_number)
+        elif move == "advance":
+            self.advance(data.draw(st.sampled_from([0.0, 0.05, 0.4, 1.0])))
         elif move == "list":
             self.random_list(data)
-        elif move == "gone" and self.open:
-            name = data.draw(st.sampled_from(sorted(self.open)))
-            self.finish(name, "gone")
-            self.feed(ClientDisconnected(name))
+        elif move == "disconnect" and self.pending:
+            name = data.draw(st.sampled_from(sorted(self.pending)))
+            self.finish_request(name, Outcome.DISCONNECTED)
+            self.handle(ClientDisconnected(name))
 
     def random_list(self, data: st.DataObject) -> None:
         kind = data.draw(st.sampled_from(list(EndpointListKind)))
@@ -55,20 +57,20 @@
         )
         since = st.sampled_from([0.0, self.now])
         rows = [
-            entry(
+            endpoint(
                 n, state=data.draw(states), kind="origin" if n == "o" else "std", started_at=data.draw(since)
             )
             for n in names
         ]
         if kind in (*FAILED_UPDATES, EndpointListKind.RELOCATED):  # none brings entries
-            self.feed(EndpointListUpdate(kind))
+            self.handle(EndpointListUpdate(kind))
         else:
-            self.list(*rows, kind=kind)
+            self.update_endpoints(*rows, kind=kind)
 
 
-def groups(group: IdempotencyScope) -> dict[str, RequestClass]:
+def request_classes(scope: IdempotencyScope) -> dict[str, RequestClass]:
     keyed = RequestClass(
-        "keyed", 1.0, Idempotency.IDEMPOTENCY_KEY, group, idempotency_window=0.5, priority_weight=5.0
+        "keyed", 1.0, Idempotency.IDEMPOTENCY_KEY, scope, idempotency_window=0.5, priority_weight=5.0
     )
     once = RequestClass("once", 1.0, Idempotency.UNSAFE, priority_weight=5.0)
     late = RequestClass("late", 0.5)
@@ -77,7 +79,7 @@
 
 def drive(data: st.DataObject, make: type[Router] = Router) -> None:
     conf = settings(
-        classes=groups(data.draw(st.sampled_from(list(IdempotencyScope)))),
+        classes=request_classes(data.draw(st.sampled_from(list(IdempotencyScope)))),
         hedging_allowed=data.draw(st.booleans()),
         cancellation_allowed=data.draw(st.booleans()),
         max_attempts=data.draw(st.sampled_from([1, 3, 6])),
@@ -87,13 +89,13 @@
         ),
         **(CACHE_ASIDE if data.draw(st.booleans()) else {}),
     )
-    d = Random(conf, make=make)
-    d.list(*fleet("a", "b", "c", "d", "o"), kind=EndpointListKind.CACHED)
+    d = RandomDriver(conf, make=make)
+    d.update_endpoints(*fleet("a", "b", "c", "d", "o"), kind=EndpointListKind.CACHED)
     for n in range(data.draw(st.integers(5, 40))):
         d.step(data, n)
-    d.wait(10.0)
-    assert not d.open, "rule 1: left without an answer"
-    assert not d.router.pending_requests, "something is still held"
+    d.advance(10.0)
+    assert not d.pending, "rule 1: left without an answer"
+    assert not d.router.pending_requests, "something is still pending"
 
 
 CHECKS = hypothesis_settings(
@@ -112,8 +114,8 @@
     drive(data)
 
 
-class Resender(Router):
-    """Broken on purpose: sends anything again."""
+class UnsafeRetrier(Router):
+    """Broken on purpose: sends anything again, and rejects anything."""
 
     def __init__(self, *given: Any) -> None:
         super().__init__(*given)
@@ -121,8 +123,8 @@
         self.retry_policy.may_reject = lambda pending: True  # type: ignore[method-assign]
 
 
-class Forgetter(Router):
-    """Broken on purpose: sets no timer for what it holds."""
+class TimerForgetter(Router):
+    """Broken on purpose: sets no timer for queued requests."""
 
     def __init__(self, *given: Any) -> None:
         super().__init__(*given)
@@ -132,16 +134,16 @@
         pending.is_queued = True
 
 
-class Spender(Router):
-    """Broken on purpose: knows no budget of further attempts."""
+class BudgetIgnorer(Router):
+    """Broken on purpose: knows no retry budget."""
 
     def __init__(self, *given: Any) -> None:
         super().__init__(*given)
         self.retry_budget.allows_attempt = lambda now, pending: True  # type: ignore[method-assign]
 
 
-@pytest.mark.parametrize("broken", [Resender, Forgetter, Spender])
-def test_the_property_test_catches_a_broken_module(broken: type[Router]) -> None:
+@pytest.mark.parametrize("broken", [UnsafeRetrier, TimerForgetter, BudgetIgnorer])
+def test_the_property_test_catches_a_broken_router(broken: type[Router]) -> None:
     @CHECKS
     @given(st.data())
     def attempt(data: st.DataObject) -> None:
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -6,7 +6,7 @@
 from ironrail.policy import slow_start
 from ironrail.policy.events import AttemptStatus
 
-from tests.driver import Driver, entry, settings
+from tests.driver import Driver, endpoint, settings
 from tests.policy.warming_fleet import ServerStart, play
 
 
@@ -22,13 +22,15 @@
             max_attempts=1,
         )
     )
-    d.list(entry("a"), entry("b"), entry("c"), entry("d", started_at=d.now - 7.0))  # nearly warm
+    d.update_endpoints(
+        endpoint("a"), endpoint("b"), endpoint("c"), endpoint("d", started_at=d.now - 7.0)
+    )  # nearly warm
     for n in range(300):
         name = f"r{n}"
-        if d.request(name, key=f"k{n}") is not None:
-            d.end(name, AttemptStatus.OK if n % hits == 0 else AttemptStatus.MISS)
+        if d.receive(name, key=f"k{n}") is not None:
+            d.end_attempt(name, AttemptStatus.OK if n % hits == 0 else AttemptStatus.MISS)
         d.now += 0.01
-    warming = sum(s == ["d"] for s in d.sends.values())
+    warming = sum(s == ["d"] for s in d.servers_sent_to.values())
     assert 300 / 4 * 0.5 < warming < 300 / 4 * 1.4
 
 
@@ -37,13 +39,13 @@
     d = Driver(
         settings(slow_start_duration=10.0, slow_start_share=0.3, overload_multiple=2.0, overload_window=1.0)
     )
-    d.list(entry("a"), entry("b"), entry("c"))
+    d.update_endpoints(endpoint("a"), endpoint("b"), endpoint("c"))
     for n in range(4000):
         if n == 3000:
-            d.list(entry("a"), entry("b"), entry("c"), entry("d", started_at=d.now))
+            d.update_endpoints(endpoint("a"), endpoint("b"), endpoint("c"), endpoint("d", started_at=d.now))
         d.now += 0.01 if n < 3000 else 0.001
-        d.request(f"r{n}", key=f"k{n}", finish=True)
-    warming = sum(s == ["d"] for s in d.sends.values())
+        d.receive(f"r{n}", key=f"k{n}", finish=True)
+    warming = sum(s == ["d"] for s in d.servers_sent_to.values())
     assert 5 < warming < 1000 / 4 * 0.45
 
 
@@ -58,12 +60,12 @@
             max_attempts=1,
         )
     )
-    d.list(entry("a"), entry("b", started_at=d.now + 2.0))
+    d.update_endpoints(endpoint("a"), endpoint("b", started_at=d.now + 2.0))
     for n in range(3000):
         d.now += 0.001
-        if d.request(f"r{n}", key=f"k{n}") is not None:
-            d.end(f"r{n}", AttemptStatus.OK if n % 10 == 0 else AttemptStatus.ERROR)
-    warming = sum(s == ["b"] and d.sent_at[n][0] > 102.0 for n, s in d.sends.items())
+        if d.receive(f"r{n}", key=f"k{n}") is not None:
+            d.end_attempt(f"r{n}", AttemptStatus.OK if n % 10 == 0 else AttemptStatus.ERROR)
+    warming = sum(s == ["b"] and d.sent_at[n][0] > 102.0 for n, s in d.servers_sent_to.items())
     # 100 a second are served: half of the rule's 2 times 0.3 to 0.4 of half of these
     assert 1 <= warming <= 25
 
@@ -78,13 +80,13 @@
             ),
             seed,
         )
-        d.list(entry("a"), entry("b"))
+        d.update_endpoints(endpoint("a"), endpoint("b"))
         for n in range(50):  # two a second
             if n == 40:
-                d.list(entry("a"), entry("b", started_at=d.now))
+                d.update_endpoints(endpoint("a"), endpoint("b", started_at=d.now))
             d.now += 0.5
-            d.request(f"r{n}", key=f"k{seed}-{n}", finish=True)
-        sent += sum(s == ["b"] and d.sent_at[n][0] > 120.0 for n, s in d.sends.items())
+            d.receive(f"r{n}", key=f"k{seed}-{n}", finish=True)
+        sent += sum(s == ["b"] and d.sent_at[n][0] > 120.0 for n, s in d.servers_sent_to.items())
     # a warm server gets 200 a second, this one 0.3 to 0.65 of that in 5 s, and as much for chance
     assert 50 < sent < 200 * 5 * 0.65
 
@@ -103,20 +105,22 @@
             max_attempts=1,
         )
         d = Driver(conf, seed)
-        warm = [entry(f"s{n}") for n in range(9)]
-        d.list(*warm)
+        warm = [endpoint(f"s{n}") for n in range(9)]
+        d.update_endpoints(*warm)
         out: list[tuple[float, str]] = []
         for n in range(500):  # six seconds, and four more with the new server
             if n == 300:
-                d.list(*warm, entry("cold", started_at=d.now))
+                d.update_endpoints(*warm, endpoint("cold", started_at=d.now))
             d.now += 0.02
             while out and out[0][0] <= d.now - takes:
-                d.end(out.pop(0)[1], AttemptStatus.MISS if answers else AttemptStatus.TIMEOUT, latency=takes)
-            if d.request(f"r{n}", key=f"k{seed}-{n}") == "cold":
+                d.end_attempt(
+                    out.pop(0)[1], AttemptStatus.MISS if answers else AttemptStatus.TIMEOUT, latency=takes
+                )
+            if d.receive(f"r{n}", key=f"k{seed}-{n}") == "cold":
                 sent.append(d.now - 106.0)
                 out.append((d.now, f"r{n}"))
-            elif d.sends.get(f"r{n}"):
-                d.end(f"r{n}", AttemptStatus.OK, latency=0.35)
+            elif d.servers_sent_to.get(f"r{n}"):
+                d.end_attempt(f"r{n}", AttemptStatus.OK, latency=0.35)
     return sent
 
 
@@ -139,23 +143,23 @@
 def test_a_fleet_of_warming_servers_gets_its_first_request() -> None:
     """Without any work served there is no rate for a budget."""
     d = Driver(settings(slow_start_duration=10.0, slow_start_share=0.3))
-    d.list(entry("a", started_at=d.now), entry("b", started_at=d.now))
-    assert d.request("r0", key="k0", finish=True) in ("a", "b")
+    d.update_endpoints(endpoint("a", started_at=d.now), endpoint("b", started_at=d.now))
+    assert d.receive("r0", key="k0", finish=True) in ("a", "b")
 
 
 def test_a_fleet_of_warming_servers_gets_one_request_each_before_the_first_answer() -> None:
     """The other requests of the first moment are rejected at once."""
     d = Driver(settings(slow_start_duration=10.0, slow_start_share=0.3))
-    d.list(entry("a", started_at=d.now), entry("b", started_at=d.now))
-    chosen = [d.request(f"r{n}", key=f"k{n}") for n in range(40)]
+    d.update_endpoints(endpoint("a", started_at=d.now), endpoint("b", started_at=d.now))
+    chosen = [d.receive(f"r{n}", key=f"k{n}") for n in range(40)]
     assert sorted(name for name in chosen if name is not None) == ["a", "b"]
 
 
 def test_a_server_gets_all_its_keys_after_the_slow_start() -> None:
     d = Driver(settings(slow_start_duration=10.0, slow_start_share=0.3))
-    d.list(entry("a"), entry("b", started_at=d.now))
+    d.update_endpoints(endpoint("a"), endpoint("b", started_at=d.now))
     d.now += 10.0
-    sent = [d.request(f"r{n}", key=f"k{n}", finish=True) for n in range(400)]
+    sent = [d.receive(f"r{n}", key=f"k{n}", finish=True) for n in range(400)]
     assert sent.count("b") > 120
 
 
@@ -164,15 +168,15 @@
     d = Driver(
         settings(slow_start_duration=10.0, slow_start_share=0.3, overload_multiple=2.0, overload_window=1.0)
     )
-    d.list(entry("a"), entry("b"), entry("c"), entry("d", started_at=d.now))
+    d.update_endpoints(endpoint("a"), endpoint("b"), endpoint("c"), endpoint("d", started_at=d.now))
     for n in range(200):
         d.now += 0.01
-        d.request(f"p{n}", key=f"k{n}", finish=True)
-    key = next(f"k{n[1:]}" for n, s in d.sends.items() if s == ["d"])
-    before = len(d.sends)
+        d.receive(f"p{n}", key=f"k{n}", finish=True)
+    key = next(f"k{n[1:]}" for n, s in d.servers_sent_to.items() if s == ["d"])
+    before = len(d.servers_sent_to)
     for n in range(100):
-        d.request(f"r{n}", key=key, work_hint=0.1 if hints else None)
-    sent = [s for name, s in d.sends.items() if name.startswith("r")]
+        d.receive(f"r{n}", key=key, work_hint=0.1 if hints else None)
+    sent = [s for name, s in d.servers_sent_to.items() if name.startswith("r")]
     assert before and sum(s == ["d"] for s in sent) <= 10
 
 
--- a/tests/policy/test_zone_latency.py
+++ b/tests/policy/test_zone_latency.py
@@ -12,7 +12,7 @@
 from ironrail.policy.events import AttemptStatus, LinkState, ZoneLink, ZoneLinksChanged
 from ironrail.policy.router import Router
 
-from tests.driver import Driver, entry, settings
+from tests.driver import Driver, endpoint, settings
 from tests.policy.decision_digests import digest
 from tests.policy.fleets import servers_clockwise
 from tests.policy.test_decisions import KNOWN
@@ -32,8 +32,8 @@
 
 def fleet(event: ZoneLinksChanged, each: int = 2, **changes: Any) -> Driver:
     d = Driver(settings(**changes))
-    d.list(*(entry(f"{zone}{n}", zone=zone) for zone in ZONES for n in range(each)))
-    d.feed(event)
+    d.update_endpoints(*(endpoint(f"{zone}{n}", zone=zone) for zone in ZONES for n in range(each)))
+    d.handle(event)
     return d
 
 
@@ -70,7 +70,7 @@
     left = min(time_left - d.conf.timer_resolution, d.conf.classes["read"].latency_objective)
     there = [s for s in order if zone_links[s[0]].state is not CUT]
     in_time = [s for s in there if zone_links[s[0]].median <= left]
-    sent = d.request("r", key=f"k{number}", time_left=time_left)
+    sent = d.receive("r", key=f"k{number}", time_left=time_left)
     assert sent == (in_time or there or order)[0]
 
 
@@ -79,20 +79,20 @@
     key = key_of(d, "b", "a")
     first, second = servers_clockwise(d, key)[:2]
     for n in range(10):
-        d.request(f"r{n}", key=key)
-        d.end(f"r{n}", AttemptStatus.OK, latency=0.5)
+        d.receive(f"r{n}", key=key)
+        d.end_attempt(f"r{n}", AttemptStatus.OK, latency=0.5)
     assert d.router.servers[first].service_time == pytest.approx(0.4)
-    assert d.request("in time", key=key, time_left=0.52) == first
-    assert d.request("late", key=key, time_left=0.48) == second
-    assert d.request("late anyway", key=key, time_left=0.38) == first
+    assert d.receive("in time", key=key, time_left=0.52) == first
+    assert d.receive("late", key=key, time_left=0.48) == second
+    assert d.receive("late anyway", key=key, time_left=0.38) == first
 
 
 def test_an_unknown_zone_is_as_far_as_the_farthest_known_one() -> None:
     d = fleet(links_with(b=link(GOOD, 0.5), c=link(UNKNOWN)))
     key = key_of(d, "c", "a")
     first, second = servers_clockwise(d, key)[:2]
-    assert d.request("enough", key=key, time_left=0.6) == first
-    assert d.request("too little", key=key, time_left=0.4) == second
+    assert d.receive("enough", key=key, time_left=0.6) == first
+    assert d.receive("too little", key=key, time_left=0.4) == second
 
 
 @pytest.mark.parametrize("typical", [0.001, 3.0])  # in time, and not
@@ -101,15 +101,15 @@
     key = key_of(d, "b", "b", "b")
     for server in d.router.servers.values():
         server.concurrency_limit = 0.0 if server.endpoint.zone == "b" else 4.0
-    assert str(d.request("r", key=key))[0] in "ac"
+    assert str(d.receive("r", key=key))[0] in "ac"
 
 
 def test_slow_start_applies_where_all_other_zones_are_cut_off() -> None:
     d = fleet(links_with(b=link(CUT), c=link(CUT)))
-    d.list(
-        *(entry(f"{z}{n}", zone=z, started_at=d.now if z == "a" else 0.0) for z in ZONES for n in range(2))
+    d.update_endpoints(
+        *(endpoint(f"{z}{n}", zone=z, started_at=d.now if z == "a" else 0.0) for z in ZONES for n in range(2))
     )
-    sent = [str(d.request(f"r{n}", key="k")) for n in range(4)]
+    sent = [str(d.receive(f"r{n}", key="k")) for n in range(4)]
     assert [s[0] for s in sent].count("a") == 2  # one at each warming server, as without links
 
 
@@ -117,21 +117,21 @@
     delays = {}
     for typical in (0.001, 0.2, 0.9):
         d = fleet(links_with(b=link(GOOD, typical), c=link(GOOD, typical)))
-        d.request("r", key=key_of(d, "b"))
-        delays[typical] = next(a.delay for a in d.last if isinstance(a, SetTimer))
+        d.receive("r", key=key_of(d, "b"))
+        delays[typical] = next(a.delay for a in d.last_actions if isinstance(a, SetTimer))
     assert list(delays.values()) == pytest.approx([0.501, 0.7, 1.0])
     slow = fleet(links_with(b=link(SLOW, 0.2)))
-    slow.request("r", key=key_of(slow, "b"))
-    assert next(a.delay for a in slow.last if isinstance(a, SetTimer)) == 0.5
+    slow.receive("r", key=key_of(slow, "b"))
+    assert next(a.delay for a in slow.last_actions if isinstance(a, SetTimer)) == 0.5
 
 
 @pytest.mark.parametrize("state", [SLOW, GOOD])
 def test_no_hedged_request_goes_over_a_suspected_link(state: LinkState) -> None:
     d = fleet(links_with(b=link(state, 0.01), c=NEAR))
-    d.request("r", key=key_of(d, "a", "b"))
-    d.wait(0.6)
-    assert len(d.sends["r"]) == 2
-    assert (d.sends["r"][1][0] == "b") is (state is GOOD)
+    d.receive("r", key=key_of(d, "a", "b"))
+    d.advance(0.6)
+    assert len(d.servers_sent_to["r"]) == 2
+    assert (d.servers_sent_to["r"][1][0] == "b") is (state is GOOD)
 
 
 def test_the_round_trip_does_not_lower_a_concurrency_limit() -> None:
@@ -141,7 +141,7 @@
         key = key_of(d, "b")
         for n in range(30):
             d.now += 0.3
-            d.request(f"r{n}", key=key)
-            d.end(f"r{n}", AttemptStatus.OK, latency=0.4)
+            d.receive(f"r{n}", key=key)
+            d.end_attempt(f"r{n}", AttemptStatus.OK, latency=0.4)
         limits.append(d.router.servers[servers_clockwise(d, key)[0]].concurrency_limit)
     assert limits[0] > 3 * limits[1]
--- a/tests/policy/warming_fleet.py
+++ b/tests/policy/warming_fleet.py
@@ -6,7 +6,7 @@
 import random
 from dataclasses import dataclass
 
-from tests.driver import Driver, entry, settings
+from tests.driver import Driver, endpoint, settings
 
 WARM_UP_SECONDS = 15.0  # seconds that the fleet has run before the start
 COUNTED_SECONDS = 8.0  # seconds of the slow start of 10 that are counted
@@ -52,10 +52,10 @@
     draws = random.Random(seed)
     fleet = [Driver(conf, seed * p.routers + n) for n in range(p.routers)]
     knows = [draws.random() < p.informed_fraction for _ in fleet]
-    warm = [entry(f"s{n}") for n in range(9)]
-    before = [*warm, entry("cold")] if p.was_listed or p.informed_fraction < 1.0 else warm
+    warm = [endpoint(f"s{n}") for n in range(9)]
+    before = [*warm, endpoint("cold")] if p.was_listed or p.informed_fraction < 1.0 else warm
     for d in fleet:
-        d.list(*before)
+        d.update_endpoints(*before)
     now = fleet[0].now
     start, count, sent = now + WARM_UP_SECONDS, 0, list[tuple[float, float, bool]]()
     while now < start + COUNTED_SECONDS:
@@ -65,14 +65,15 @@
         )
         if then < start <= now:
             for d in (d for d, k in zip(fleet, knows, strict=True) if k):
-                d.list(
-                    *warm[p.removed_servers :], entry("cold", started_at=start, weight=p.live_weight or 1.0)
+                d.update_endpoints(
+                    *warm[p.removed_servers :],
+                    endpoint("cold", started_at=start, weight=p.live_weight or 1.0),
                 )
         n, count = draws.randrange(p.routers), count + 1
         fleet[n].now, work = now, draws.lognormvariate(-0.35, 0.83)
         hint = work if p.hints else None
         if (
-            fleet[n].request(f"r{count}", key=f"k{count}", work_hint=hint, finish=True) == "cold"
+            fleet[n].receive(f"r{count}", key=f"k{count}", work_hint=hint, finish=True) == "cold"
             and now >= start
         ):
             sent.append((now - start, work, knows[n]))
--- a/tests/test_told_in_time.py
+++ b/tests/test_told_in_time.py
@@ -20,7 +20,7 @@
 from ironrail.policy.endpoints import EndpointListKind
 from ironrail.policy.events import AttemptStatus, EndpointListUpdate
 
-from tests.driver import Driver, entry, settings
+from tests.driver import Driver, Outcome, endpoint, settings
 from tests.policy.test_discovery_freshness import Service
 
 GRACE = 1.0  # seconds in which sends to a server must cease once its drain counts as told
@@ -163,8 +163,8 @@
 
 def test_a_move_binds_within_four_seconds() -> None:
     d = Driver(settings(polls_endpoint_list=True, router_count=200, poll_interval=10.0))
-    d.list(*(entry(name) for name in "ab"))
-    d.feed(EndpointListUpdate(EndpointListKind.RELOCATED))
+    d.update_endpoints(*(endpoint(name) for name in "ab"))
+    d.handle(EndpointListUpdate(EndpointListKind.RELOCATED))
     asking = d.router.discovery_freshness
     assert asking.require_success_since(d.now + 2.9) == -math.inf
     assert asking.require_success_since(d.now + 3.0) == d.now  # a second early
@@ -190,20 +190,20 @@
             slow_start_duration=8.9,
         )
     )
-    d.list(*(entry(name) for name in "abcdef"))
+    d.update_endpoints(*(endpoint(name) for name in "abcdef"))
     failed = d.now
-    d.feed(EndpointListUpdate(EndpointListKind.FAILED, uncertain_for=0.0))
+    d.handle(EndpointListUpdate(EndpointListKind.FAILED, uncertain_for=0.0))
     late, served, asked_for = Counter[str](), 0, 0
     while d.now < failed + 30.0:
         d.now += 1 / rate
         name = f"r{d.now}"
-        server = d.request(name, key=f"k{asked_for % 97}")
+        server = d.receive(name, key=f"k{asked_for % 97}")
         asked_for += 1
-        while name in d.open and server is not None:
+        while name in d.pending and server is not None:
             drains = server in "ab" and d.now > failed + 2.0
             if d.now > failed + 2.0 + TOLD:
                 late[server] += 1
-            server = d.end(name, AttemptStatus.BUSY if drains else AttemptStatus.OK, latency=0.005)
-        served += d.ended.get(name) == "served"
+            server = d.end_attempt(name, AttemptStatus.BUSY if drains else AttemptStatus.OK, latency=0.005)
+        served += d.outcomes.get(name) == Outcome.SERVED
     assert late and not late["a"] and not late["b"]
     assert served >= SERVED * asked_for
