--- a/ironrail/net/dispatch/dispatcher.py
+++ b/ironrail/net/dispatch/dispatcher.py
@@ -78,8 +78,12 @@
 
     def gauges(self) -> dict[str, int]:
         """What is true now, of all that operators may ask for."""
-        listed, avoided = self._router.server_counts(self._now())
-        return {"inflight": len(self._held), "hosts_listed": listed, "hosts_down": avoided}
+        counts = self._router.server_counts(self._now())
+        return {
+            "inflight": len(self._held),
+            "hosts_listed": counts.listed,
+            "hosts_down": counts.unavailable,
+        }
 
     def metrics(self) -> bytes:
         """All that operators may ask for, in the form of statsd."""
--- a/ironrail/policy/connection_health.py
+++ b/ironrail/policy/connection_health.py
@@ -13,13 +13,13 @@
 
 SIGNIFICANT_FRACTION = 0.15  # of failures, or more than elsewhere, that is not chance
 STALE_CONNECTION_RATIO = 0.25  # of the idle time of a lost connection that is still trusted
-FAILURE_SMOOTHING = SMOOTHING_FACTOR / 2  # weight of the latest sample
+FAILURE_SMOOTHING_FACTOR = SMOOTHING_FACTOR / 2  # weight of the latest sample
 SLOW_CONNECT_FRACTION = 1 / 2  # of the connect timeout: a refusal is faster than that
 
 
 def _smoothed(fraction: float, failed: bool) -> float:
     """Return the fraction of failures after one more sample."""
-    return fraction + FAILURE_SMOOTHING * (failed - fraction)
+    return fraction + FAILURE_SMOOTHING_FACTOR * (failed - fraction)
 
 
 @dataclass(slots=True)
--- a/ironrail/policy/load_shedding.py
+++ b/ironrail/policy/load_shedding.py
@@ -14,7 +14,9 @@
 UNCONGESTED_LATENCY_RATIO = 1 / 4  # of the objective: with a higher mean late answers are normal
 MAX_ATTEMPTS_PER_TIMELY_ANSWER = 1.5  # more are shed
 MAX_SHED_FRACTION = 0.9  # of new requests: the rest shows when the overload ends
-LATENCY_SMOOTHING = SMOOTHING_FACTOR / 4  # weight of the latest sample in the mean of the fleet
+LATENCY_SMOOTHING_FACTOR = (
+    SMOOTHING_FACTOR / 4
+)  # weight of the latest sample in the mean of the fleet
 
 
 class LoadShedding:
@@ -71,4 +73,4 @@
         )
         if not rejected:
             latency = max(0.0, event.latency - attempt.link_delay)
-            self.mean_latency += LATENCY_SMOOTHING * (latency - self.mean_latency)
+            self.mean_latency += LATENCY_SMOOTHING_FACTOR * (latency - self.mean_latency)
--- a/ironrail/policy/membership.py
+++ b/ironrail/policy/membership.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import random
+from dataclasses import dataclass
 
 from ironrail.policy.actions import Action, FetchEndpointList, LogMessage, SetTimer
 from ironrail.policy.discovery_freshness import (
@@ -17,6 +18,14 @@
 from ironrail.policy.timers import EndpointListPollDue
 
 
+@dataclass(slots=True, frozen=True)
+class ServerCounts:
+    """Servers of the endpoint list."""
+
+    listed: int
+    unavailable: int  # of these, draining or ejected
+
+
 class Membership:
     """The listed servers; fetches the list again after failures."""
 
@@ -28,13 +37,13 @@
         self._freshness = freshness
         self.servers: dict[str, Server] = {}  # by name; shared, so never replaced
 
-    def count_unavailable(self, now: float) -> tuple[int, int]:
-        """Return the number of listed servers, and of those that are draining or ejected."""
+    def count_servers(self, now: float) -> ServerCounts:
+        """Count the listed servers, and those of them that are draining or ejected."""
         unavailable = sum(
             server.endpoint.state is not EndpointState.READY or now < server.ejected_until
             for server in self.servers.values()
         )
-        return len(self.servers), unavailable
+        return ServerCounts(len(self.servers), unavailable)
 
     def update(self, now: float, event: EndpointListUpdate, actions: list[Action]) -> bool:
         """Apply an update; return whether it brought endpoints."""
--- a/ironrail/policy/router.py
+++ b/ironrail/policy/router.py
@@ -34,7 +34,7 @@
 from ironrail.policy.hash_ring import HashRing
 from ironrail.policy.hedging import HedgingPolicy
 from ironrail.policy.load_shedding import LoadShedding
-from ironrail.policy.membership import Membership
+from ironrail.policy.membership import Membership, ServerCounts
 from ironrail.policy.origin_queue import OriginQueue
 from ironrail.policy.outlier_detection import OutlierDetection
 from ironrail.policy.policy_overrides import PolicyOverrides
@@ -165,9 +165,9 @@
                 self.requests.on_streaming_started(request_id, attempt_number)
         return self.context.actions
 
-    def server_counts(self, now: float) -> tuple[int, int]:
+    def server_counts(self, now: float) -> ServerCounts:
         """Return how many servers are listed, and how many of them are draining or ejected."""
-        return self.membership.count_unavailable(now)
+        return self.membership.count_servers(now)
 
     def _on_attempt_ended(self, event: AttemptEnded) -> None:
         attempt = self.attempts_in_flight.finish(event)
