--- a/tests/policy/fleets.py
+++ b/tests/policy/fleets.py
@@ -1,4 +1,4 @@
-"""What several tests of decisions share: servers, and how a key meets them."""
+"""Endpoints for tests of decisions, and the order in which a key visits them."""
 
 from __future__ import annotations
 
@@ -8,26 +8,26 @@
 from ironrail.policy.endpoints import Endpoint
 from ironrail.policy.events import AttemptStatus
 
-from tests.driver import Driver, entry
+from tests.driver import Driver, endpoint
 
-ASIDE: dict[str, Any] = {"cache_aside": True, "origin_kind": "origin"}
+CACHE_ASIDE: dict[str, Any] = {"cache_aside": True, "origin_kind": "origin"}
 
 
 def fleet(*names: str) -> list[Endpoint]:
     cells = enumerate(names)
-    return [entry(n, zone="xy"[i % 2], cell=i % 2, kind="origin" if n == "o" else "std") for i, n in cells]
+    return [endpoint(n, zone="xy"[i % 2], cell=i % 2, kind="origin" if n == "o" else "std") for i, n in cells]
 
 
-def missed(d: Driver, *names: str, key: str = "k") -> None:
+def end_with_misses(d: Driver, *names: str, key: str = "k") -> None:
     for name in names:
-        d.request(name, key=key)
-        d.end(name, AttemptStatus.MISS)
+        d.receive(name, key=key)
+        d.end_attempt(name, AttemptStatus.MISS)
 
 
-def order_of(d: Driver, key: str) -> list[str]:
-    """The servers clockwise from a key, each once."""
+def servers_clockwise(d: Driver, key: str) -> list[str]:
+    """List the servers clockwise from a key, each once."""
     r = d.router
-    r._build_ring()
-    places = r.ring.places
+    r.requests.rebuild_ring_if_needed()
+    places = r.ring.virtual_nodes
     start = next((i for i, (p, _) in enumerate(places) if p >= hash_ring.ring_hash(key)), 0)
     return list(dict.fromkeys(name for _, name in places[start:] + places[:start]))
