--- a/ironrail/net/config.py
+++ b/ironrail/net/config.py
@@ -12,7 +12,7 @@
 from ironrail.net.discovery.endpoint_list import read_address
 from ironrail.net.system import Address
 from ironrail.policy.settings import Settings
-from ironrail.settings import number, read_settings, section
+from ironrail.settings import read_number, read_section, read_settings
 
 MEGABYTE_BYTES = 1024**2
 PEER_FIELDS = ("peer_listen", "peers", "peers_all")
@@ -89,17 +89,18 @@
         ConfigError: A field can't be used.
         SettingsError: A field of the settings can't be used.
     """
-    conf = section(table, "settings")
+    conf = read_section(table, "settings")
     settings = read_settings(conf)
     return Config(
         listen_address=_address(table, "listen", environ.get("NODE_LISTEN")),
         discovery_address=_address(table, "discovery", environ.get("NODE_DISCOVERY")),
         seed=_seed(table),
-        max_sockets=int(number(section(table, "limits"), "sockets", 1024, "limits.", 64)),
+        max_sockets=int(read_number(read_section(table, "limits"), "sockets", 1024, "limits.", 64)),
         memory_limit=int(
-            number(section(table, "limits"), "memory_mb", 192, "limits.", 16) * MEGABYTE_BYTES
+            read_number(read_section(table, "limits"), "memory_mb", 192, "limits.", 16)
+            * MEGABYTE_BYTES
         ),
-        max_streams=int(number(section(conf, "limits"), "multiplex", 1, "limits.", 1)),
+        max_streams=int(read_number(read_section(conf, "limits"), "multiplex", 1, "limits.", 1)),
         cached_endpoint_list=table.get("known"),
         settings=settings,
         admin_address=_admin_address(table, environ.get("NODE_OPERATOR")),
