--- a/ironrail/net/peers/policies.py
+++ b/ironrail/net/peers/policies.py
@@ -163,7 +163,7 @@
         """Propose these rows in place of those of the policy in force, and nothing else changed.
 
         Raises:
-            RefusedError: it can't be now.
+            RejectedError: it can't be now.
             PolicyError: the rows are none.
         """
         known, policy = self.room.known, self.in_force().policy
--- a/ironrail/peers/consensus/consensus_node.py
+++ b/ironrail/peers/consensus/consensus_node.py
@@ -42,7 +42,7 @@
         `voters`: that keep the register once it is in force; none: those that do now.
 
         Raises:
-            RefusedError: a change is under way here, or this router doesn't know where the register stands.
+            RejectedError: a change is under way here, or this router doesn't know where the register stands.
             VotersError: these can't be voters.
             PolicyError: it is no policy, or this router itself can't work by it.
         """
@@ -78,7 +78,7 @@
         """The one policy in force.
 
         Raises:
-            RefusedError: a change is under way, or this router doesn't know where the register stands.
+            RejectedError: a change is under way, or this router doesn't know where the register stands.
         """
         state = self.holder.valid_state(now)
         if state is None or state is not self.known:
--- a/tests/access_log/test_access.py
+++ b/tests/access_log/test_access_log.py
@@ -1,4 +1,4 @@
-"""The daemon's own access log: what it says, that it is bounded, and that no disk can hold up service."""
+"""The access log: its form, its bounds, and that no disk delays a request."""
 
 from __future__ import annotations
 
@@ -49,7 +49,7 @@
     return AccessRecord(**{**given, **fields})
 
 
-def test_what_waits_is_bounded_and_what_is_dropped_is_counted() -> None:
+def test_the_buffer_is_bounded_and_dropped_records_are_counted() -> None:
     keeper = RecordBuffer(1.0, SECRET, False, max_records=3)
     for number in range(5):
         keeper.add(line(number))
@@ -58,18 +58,18 @@
 
 
 @given(st.floats(0.01, 1.0), st.lists(st.binary(min_size=1, max_size=16), min_size=1))
-def test_a_sample_keeps_the_repeats_of_a_key_together(sample: float, names: list[bytes]) -> None:
+def test_retries_of_a_key_are_sampled_together(sample: float, names: list[bytes]) -> None:
     one, other = RecordBuffer(sample, SECRET, False), RecordBuffer(sample, b"another secret  ", True)
     assert [one.samples(name) for name in names] == [other.samples(name) for name in names]
 
 
-def test_a_sample_is_the_share_that_was_asked_for() -> None:
+def test_the_sample_has_the_configured_ratio() -> None:
     keeper = RecordBuffer(0.25, SECRET, False)
     assert 2300 < sum(keeper.samples(b"%d" % n) for n in range(10_000)) < 2700
 
 
 @given(st.lists(st.integers(1, 50), max_size=60), st.integers(10, 100))
-def test_no_file_holds_more_than_it_may(sizes: list[int], most: int) -> None:
+def test_no_file_exceeds_the_rotation_limit(sizes: list[int], most: int) -> None:
     limit, held = RotationLimit(most), 0
     for size in sizes:
         if limit.must_rotate(size):
@@ -79,7 +79,7 @@
         assert held == limit.file_bytes and held <= max(most, size)
 
 
-def test_names_are_hashed_and_tell_one_from_another() -> None:
+def test_identifiers_are_hashed_and_stay_distinct() -> None:
     keeper = RecordBuffer(1.0, SECRET, True)
     rows = [line(key=b"sub-7", idempotency_key="spend-1"), line(key=b"sub-7"), line(key=b"sub-8")]
     text = keeper.encode(rows).decode()
@@ -88,7 +88,7 @@
     assert told[0]["key"] == told[1]["key"] != told[2]["key"] and told[1]["k"] == ""
 
 
-def test_a_full_file_makes_way_and_is_kept_once(tmp_path: Path) -> None:
+def test_a_full_file_is_rotated_once(tmp_path: Path) -> None:
     path = tmp_path / "a.jsonl"
     path.write_bytes(b"old\n")
     writer = AccessLogFile(path, 10)
@@ -99,7 +99,7 @@
     assert path.read_bytes() == b"four\n" and (tmp_path / "a.jsonl.1").read_bytes() == b"two\nthree\n"
 
 
-def test_where_no_new_file_can_be_had_the_old_one_goes_on(tmp_path: Path) -> None:
+def test_the_old_file_is_used_while_no_new_one_can_be_opened(tmp_path: Path) -> None:
     """It was closed first, and nothing was written any more, even once a new one could be had."""
     folder = tmp_path / "logs"
     folder.mkdir()
@@ -127,7 +127,7 @@
 
 
 @scenario
-async def test_what_was_served_refused_and_left_can_be_imported(tmp_path: Path) -> None:
+async def test_served_rejected_and_disconnected_requests_can_be_imported(tmp_path: Path) -> None:
     path = tmp_path / "access.jsonl"
     world = await logged(path).start()
     client = await world.client()
@@ -153,7 +153,7 @@
 
 
 @scenario
-async def test_a_file_that_was_moved_away_is_begun_anew(tmp_path: Path) -> None:
+async def test_a_file_that_was_moved_away_is_reopened(tmp_path: Path) -> None:
     path = tmp_path / "access.jsonl"
     world = await logged(path).start()
     client = await world.client()
@@ -170,7 +170,7 @@
 
 
 @scenario
-async def test_a_full_disk_does_not_hold_up_service(caplog: pytest.LogCaptureFixture) -> None:
+async def test_a_full_disk_does_not_delay_requests(caplog: pytest.LogCaptureFixture) -> None:
     with caplog.at_level(logging.WARNING):
         world = await logged(Path("/dev/full")).start()
         client = await world.client()
@@ -184,7 +184,7 @@
 
 
 @scenario
-async def test_the_last_lines_are_written_at_the_end(tmp_path: Path) -> None:
+async def test_buffered_lines_are_written_at_shutdown(tmp_path: Path) -> None:
     path = tmp_path / "access.jsonl"
     world = await logged(path).start()
     client = await world.client()
@@ -196,7 +196,7 @@
 
 
 @scenario
-async def test_without_the_file_no_log_and_no_thread() -> None:
+async def test_without_an_access_log_there_is_no_thread() -> None:
     assert (await World().start()).node._access_log is None
 
 
@@ -231,7 +231,7 @@
         ("path = '/x'\nrotate = true", "access_log.rotate is unknown"),
     ],
 )
-def test_a_setting_that_can_not_be_used_is_named(tmp_path: Path, text: str, message: str) -> None:
+def test_an_invalid_setting_is_named(tmp_path: Path, text: str, message: str) -> None:
     (tmp_path / "o.toml").write_text(f"[access_log]\n{text}\n")
     with pytest.raises(OperatorError, match=message):
         read_operator(str(tmp_path / "o.toml"))
--- a/tests/admin/test_door.py
+++ b/tests/admin/test_http_call.py
@@ -1,4 +1,4 @@
-"""The door without sockets: any bytes in any pieces, who may stand there, and what is counted."""
+"""The admin endpoint without sockets: HTTP calls, connection limits and metrics."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
     return response.status_code
 
 
-def test_what_is_asked_is_answered_and_all_else_is_a_no() -> None:
+def test_known_paths_are_answered_and_others_rejected() -> None:
     cases = {
         b"GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n": 200,
         b"GET /-/ready?now HTTP/1.0\r\n\r\n": 200,
@@ -47,14 +47,14 @@
 
 
 @given(st.binary(max_size=200), st.lists(st.integers(0, 200), max_size=5))
-def test_any_bytes_in_any_pieces_get_at_most_one_answer(noise: bytes, cuts: list[int]) -> None:
+def test_any_bytes_in_any_pieces_get_at_most_one_response(noise: bytes, cuts: list[int]) -> None:
     for data in (noise, b"GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n" + noise):
         edges = [0, *sorted(cut % (len(data) + 1) for cut in cuts), len(data)]
         pieces = [data[a:b] for a, b in zip(edges, edges[1:], strict=False) if a < b]
         assert len(ask(*pieces, b"", b"")) == bool(data)
 
 
-def test_what_is_posted_comes_whole_to_the_page_that_takes_it_and_to_no_other() -> None:
+def test_a_posted_body_reaches_only_its_handler_and_complete() -> None:
     got: list[bytes] = []
 
     def take(body: bytes) -> Response:
@@ -75,7 +75,7 @@
     assert got == [b"abcd", b"abcd"]
 
 
-def test_half_a_call_is_told_that_it_came_too_late_and_a_whole_one_is_not() -> None:
+def test_an_incomplete_request_times_out_and_a_complete_one_does_not() -> None:
     call = HttpCall(PAGES)
     assert call.receive(b"GET /-/ready HT") is None
     late = call.request_timeout()
@@ -83,7 +83,7 @@
     assert call.request_timeout() is None and call.receive(b"TP/1.1\r\n\r\n") is None
 
 
-def test_those_that_say_nothing_make_way_and_are_timed() -> None:
+def test_silent_connections_are_evicted_and_expire() -> None:
     callers = ConnectionLimit(max_connections=3)
     first, second, third = (callers.admit(float(n)).connection for n in range(3))
     callers.answered(2.5, third)
@@ -98,7 +98,7 @@
     assert callers.expired(2.7 + REQUEST_TIMEOUT_SECONDS) == [fourth.connection, fifth.connection]
 
 
-def test_figures_are_counts_by_class_and_what_is_true_now() -> None:
+def test_metrics_are_counters_by_class_and_gauges() -> None:
     figures = RequestMetrics(["read", "a:b"])
     figures.success["read"] += 2
     figures.failure["a:b"] += 1
--- a/tests/diagnostics/test_hold_up.py
+++ b/tests/diagnostics/test_hold_up.py
@@ -1,4 +1,4 @@
-"""The heartbeat tells how long what is read may have waited."""
+"""The heartbeat: since when data that is read may have waited."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from ironrail.diagnostics.reasons import ListCallResult
 
 
-def test_in_ordinary_service_what_is_read_came_just_now() -> None:
+def test_without_a_hold_up_data_has_just_arrived() -> None:
     detector = HoldUpDetector(10.0)
     for n in range(1, 50):
         assert detector.beat(10.0 + n * BEAT) is None
@@ -16,13 +16,13 @@
     assert detector.count == 0
 
 
-def test_read_before_the_late_heartbeat() -> None:
+def test_data_read_before_the_late_heartbeat() -> None:
     """Where the loop reads sockets before it looks at timers."""
     detector = HoldUpDetector(10.0)
     assert detector.earliest_arrival(10.1) == 10.0
 
 
-def test_read_behind_the_late_heartbeat_until_all_is_read() -> None:
+def test_data_read_after_the_late_heartbeat_until_all_is_read() -> None:
     """Where the loop looks at timers first."""
     detector = HoldUpDetector(10.0)
     hold_up = detector.beat(10.1)
@@ -53,13 +53,13 @@
     assert detector.earliest_arrival(10.202) == 10.202
 
 
-def test_the_log_is_bounded_and_tells_what_it_left_out() -> None:
+def test_log_events_are_limited_and_suppressed_lines_counted() -> None:
     sampler = LogSampler(per_second=2)
     assert [sampler.admits(5.0 + n / 10) for n in range(5)] == [True, True, False, False, False]
     assert sampler.admits(6.0) and sampler.take_suppressed() == 3 and sampler.take_suppressed() == 0
 
 
-def test_each_reason_is_counted_by_itself() -> None:
+def test_each_reason_has_its_own_count() -> None:
     counter = ReasonCounter("list_call", ListCallResult)
     counter.add(ListCallResult.WATCH_TIMED_OUT)
     assert dict(counter.items())["list_call.silent"] == 1 == counter.total()
--- a/tests/diagnostics/test_invariants.py
+++ b/tests/diagnostics/test_invariants.py
@@ -1,4 +1,4 @@
-"""The guard refuses what would break an invariant, counts it, and lets all else pass."""
+"""Invariant checks: a violation is prevented and counted, all else passes."""
 
 from __future__ import annotations
 
@@ -58,7 +58,7 @@
         ({"hedging_allowed": False, "earlier_attempts": [OUT]}, Violation.HEDGED_WITHOUT_PERMISSION),
     ],
 )
-def test_what_breaks_an_invariant_is_refused_and_counted(changes: Any, violation: Violation) -> None:
+def test_a_violation_is_prevented_and_counted(changes: Any, violation: Violation) -> None:
     assert violations_of(**changes) == {violation}
 
 
@@ -72,19 +72,19 @@
         {"hedging_allowed": False, "earlier_attempts": [LOST]},
     ],
 )
-def test_all_else_passes(changes: Any) -> None:
+def test_attempts_without_a_violation_may_be_sent(changes: Any) -> None:
     assert InvariantGuard().may_send(replace(SENDING, **changes))
 
 
 @pytest.mark.parametrize("bound", ["deadline", "begin_by"])
-def test_what_a_hold_up_made_late_is_refused_but_no_violation(bound: str) -> None:
+def test_a_step_delayed_by_a_hold_up_is_prevented_but_no_violation(bound: str) -> None:
     guard = InvariantGuard()
     late = replace(SENDING, deadline=99.95) if bound == "deadline" else replace(SENDING, begin_by=99.95)
     assert not guard.may_send(late)
     assert guard.violations.total() == 0
 
 
-def test_starting_answering_and_closing() -> None:
+def test_requests_start_once_are_answered_once_and_connections_close_unowed() -> None:
     guard = InvariantGuard()
     assert guard.may_start(1.0, "r", in_flight=False, ended=False)
     assert guard.may_answer(1.0, "r", pending=True)
@@ -142,18 +142,18 @@
     }
 
 
-def test_a_router_without_mistakes_has_no_violation() -> None:
+def test_a_correct_router_has_no_violation() -> None:
     assert found() == set()
 
 
-def test_a_policy_that_repeats_unsafe_requests_is_found_out(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_policy_that_retries_non_idempotent_requests_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(RetryPolicy, "may_send", lambda *_: True)
     monkeypatch.setattr(RetryPolicy, "may_reject", lambda *_: True)
     assert Violation.RETRIED_UNSAFE in found()
 
 
 @scenario
-async def test_a_pool_that_sends_to_a_drained_server_is_found_out(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_a_pool_that_sends_to_a_draining_server_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
     def want(self: UpstreamPoolManager, now: float, attempt: Attempt) -> list[Action]:
         self._seek(now, attempt)
         return self._take()
--- a/tests/diagnostics/test_request_log.py
+++ b/tests/diagnostics/test_request_log.py
@@ -1,4 +1,4 @@
-"""What went wrong with one request is in the log by its id, and counted by its reason."""
+"""Requests that went wrong are logged by their id, and counted by reason."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 @scenario
-async def test_an_answer_behind_a_hold_up_is_told_with_its_attempts(caplog: pytest.LogCaptureFixture) -> None:
+async def test_a_late_answer_is_logged_with_its_attempts(caplog: pytest.LogCaptureFixture) -> None:
     world = await World().start()
     client = await world.client()
     client.get("late", wait=100)
@@ -32,9 +32,7 @@
 
 
 @scenario
-async def test_retries_closes_and_calls_for_the_list_are_counted_by_reason(
-    caplog: pytest.LogCaptureFixture,
-) -> None:
+async def test_retries_closes_and_list_calls_are_counted_by_reason(caplog: pytest.LogCaptureFixture) -> None:
     caplog.set_level(logging.INFO)
     world = await World().start()
     diagnostics = world.node._host.diagnostics
--- a/tests/incidents/test_agent_returns.py
+++ b/tests/incidents/test_agent_returns.py
@@ -12,8 +12,8 @@
 
 import pytest
 
+from tests.net.lifecycle.test_process import free_port, start
 from tests.peers import LOCAL, Client, Message, Peer, read_http, scenario
-from tests.test_process import free_port, start
 
 GRACE = 1.0  # seconds from the news to the last send
 HELD_UP = 0.15  # seconds of it by which a router may be held up
@@ -68,7 +68,7 @@
 @pytest.mark.sockets
 @pytest.mark.parametrize("out", ["list", "watch", "answer that stops short"])
 @scenario
-async def test_nothing_goes_to_a_drained_server_a_second_after_its_agent_is_back(
+async def test_a_drained_server_gets_no_request_a_second_after_the_agent_is_back(
     out: str, tmp_path: Path
 ) -> None:
     draining, other, told = await Peer().start(), await Peer().start(), await Peer(read_http).start()
--- a/tests/incidents/test_held_up_process.py
+++ b/tests/incidents/test_held_up_process.py
@@ -13,8 +13,8 @@
 
 import pytest
 
+from tests.net.lifecycle.test_process import free_port, start
 from tests.peers import LOCAL, Client, Peer, connect, scenario
-from tests.test_process import free_port, start
 
 HOLD_UP = 0.14  # seconds; a router may be held up for 0.15
 PATIENCE_MS = 600  # that a client names
@@ -40,7 +40,7 @@
 @pytest.mark.sockets
 @pytest.mark.parametrize("how", ["open connection", "new connection", "pipelined", "in pieces"])
 @scenario
-async def test_a_request_that_comes_while_the_process_is_held_up_is_answered_in_its_time(
+async def test_a_request_that_arrives_during_a_hold_up_is_answered_by_its_deadline(
     how: str, tmp_path: Path
 ) -> None:
     cache, port = await Peer().start(), free_port()
@@ -70,9 +70,7 @@
 
 @pytest.mark.sockets
 @scenario
-async def test_nothing_is_sent_on_for_a_client_that_left_while_the_process_was_held_up(
-    tmp_path: Path,
-) -> None:
+async def test_no_request_of_a_client_that_disconnected_during_a_hold_up_is_forwarded(tmp_path: Path) -> None:
     """Its request and its end are read in one turn, more than 0.1 s after it closed."""
     cache, port = await Peer().start(), free_port()
     process, client = await start(tmp_path / "config.json", port, cache)
@@ -98,7 +96,7 @@
 
 @pytest.mark.sockets
 @scenario
-async def test_a_signal_that_is_noticed_late_delays_no_answer(tmp_path: Path) -> None:
+async def test_a_signal_that_is_noticed_late_delays_no_response(tmp_path: Path) -> None:
     """All is answered before SIGKILL may come, counted from when SIGTERM was sent."""
     cache, port = await Peer().start(), free_port()
     process, client = await start(tmp_path / "config.json", port, cache)
--- /dev/null
+++ b/tests/net/__init__.py
@@ -0,0 +1,1 @@
+"""Tests of the daemon on real sockets."""
--- a/tests/test_node_lists.py
+++ b/tests/net/discovery/test_endpoint_list_updates.py
@@ -1,4 +1,4 @@
-"""A router on real sockets and the list of servers: what becomes of it as the list changes or fails."""
+"""A router on real sockets while its endpoint list changes or can't be read."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 @scenario
-async def test_a_router_with_nothing_but_draining_servers_is_not_ready() -> None:
+async def test_a_router_with_only_draining_servers_is_not_ready() -> None:
     world = await World().start()
     await world.tell(world.cache.row("c", state="terminating"), full=True)
     client = await world.client()
@@ -24,7 +24,7 @@
 
 
 @scenario
-async def test_nothing_new_goes_to_a_draining_server_and_its_idle_connections_close() -> None:
+async def test_a_draining_server_gets_no_new_requests_and_its_idle_connections_close() -> None:
     world = await World().start()
     client = await world.client()
     client.get("1")
@@ -43,7 +43,7 @@
 
 
 @scenario
-async def test_a_full_list_removes_what_it_lacks() -> None:
+async def test_a_full_list_removes_unlisted_servers() -> None:
     world = await World().start()
     other = await Peer().start()
     await world.tell(other.row("d"), full=True)
@@ -54,7 +54,7 @@
 
 
 @scenario
-async def test_a_restart_voids_old_connections() -> None:
+async def test_a_server_restart_closes_its_old_connections() -> None:
     world = await World(slow_start_duration=1e-6).start()  # no time of warming up, in which little is sent
     client = await world.client()
     client.get("1")
@@ -69,7 +69,7 @@
 
 
 @scenario
-async def test_a_server_is_known_by_its_id_and_may_move() -> None:
+async def test_a_server_keeps_its_identity_at_a_new_address() -> None:
     world = await World().start()
     client = await world.client()
     client.get("1")
@@ -82,7 +82,7 @@
     assert await client.value("2") == b"w"
 
 
-def test_a_step_of_the_wall_clock_makes_no_server_seem_restarted(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_wall_clock_step_is_not_taken_for_a_server_restart(monkeypatch: pytest.MonkeyPatch) -> None:
     reader, now = endpoint_list.EndpointListReader(), time.time()
     row = {"id": "c", "addr": "127.0.0.1:9", "state": "in_service", "started_ms": (now - 60) * 1000}
     message = {"version": 1, "full": True, "servers": [row]}
@@ -96,7 +96,7 @@
     assert third.endpoints[0].started_at > first.endpoints[0].started_at
 
 
-def test_nothing_is_kept_of_servers_that_have_gone() -> None:
+def test_start_times_of_removed_servers_are_dropped() -> None:
     reader = endpoint_list.EndpointListReader()
     for n in range(5):
         row = {"id": str(n), "addr": "127.0.0.1:9", "started_ms": 1000.0}
@@ -117,7 +117,7 @@
         b'{"version":2,"full":true,"servers":[{"id":"x","addr":"127.0.0.1:9","state":"odd"}]}',
     ],
 )
-async def test_a_malformed_list_is_ignored_whole(body: bytes) -> None:
+async def test_a_malformed_list_is_rejected_as_a_whole(body: bytes) -> None:
     world = await World().start()
     world.watch.respond(body)
     await world.discovery.next()  # asked anew
@@ -128,7 +128,7 @@
 
 
 @scenario
-async def test_a_hung_watch_is_given_up_and_the_last_list_stands(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_a_watch_times_out_and_the_latest_list_stays_in_force(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(timeouts, "AGENT_WATCH_GRACE_SECONDS", 0.1)
     monkeypatch.setattr(peers, "WATCH_WAIT", 0.1)
     world = await World().start()
@@ -148,7 +148,7 @@
 
 
 @scenario
-async def test_where_discovery_is_asked_the_module_says_when(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_the_policy_decides_when_a_service_is_polled(monkeypatch: pytest.MonkeyPatch) -> None:
     world = await World(polls_endpoint_list=True, overload_window=0.05).start()
     world.watch.respond(b"", 503)
     assert (await world.discovery.next()).head == b"GET /api/targets"
@@ -156,7 +156,7 @@
 
 @scenario
 @pytest.mark.parametrize("how", ["stops short", "breaks off", "can't be read", "is no list", "is no HTTP"])
-async def test_a_spoilt_answer_is_given_up_at_once_and_asked_for_again(
+async def test_a_malformed_response_is_dropped_and_requested_again(
     how: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """What it holds counts as told within seconds: it was waited for as long as for a watch."""
@@ -186,9 +186,7 @@
 
 
 @scenario
-async def test_a_call_that_nothing_answers_is_given_up_in_time_for_another(
-    monkeypatch: pytest.MonkeyPatch,
-) -> None:
+async def test_an_unanswered_call_times_out_in_time_for_a_retry(monkeypatch: pytest.MonkeyPatch) -> None:
     assert timeouts.SERVICE_FIRST_BYTE_TIMEOUT_SECONDS + 2.0 <= 6.0  # when what it has to tell counts as told
     monkeypatch.setattr(timeouts, "SERVICE_FIRST_BYTE_TIMEOUT_SECONDS", 0.05)
     world = await World(polls_endpoint_list=True, overload_window=0.05).start()
--- a/tests/test_hedged_call.py
+++ b/tests/net/discovery/test_hedged_call.py
@@ -1,4 +1,4 @@
-"""Calls to an agent overlap: what is lost or stops short is overtaken, what comes in is waited for."""
+"""Hedged calls: a lost or incomplete response is overtaken, an arriving one is waited for."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 @scenario
-async def test_a_call_that_is_lost_is_overtaken_and_a_slow_one_is_still_heard() -> None:
+async def test_a_lost_request_is_hedged_and_a_slow_response_still_wins() -> None:
     peer = await Peer(read_http).start()
     answer = asyncio.create_task(call_to(peer, []).get("/x"))
     first = await peer.next()
@@ -33,7 +33,7 @@
 
 
 @scenario
-async def test_no_other_call_is_begun_while_an_answer_comes_in() -> None:
+async def test_no_further_request_starts_while_a_response_is_arriving() -> None:
     peer = await Peer(read_http).start()
     answer = asyncio.create_task(call_to(peer, []).get("/x"))
     call = await peer.next()
@@ -46,7 +46,7 @@
 
 
 @scenario
-async def test_an_answer_that_stops_short_is_overtaken() -> None:
+async def test_an_incomplete_response_is_hedged() -> None:
     peer = await Peer(read_http).start()
     answer = asyncio.create_task(call_to(peer, []).get("/x"))
     (await peer.next()).reply(HEAD % len(BODY) + BODY[:5])
@@ -55,7 +55,7 @@
 
 
 @scenario
-async def test_calls_out_are_bounded_and_all_end_with_the_answer() -> None:
+async def test_concurrent_requests_are_bounded_and_cancelled_by_the_first_response() -> None:
     peer = await Peer(read_http).start()
     call = call_to(peer, [])
     answer = asyncio.create_task(call.get("/x"))
@@ -71,7 +71,7 @@
 
 
 @scenario
-async def test_a_call_that_fails_at_once_is_told_and_begun_anew_no_sooner() -> None:
+async def test_a_failed_request_is_reported_and_retried_after_the_interval() -> None:
     peer, failures = await Peer(read_http).start(), list[BaseException]()
     loop = asyncio.get_running_loop()
     began = loop.time()
--- a/tests/test_told_played.py
+++ b/tests/net/discovery/test_overloaded_service_played.py
@@ -1,4 +1,4 @@
-"""Routers that ask one slow service, out of reach for seconds, while caches drain: played in virtual time."""
+"""Routers that poll one slow service, unreachable for seconds, while caches drain."""
 
 from __future__ import annotations
 
@@ -72,7 +72,7 @@
 
 
 @pytest.mark.parametrize("first", ["1500 ms", "3500 ms"])
-def test_routers_whose_calls_fail_send_nothing_to_what_drains(
+def test_routers_whose_calls_fail_send_nothing_to_draining_servers(
     first: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     played = play(first, monkeypatch)
@@ -80,7 +80,7 @@
     assert played.result.service.whole.share > 0.9
 
 
-def test_routers_that_trust_the_last_list_for_as_long_as_that_is_young_break_the_rule(
+def test_trusting_the_latest_list_by_its_age_alone_breaks_the_rule_on_drains(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(DiscoveryFreshness, "require_success_since", lambda self, now: float("-inf"))
--- a/tests/test_told_in_time.py
+++ b/tests/net/discovery/test_staleness_deadline.py
@@ -1,4 +1,4 @@
-"""News counts as told 6 s after it was there, whatever became of calls: told by then, or guarded."""
+"""A change counts as known 6 s after discovery had it: routers know it by then, or are cautious."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 SERVED = 0.95  # of requests, with one server in three draining and no list
 
 
-def test_two_calls_fit_in_where_few_ask() -> None:
+def test_two_polls_fit_into_the_staleness_limit() -> None:
     """One that was out and lost when discovery could be reached again, a pause, and one that is answered."""
     answered = NUM_CONCURRENT_POLLERS / 2.6  # behind all others, at the pace that was measured
     assert timeouts.SERVICE_FIRST_BYTE_TIMEOUT_SECONDS + MAX_BACKOFF_SECONDS + min(answered, 1.5) <= TOLD
@@ -38,7 +38,7 @@
     assert MAX_STALENESS_SECONDS <= TOLD - 1.0 and RELOCATION_STALENESS_SECONDS <= 4.0 - 1.0
 
 
-def test_two_calls_fit_in_at_an_agent() -> None:
+def test_two_calls_to_an_agent_fit_into_the_grace_period() -> None:
     """What an agent has counts as told at once: within the grace of a drain, less a hold-up."""
     silent = timeouts.AGENT_WATCH_WAIT_SECONDS + timeouts.AGENT_WATCH_GRACE_SECONDS
     lost = timeouts.AGENT_CALL_INTERVAL_SECONDS  # a call that hangs, is spoilt or finds no connection
@@ -104,7 +104,7 @@
 
 @pytest.mark.parametrize("hangs", [False, True])
 @pytest.mark.parametrize("seed", range(40))
-def test_few_routers_are_told_in_time_by_their_calls_alone(seed: int, hangs: bool) -> None:
+def test_few_routers_are_updated_in_time_by_their_polls_alone(seed: int, hangs: bool) -> None:
     for lasts in (0.5, 3.0, 8.0, 40.0):
         outage = Outage(3, 2.6, hangs, seed, lasts)
         outage.run(lasts + 30.0)
@@ -116,7 +116,7 @@
 @pytest.mark.parametrize("hangs", [False, True])
 @pytest.mark.parametrize("seed", range(20))
 @pytest.mark.parametrize(("routers", "rate"), [(40, 2.6), (200, 2.6), (200, 20.0)])
-def test_many_routers_are_told_in_time_or_guarded_and_do_not_crowd_the_service(
+def test_many_routers_are_updated_in_time_or_cautious_and_do_not_overload_the_service(
     routers: int, rate: float, seed: int, hangs: bool
 ) -> None:
     outage = Outage(routers, rate, hangs, seed)
@@ -131,7 +131,7 @@
 
 
 @pytest.mark.parametrize("routers", [40, 200])
-def test_spoilt_answers_at_all_of_them_are_asked_for_again_ever_more_rarely(routers: int) -> None:
+def test_malformed_responses_are_retried_with_backoff(routers: int) -> None:
     outage = Outage(routers, 2.6, False, 1)
     outage.run(90.0, EndpointListKind.MALFORMED)
     assert len(outage.calls) <= 15 * routers
@@ -140,7 +140,7 @@
         assert not outage.unguarded(change)
 
 
-def test_a_failed_call_binds_nothing_where_the_rules_leave_it_to_the_interval() -> None:
+def test_a_failed_poll_has_no_deadline_where_the_poll_interval_decides() -> None:
     """In the simulator four times the interval passes, and pauses grow as long as a cold server's ramp."""
     asking, draws = (
         DiscoveryFreshness(settings(polls_endpoint_list=True, slow_start_duration=8.9, poll_interval=10.0)),
@@ -150,7 +150,7 @@
     assert asking.require_success_since(1000.0) == -math.inf and max(pauses) > 4.0
 
 
-def test_one_failed_call_with_a_list_soon_after_costs_nothing() -> None:
+def test_one_failed_poll_with_a_list_soon_after_has_no_effect() -> None:
     asking, draws = (
         DiscoveryFreshness(settings(polls_endpoint_list=True, router_count=200, poll_interval=10.0)),
         random.Random(1),
@@ -161,7 +161,7 @@
     assert asking.require_success_since(200.0) == -math.inf
 
 
-def test_a_move_binds_within_four_seconds() -> None:
+def test_a_relocation_limits_staleness_to_four_seconds() -> None:
     d = Driver(settings(polls_endpoint_list=True, router_count=200, poll_interval=10.0))
     d.update_endpoints(*(endpoint(name) for name in "ab"))
     d.handle(EndpointListUpdate(EndpointListKind.RELOCATED))
@@ -171,7 +171,7 @@
     assert asking.require_success_since(d.now + 20.0) == d.now + 20.0 - MAX_STALENESS_SECONDS
 
 
-def test_a_first_call_that_fails_binds_from_the_start() -> None:
+def test_a_failed_first_poll_limits_staleness_from_the_start() -> None:
     """What changed while it was put off counts as told by then."""
     asking = DiscoveryFreshness(settings(polls_endpoint_list=True, router_count=200, poll_interval=10.0))
     asking.on_failure(109.0, EndpointListKind.FAILED, random.Random(1), 9.0)
@@ -179,7 +179,7 @@
 
 
 @pytest.mark.parametrize("rate", [2.0, 50.0])
-def test_servers_that_began_to_drain_after_they_served_get_nothing_and_the_rest_goes_on(rate: float) -> None:
+def test_servers_that_drain_unnoticed_get_no_requests_and_others_go_on(rate: float) -> None:
     """A failed watch, drains 2 s later, no list for half a minute; also with little to send."""
     d = Driver(
         settings(
--- a/tests/test_told_of_changes.py
+++ b/tests/net/discovery/test_watch_events.py
@@ -1,4 +1,4 @@
-"""What is written on a watch or a call is told, once and in order, whatever crosses it."""
+"""Every watch event is applied once and in order, whatever happens to connections meanwhile."""
 
 from __future__ import annotations
 
@@ -11,17 +11,25 @@
 from ironrail.net.discovery import timeouts
 from ironrail.policy.endpoints import EndpointState
 
+from tests.net.discovery.update_recorder import (
+    DRAINS,
+    FAILED,
+    FULL,
+    ROW,
+    connects_succeed,
+    take_full_list,
+    watched_service,
+)
 from tests.peers import Peer, World, scenario, until
-from tests.told import DRAINS, FAILED, FULL, ROW, connects_come_up, followed, listed
 
 # Watches
 
 
 @scenario
-async def test_the_next_watch_comes_at_once_whatever_becomes_of_the_connection() -> None:
+async def test_the_next_watch_starts_at_once_on_any_connection() -> None:
     """What changes between two calls counts as told, if the second comes within 200 ms."""
-    async with followed() as (peer, _, told):
-        watch = await listed(peer, told)
+    async with watched_service() as (peer, _, told):
+        watch = await take_full_list(peer, told)
         for version, last in ((2, b""), (3, b"Connection: close"), (4, b"")):
             body = orjson.dumps({"version": version, "full": False, "servers": [DRAINS]})
             watch.respond(body, 200, *([last] if last else []))
@@ -32,22 +40,22 @@
 
 
 @scenario
-async def test_a_watch_that_is_reset_is_opened_anew_at_once() -> None:
-    async with followed() as (peer, _, told):
-        watch = await listed(peer, told)
+async def test_a_reset_watch_is_reopened_at_once() -> None:
+    async with watched_service() as (peer, _, told):
+        watch = await take_full_list(peer, told)
         await asyncio.sleep(timeouts.AGENT_CALL_INTERVAL_SECONDS)  # since the failed call began
         watch.reset()
         began = time.monotonic()
-        await listed(peer, told, 2, DRAINS)
+        await take_full_list(peer, told, 2, DRAINS)
         assert time.monotonic() - began < 0.2
 
 
 @scenario
-async def test_a_watch_that_has_no_connection_yet_watches_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_a_watch_without_a_connection_is_no_watch(monkeypatch: pytest.MonkeyPatch) -> None:
     """Its connect hung for as long as a watch may wait, half a minute where all ask one service."""
     monkeypatch.setattr(timeouts, "SERVICE_CONNECT_TIMEOUT_SECONDS", 0.05)
-    connects_come_up(monkeypatch, True, False)
-    async with followed(on_request=True) as (peer, _, told):
+    connects_succeed(monkeypatch, True, False)
+    async with watched_service(on_request=True) as (peer, _, told):
         call = await peer.next()
         body = orjson.dumps({"version": 1, "full": True, "servers": [ROW]})
         call.respond(body, 200, b"Connection: close")
@@ -57,14 +65,14 @@
 
 
 @scenario
-async def test_where_a_connect_to_the_agent_is_lost_a_new_process_has_the_list_within_a_second(
+async def test_a_lost_connect_to_the_agent_delays_the_list_by_less_than_a_second(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """What the agent has counts as told at once; sends to what drains must cease in a second."""
-    connects_come_up(monkeypatch, False, True)
+    connects_succeed(monkeypatch, False, True)
     began = time.monotonic()
-    async with followed(on_request=False) as (peer, _, told):
-        await listed(peer, told, 1, DRAINS)
+    async with watched_service(on_request=False) as (peer, _, told):
+        await take_full_list(peer, told, 1, DRAINS)
         assert time.monotonic() - began < 1.0
 
 
@@ -72,21 +80,21 @@
 
 
 @scenario
-async def test_a_call_that_fails_tells_since_when_news_may_be_missed(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_a_failed_call_reports_how_stale_the_list_may_be(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(timeouts, "SERVICE_FIRST_BYTE_TIMEOUT_SECONDS", 0.2)
-    async with followed(on_request=True) as (peer, follows, told):
+    async with watched_service(on_request=True) as (peer, watcher, told):
         await asyncio.sleep(0.1)
         (await peer.next()).respond(b"", 503)  # nothing is known since the start
         news = await told.next()
         assert news.kind is FAILED and news.uncertain_for is not None and news.uncertain_for > 0.09
-        follows.poll()
-        watch = await listed(peer, told)
+        watcher.poll()
+        watch = await take_full_list(peer, told)
         await asyncio.sleep(0.1)
         watch.respond(b"", 503)  # it may have waited for its turn all the time
         news = await told.next()
         assert news.kind is FAILED and news.uncertain_for is not None and news.uncertain_for > 0.09
-        follows.poll()
-        watch = await listed(peer, told)
+        watcher.poll()
+        watch = await take_full_list(peer, told)
         await asyncio.sleep(0.3)
         watch.reset()  # till then it watched
         news = await told.next()
@@ -97,29 +105,31 @@
 
 
 @scenario
-async def test_changes_are_no_answer_to_a_call_for_the_whole_list() -> None:
+async def test_a_delta_is_rejected_where_the_full_list_was_requested() -> None:
     """What did not change would be missing for good."""
-    async with followed() as (peer, _, told):
+    async with watched_service() as (peer, _, told):
         (await peer.next()).respond_list(7, DRAINS, full=False)
-        await listed(peer, told, 7)
+        await take_full_list(peer, told, 7)
 
 
 @scenario
-async def test_changes_up_to_an_earlier_version_undo_nothing() -> None:
-    async with followed() as (peer, _, told):
-        watch = await listed(peer, told, 41)
+async def test_a_delta_to_an_earlier_version_is_rejected() -> None:
+    async with watched_service() as (peer, _, told):
+        watch = await take_full_list(peer, told, 41)
         watch.respond_list(43, DRAINS, full=False)
         assert await told.state() is EndpointState.DRAINING
         (await peer.next()).respond_list(42, ROW, full=False)
-        watch = await listed(peer, told, 43, DRAINS)  # asked for whole, and nothing was told meanwhile
+        watch = await take_full_list(
+            peer, told, 43, DRAINS
+        )  # asked for whole, and nothing was told meanwhile
         assert b"index=43&" in watch.head
 
 
 @scenario
-async def test_a_whole_list_is_taken_where_changes_were_expected_also_one_numbered_anew() -> None:
+async def test_a_full_list_is_taken_where_a_delta_was_expected_with_any_version() -> None:
     """A discovery that was restarted without its numbers has no other."""
-    async with followed() as (peer, _, told):
-        watch = await listed(peer, told, 41)
+    async with watched_service() as (peer, _, told):
+        watch = await take_full_list(peer, told, 41)
         watch.respond_list(44, DRAINS)
         assert await told.state() is EndpointState.DRAINING
         watch = await peer.next()
@@ -148,7 +158,7 @@
 
 @scenario
 @pytest.mark.parametrize("gone", [False, True])
-async def test_what_waits_for_a_slow_connect_goes_elsewhere_once_its_server_drains(gone: bool) -> None:
+async def test_requests_behind_a_slow_connect_are_rerouted_once_the_server_drains(gone: bool) -> None:
     world = await World(connect_timeout=5.0).start()
     other, client = await Peer().start(), await world.client()
     pool = world.node._host._pools["c"]
--- a/tests/test_silent_list.py
+++ b/tests/net/discovery/test_watch_timeout.py
@@ -1,4 +1,4 @@
-"""A watch or a call that falls silent is broken: the list is asked for anew in time, by routers in turn."""
+"""A watch or call that times out is replaced in time, by all routers spread over a while."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 from ironrail.net.discovery import timeouts
 from ironrail.policy import discovery_freshness
 
+from tests.net.lifecycle.test_process import config, free_port, served_by, start
 from tests.peers import LOCAL, Peer, World, connect, read_http, scenario
-from tests.test_process import config, free_port, served_by, start
 
 
 @scenario
-async def test_a_silent_watch_is_opened_anew_with_time_for_a_second_try(tmp_path: Path) -> None:
+async def test_a_timed_out_watch_is_reopened_with_time_for_a_retry(tmp_path: Path) -> None:
     """Pushed: where a watch and the next call say nothing the news is there within the grace of a drain."""
     cache, other, told = await Peer().start(), await Peer().start(), await Peer(read_http).start()
     path, port = tmp_path / "config.json", free_port()
@@ -38,7 +38,7 @@
 
 
 @scenario
-async def test_where_all_ask_a_silent_watch_leaves_time_for_two_calls(
+async def test_a_timed_out_watch_of_a_service_leaves_time_for_two_polls(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """2 s after its wait all that it missed counts as told: by then a second call is out, in its place."""
@@ -67,7 +67,7 @@
     assert await client.value("1") == b"v"
 
 
-def test_watches_that_fall_silent_together_are_asked_for_anew_in_turn() -> None:
+def test_watch_timeouts_of_all_routers_are_spread() -> None:
     """Of 200 routers whose watches began at one moment no more than 13 in any second; 20 s on average."""
 
     async def waits() -> list[float]:
@@ -80,7 +80,7 @@
 
 
 @scenario
-async def test_a_list_may_come_indented_and_in_pieces() -> None:
+async def test_a_list_may_arrive_indented_and_in_pieces() -> None:
     world = await World().start()
     other = await Peer().start()
     rows = [other.row("d"), world.origin.row("o", "origin")]
@@ -98,7 +98,7 @@
 
 
 @scenario
-async def test_a_new_process_and_one_told_of_another_agent_know_the_list_at_once(tmp_path: Path) -> None:
+async def test_the_list_is_known_at_once_after_start_and_relocation(tmp_path: Path) -> None:
     """What an agent has counts as told from the first moment, whatever the configuration's own list says."""
     old, new, cache = await Peer(read_http).start(), await Peer(read_http).start(), await Peer().start()
     spare, path, port = await Peer().start(), tmp_path / "config.json", free_port()
--- a/tests/test_silences_played.py
+++ b/tests/net/discovery/test_watch_timeout_played.py
@@ -1,4 +1,4 @@
-"""Watches that fall silent early, late, twice, as the list moves, before a drain: played in virtual time."""
+"""Watches that time out early, late, twice, at a relocation, before a drain: in virtual time."""
 
 from __future__ import annotations
 
@@ -54,7 +54,7 @@
 @pytest.mark.parametrize("moves", [None, -0.05, 0.05], ids=["stays", "before", "after"])
 @pytest.mark.parametrize("silences", SILENCES, ids=str)
 @pytest.mark.parametrize("registry", ["", ASKED], ids=["pushed", "asked"])
-def test_every_router_is_told_in_time_or_sends_nothing_to_what_drains(
+def test_every_router_is_updated_in_time_or_sends_nothing_to_draining_servers(
     registry: str, silences: tuple[float, ...], moves: float | None, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     drain = Fleet.drain
--- a/tests/told.py
+++ b/tests/net/discovery/update_recorder.py
@@ -1,4 +1,4 @@
-"""What a router's end of discovery is told, for tests: who tells answers only as they say."""
+"""A stand-in for discovery and a recorder of the updates that an endpoint watcher passes on."""
 
 from __future__ import annotations
 
@@ -29,40 +29,44 @@
 )
 
 
-class Told:
-    """What a discovery told, in order."""
+class UpdateRecorder:
+    """The updates of an endpoint watcher, in order."""
 
     def __init__(self) -> None:
-        self.news: list[EndpointListUpdate] = []
-        self.came = asyncio.Event()
+        self.updates: list[EndpointListUpdate] = []
+        self.arrived = asyncio.Event()
 
-    def __call__(self, news: EndpointListUpdate, addresses: dict[str, Address]) -> None:
-        self.news.append(news)
-        self.came.set()
+    def __call__(self, update: EndpointListUpdate, addresses: dict[str, Address]) -> None:
+        self.updates.append(update)
+        self.arrived.set()
 
     async def next(self) -> EndpointListUpdate:
-        while not self.news:
-            self.came.clear()
-            await self.came.wait()
-        return self.news.pop(0)
+        while not self.updates:
+            self.arrived.clear()
+            await self.arrived.wait()
+        return self.updates.pop(0)
 
     async def state(self) -> EndpointState:
         return (await self.next()).endpoints[0].state
 
 
 @asynccontextmanager
-async def followed(on_request: bool = False) -> AsyncIterator[tuple[Peer, EndpointWatcher, Told]]:
-    """Somebody who tells, and a router's end that is told."""
-    peer, told = await Peer(read_http).start(), Told()
-    follows = make_endpoint_watcher((LOCAL, peer.port), EndpointListReader(), on_request)
-    follows.start(told)
-    follows.poll()
-    yield peer, follows, told
-    follows.stop()
-
-
-async def listed(peer: Peer, told: Told, version: int = 1, row: dict[str, Any] = ROW) -> Message:
-    """Answer the call for the whole list; the watch that follows."""
+async def watched_service(
+    on_request: bool = False,
+) -> AsyncIterator[tuple[Peer, EndpointWatcher, UpdateRecorder]]:
+    """Start a stand-in for discovery, and a watcher whose updates are recorded."""
+    peer, told = await Peer(read_http).start(), UpdateRecorder()
+    watcher = make_endpoint_watcher((LOCAL, peer.port), EndpointListReader(), on_request)
+    watcher.start(told)
+    watcher.poll()
+    yield peer, watcher, told
+    watcher.stop()
+
+
+async def take_full_list(
+    peer: Peer, told: UpdateRecorder, version: int = 1, row: dict[str, Any] = ROW
+) -> Message:
+    """Answer the call for the whole list; the watch that watcher."""
     call = await peer.next()
     assert call.head == b"GET /api/targets"
     call.respond_list(version, row)
@@ -71,14 +75,14 @@
 
 
 def write_unread(message: Message, version: int, *rows: dict[str, Any]) -> None:
-    """Answer so that it lies unread at the router's end when this returns."""
+    """Respond with a delta that is in the router's receive buffer, unread, on return."""
     body = orjson.dumps({"version": version, "full": False, "servers": rows})
     answer = b"HTTP/1.1 200 X\r\nContent-Length: %d\r\n\r\n" % len(body) + body
     assert os.write(message.writer.get_extra_info("socket").fileno(), answer) == len(answer)
 
 
-def connects_come_up(monkeypatch: pytest.MonkeyPatch, *whether: bool) -> None:
-    """Of the next connects, in turn: one that does not hangs."""
+def connects_succeed(monkeypatch: pytest.MonkeyPatch, *whether: bool) -> None:
+    """Let the next connects succeed or hang, in turn."""
     opened, opens = asyncio.open_connection, iter(whether)
 
     async def open_in_turn(*address: Any) -> Any:
--- /dev/null
+++ b/tests/net/lifecycle/__init__.py
@@ -0,0 +1,1 @@
+"""Tests of `ironrail.net.lifecycle`."""
--- a/tests/test_shutdown.py
+++ b/tests/net/lifecycle/test_graceful_shutdown.py
@@ -1,4 +1,4 @@
-"""A router's end in the process of a test: deadlines of any length, what is held, what is unread."""
+"""Graceful shutdown in the process of a test: any client timeouts, pending and unread commands."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 @pytest.mark.parametrize("longest", [0.0, 0.05, 0.3, 1.0, 1.7, 3.0, 9.0, float("inf")])
-def test_all_is_answered_before_the_platform_may_kill_whatever_the_deadlines(longest: float) -> None:
+def test_all_requests_are_answered_before_sigkill_for_any_client_timeout(longest: float) -> None:
     steps = of(0.0, longest, min(longest, 0.4))
     killed = min(3.0, longest) + 0.7
     assert 0.4 < steps.accept_until < steps.idle_close_at < steps.partial_command_deadline
@@ -33,7 +33,7 @@
     assert killed - steps.response_deadline <= 0.2  # and no request is given up sooner than it needs to be
 
 
-def test_where_deadlines_are_long_the_end_is_as_late_as_it_may_be() -> None:
+def test_long_client_timeouts_use_the_whole_time_until_sigkill() -> None:
     assert astuple(of(9.0)) == astuple(of(3.0)) == pytest.approx((0.45, 1.0, 1.5, 3.55, 3.65))
 
 
@@ -47,7 +47,7 @@
 
 
 @scenario
-async def test_with_short_deadlines_nothing_is_unanswered_when_the_platform_may_kill() -> None:
+async def test_with_short_client_timeouts_all_requests_are_answered_before_sigkill() -> None:
     """All was answered 3.55 s after SIGTERM: SIGKILL came 1.1 s after it, and found what hung."""
     world = await short()
     client = await world.client()
@@ -66,7 +66,7 @@
 
 
 @scenario
-async def test_hundreds_of_commands_that_the_end_finds_unparsed_have_their_answers(
+async def test_hundreds_of_unparsed_commands_are_answered_at_the_deadline(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     world = await short()
@@ -96,7 +96,7 @@
 
 
 @scenario
-async def test_what_is_read_and_not_yet_parsed_is_not_shut_over() -> None:
+async def test_a_connection_with_unparsed_commands_is_not_closed() -> None:
     """More than a connection may have in hand was parsed a turn later, and its end came between."""
     world = await World().start()
     client, most = await world.client(), session_manager.MOST_PIPELINED
@@ -118,7 +118,7 @@
 
 
 @scenario
-async def test_answers_that_are_not_yet_taken_are_waited_for_and_arrive_whole() -> None:
+async def test_unread_responses_are_waited_for_and_arrive_complete() -> None:
     world = await World().start()
     client = await world.client()
     client.writer.transport.pause_reading()  # type: ignore[attr-defined]
@@ -140,7 +140,7 @@
 
 
 @scenario
-async def test_one_that_never_closes_does_not_keep_the_process() -> None:
+async def test_a_client_that_never_closes_does_not_delay_the_exit() -> None:
     world = await short()
     rude = await world.client()
     assert await is_ready(rude)
@@ -149,7 +149,7 @@
 
 
 @scenario
-async def test_a_router_that_never_listened_ends_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_a_router_that_never_listened_stops_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
     world = await World().start()
     listen = world.address
     second = Node(replace(world.config(), listen_address=listen))
@@ -163,9 +163,7 @@
 
 
 @scenario
-async def test_one_that_can_not_share_the_address_ends_with_the_reason(
-    monkeypatch: pytest.MonkeyPatch,
-) -> None:
+async def test_a_failed_handover_raises_the_reason(monkeypatch: pytest.MonkeyPatch) -> None:
     """It went on without a listener: a process that nobody could reach."""
     monkeypatch.setattr("ironrail.net.lifecycle.handover.ENDPOINT_LIST_TIMEOUT_SECONDS", 0.05)
     world = await World().start()
@@ -177,7 +175,7 @@
 
 
 @scenario
-async def test_told_to_read_its_configuration_while_it_ends_it_begins_nothing_anew() -> None:
+async def test_a_reload_during_shutdown_is_rejected() -> None:
     world = await World().start()
     world.node._reloader._read = lambda: replace(world.config(), discovery_address=(LOCAL, 9))
     task = world.node._endpoint_watcher._task
--- a/tests/test_operators.py
+++ b/tests/net/lifecycle/test_handover.py
@@ -1,4 +1,4 @@
-"""The operators' door and the replacing of a process, on loopback sockets."""
+"""The admin endpoint and the handover to a new process, on loopback sockets."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from tests.peers import LOCAL, Client, World, connect, scenario
 
 
-class Operated(World):
+class AdministeredWorld(World):
     """A router with a door."""
 
     def config(self) -> Any:
@@ -28,16 +28,16 @@
 
     async def figures(self) -> dict[str, int]:
         _, body = await self.ask("metrics")
-        return {name: int(value.partition("|")[0]) for name, _, value in map(split, body.split())}
+        return {name: int(value.partition("|")[0]) for name, _, value in map(split_metric, body.split())}
 
 
-def split(line: str) -> tuple[str, str, str]:
+def split_metric(line: str) -> tuple[str, str, str]:
     return line.removeprefix("edge_node.").partition(":")
 
 
 @scenario
-async def test_the_figures_are_what_the_peers_saw() -> None:
-    world = await Operated().start()
+async def test_metrics_agree_with_what_servers_received() -> None:
+    world = await AdministeredWorld().start()
     client = await world.client()
     client.get("1")
     (await world.cache.next()).reply_value(b"v")
@@ -61,8 +61,8 @@
 
 
 @scenario
-async def test_callers_that_stay_and_say_nothing_do_not_shut_the_door() -> None:
-    world = await Operated().start()
+async def test_silent_admin_connections_do_not_block_the_endpoint() -> None:
+    world = await AdministeredWorld().start()
     silent = [await connect(world.node.admin_pages.address) for _ in range(2 * MAX_CONNECTIONS)]
     for caller in silent[::2]:
         caller.send(b"GET /-/rea")
@@ -72,8 +72,8 @@
 
 
 @scenario
-async def test_a_second_process_serves_once_it_has_read_the_list() -> None:
-    world = await Operated().start()
+async def test_a_second_process_accepts_clients_once_it_has_the_endpoint_list() -> None:
+    world = await AdministeredWorld().start()
     second = Node(replace(world.config(), listen_address=world.address))
     second.start()
     listing = await world.discovery.next()
@@ -90,11 +90,11 @@
 
 
 @scenario
-async def test_the_second_process_does_with_the_known_list_while_there_is_no_other(
+async def test_the_second_process_uses_the_cached_list_after_the_timeout(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(handover, "ENDPOINT_LIST_TIMEOUT_SECONDS", 0.05)
-    world = await Operated().start()
+    world = await AdministeredWorld().start()
     known = {"version": 0, "full": True, "servers": world.rows()}
     second = Node(replace(world.config(), listen_address=world.address, cached_endpoint_list=known))
     second.start()
@@ -103,12 +103,12 @@
 
 
 @scenario
-async def test_the_process_that_ends_serves_all_who_came_before_its_listener_closed(
+async def test_the_draining_process_serves_all_clients_accepted_before_its_listener_closed(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(graceful_shutdown, "ACCEPT_SECONDS", 0.01)
     monkeypatch.setattr(graceful_shutdown, "MAX_IDLE_SECONDS", 1.5)
-    world = await Operated().start()
+    world = await AdministeredWorld().start()
     used, resting = await world.client(), await world.client()
     for client in (used, resting):
         client.send(b"mn\r\n")
--- a/tests/test_process.py
+++ b/tests/net/lifecycle/test_process.py
@@ -1,4 +1,4 @@
-"""The program as the deployment starts it: configuration, start and end."""
+"""The daemon as the deployment starts it: configuration, start, reload and shutdown."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 from tests.peers import LOCAL, Client, Peer, connect, read_http, scenario
 from tests.test_simhost import CONF
 
-ROOT = Path(__file__).parent.parent
+ROOT = Path(__file__).parents[3]
 
 
 # below the ports that the system deals out itself: one of those may be some other test's before a router that
@@ -118,7 +118,7 @@
 
 
 @scenario
-async def test_sigterm_answers_all_that_is_held_and_still_takes_what_comes(tmp_path: Path) -> None:
+async def test_after_sigterm_pending_requests_are_answered_and_new_ones_accepted(tmp_path: Path) -> None:
     cache, port = await Peer().start(), free_port()
     process, client = await start(tmp_path / "config.json", port, cache)
     idle = await connect((LOCAL, port))
@@ -142,7 +142,7 @@
 
 
 @scenario
-async def test_a_router_starts_again_under_its_address(tmp_path: Path) -> None:
+async def test_a_router_can_be_restarted_at_its_address(tmp_path: Path) -> None:
     cache, port = await Peer().start(), free_port()
     for name in "12":
         process, client = await start(tmp_path / "config.json", port, cache)
@@ -161,7 +161,7 @@
 
 @scenario
 @pytest.mark.parametrize("silent", ["watch", "list"])
-async def test_sighup_leaves_a_hung_discovery_for_the_new_one(silent: str, tmp_path: Path) -> None:
+async def test_sighup_relocates_from_a_hung_discovery(silent: str, tmp_path: Path) -> None:
     cache, other, path, port = (
         await Peer().start(),
         await Peer().start(),
@@ -199,7 +199,7 @@
         (None, "No such file"),
     ],
 )
-async def test_sighup_with_an_unusable_file_changes_nothing(
+async def test_sighup_with_an_unusable_file_is_rejected(
     text: str | None, mistake: str, tmp_path: Path
 ) -> None:
     cache, other, path, port = (
--- a/tests/test_restart.py
+++ b/tests/net/lifecycle/test_process_shutdown.py
@@ -1,4 +1,4 @@
-"""What a router that is told to end owes on each connection: idle, half a command, pipelined, unread."""
+"""Graceful shutdown of a process: idle, incomplete, pipelined and unread commands."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 from ironrail.net.lifecycle.graceful_shutdown import shutdown_schedule
 from ironrail.policy.settings import RequestClass, Settings
 
+from tests.net.lifecycle.test_process import free_port, start
 from tests.peers import LOCAL, Client, Peer, connect, scenario
-from tests.test_process import free_port, start
 
 
 def settings(*give_up: float) -> Settings:
@@ -33,7 +33,7 @@
 
 
 @scenario
-async def test_what_came_unread_is_answered_before_its_connection_closes(tmp_path: Path) -> None:
+async def test_unread_commands_are_answered_before_their_connection_closes(tmp_path: Path) -> None:
     """Closed behind the answer before it, the reset took both along: seen as the router was told to end."""
     cache, port = await Peer().start(), free_port()
     process, client = await start(tmp_path / "config.json", port, cache)
@@ -51,7 +51,7 @@
 
 
 @scenario
-async def test_commands_are_owed_their_answers_wherever_the_end_finds_them(tmp_path: Path) -> None:
+async def test_commands_are_answered_in_every_phase_of_the_shutdown(tmp_path: Path) -> None:
     cache, port = await Peer().start(), free_port()
     process, behind = await start(tmp_path / "config.json", port, cache)
     half, idle = await connect((LOCAL, port)), await connect((LOCAL, port))
@@ -90,7 +90,7 @@
 
 
 @scenario
-async def test_a_connection_that_stays_open_is_served_up_to_the_end(tmp_path: Path) -> None:
+async def test_an_open_connection_is_served_until_the_response_deadline(tmp_path: Path) -> None:
     """Clients send on it up to SIGKILL; whoever the end finds with a request has an answer, not a reset."""
     cache, port = await Peer().start(), free_port()
     process, client = await start(tmp_path / "config.json", port, cache)
--- a/tests/test_signals.py
+++ b/tests/net/lifecycle/test_signals.py
@@ -1,4 +1,4 @@
-"""Signals at the wrong moment, to the program as the deployment starts it."""
+"""Signals at unusual moments, to the daemon as the deployment starts it."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 
 import pytest
 
+from tests.net.lifecycle.test_process import config, free_port, served_by, spawn, start
 from tests.peers import LOCAL, Client, Peer, connect, read_http, scenario
-from tests.test_process import config, free_port, served_by, spawn, start
 
 
 def catches(pid: int, number: signal.Signals) -> bool:
@@ -31,9 +31,7 @@
 
 @scenario
 @pytest.mark.parametrize("number", [signal.SIGTERM, signal.SIGINT])
-async def test_one_told_to_end_before_it_is_ready_ends_in_order(
-    number: signal.Signals, tmp_path: Path
-) -> None:
+async def test_sigterm_before_readiness_exits_cleanly(number: signal.Signals, tmp_path: Path) -> None:
     """Half a second of imports and the first lines went by with no handler: it died of the signal."""
     process = await begin(tmp_path / "config.json", free_port())
     while not catches(process.pid, signal.SIGTERM):
@@ -46,7 +44,7 @@
 
 
 @scenario
-async def test_signals_that_go_on_coming_do_not_change_how_it_ends(tmp_path: Path) -> None:
+async def test_repeated_signals_do_not_change_the_shutdown(tmp_path: Path) -> None:
     """As the loop let go of its handlers the next one killed the process."""
     cache, port = await Peer().start(), free_port()
     process, client = await start(tmp_path / "config.json", port, cache)
@@ -73,7 +71,7 @@
 
 
 @scenario
-async def test_one_told_to_end_while_it_waits_to_take_over_ends_at_once(tmp_path: Path) -> None:
+async def test_sigterm_during_handover_exits_at_once(tmp_path: Path) -> None:
     cache, port, discovery = await Peer().start(), free_port(), await Peer(read_http).start()
     first, client = await start(tmp_path / "config.json", port, cache)
     path = tmp_path / "second.json"
@@ -90,9 +88,7 @@
 
 @scenario
 @pytest.mark.parametrize("says", ["answers", "refuses", "hangs", "is down"])
-async def test_a_process_is_ready_soon_whatever_discovery_does_and_says_whether_it_can_serve(
-    says: str, tmp_path: Path
-) -> None:
+async def test_a_process_answers_soon_whatever_discovery_does(says: str, tmp_path: Path) -> None:
     discovery, cache, port = await Peer(read_http).start(), await Peer().start(), free_port()
     address = f"{LOCAL}:{discovery.port}"
     if says == "is down":
--- a/tests/test_time_told.py
+++ b/tests/net/test_deadline_propagation.py
@@ -1,4 +1,4 @@
-"""The time that a server is told."""
+"""The remaining time of a request is passed on to the origin."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 @scenario
-async def test_the_origin_is_told_the_time_that_is_left() -> None:
+async def test_the_origin_receives_the_remaining_time() -> None:
     """It works on what its answer can still be used for, as a cache does."""
     world = await World().start()
     client = await world.client()
--- a/tests/test_node_input.py
+++ b/tests/net/test_malformed_commands.py
@@ -1,4 +1,4 @@
-"""A router on real sockets and what clients send it that is no command."""
+"""Malformed commands of clients, on real sockets."""
 
 from __future__ import annotations
 
@@ -51,7 +51,7 @@
         (b"ms k 1 O1 Pc=once,t=x\r\nv", b"CLIENT_ERROR missing d"),
     ],
 )
-async def test_a_bad_line_gets_an_error_line_and_goes_no_further(line: bytes, answer: bytes) -> None:
+async def test_a_malformed_command_gets_an_error_and_is_not_forwarded(line: bytes, answer: bytes) -> None:
     world = await World().start()
     client = await world.client()
     client.send(line + b"\r\n")
@@ -64,7 +64,7 @@
 
 
 @scenario
-async def test_where_there_are_no_tenants_no_request_has_to_name_one() -> None:
+async def test_a_request_names_no_tenant_where_none_are_configured() -> None:
     """As some customers have none: each of their requests was turned away."""
     assert not read_settings({"classes": [{"name": "read"}]}).names_tenants
     assert read_settings({"classes": [{"name": "read"}], "tenants": [{"name": "x"}]}).names_tenants
@@ -93,7 +93,7 @@
         (b"ms k 2 O1 " + P + b"\r\nvalue\r\n", b"CLIENT_ERROR bad data chunk"),
     ],
 )
-async def test_lost_framing_ends_the_connection(data: bytes, answer: bytes) -> None:
+async def test_lost_framing_closes_the_connection(data: bytes, answer: bytes) -> None:
     world = await World().start()
     client = await world.client()
     client.send(data)
@@ -104,7 +104,7 @@
 
 
 @scenario
-async def test_an_id_in_use_is_turned_down_and_the_first_is_served() -> None:
+async def test_a_duplicate_request_id_is_rejected_and_the_first_request_served() -> None:
     world = await World().start()
     client, other = await world.client(), await world.client()
     client.get("1")
--- a/tests/test_node.py
+++ b/tests/net/test_request_flow.py
@@ -1,4 +1,4 @@
-"""A whole router on loopback sockets: requests, connections, lists and bad input."""
+"""A whole router on loopback sockets: requests, retries, hedging and connections."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 @scenario
-async def test_a_hit_is_passed_on_as_it_was_given() -> None:
+async def test_a_cache_hit_is_forwarded_unchanged() -> None:
     world = await World().start()
     client = await world.client()
     client.send(b"mg page:7 v Oab Pc=read,t=x,d=5000,h=900,size=3,k=q\r\n")
@@ -27,7 +27,7 @@
 
 
 @scenario
-async def test_a_miss_goes_to_the_origin() -> None:
+async def test_a_cache_miss_is_retried_at_the_origin() -> None:
     world = await World().start()
     client = await world.client()
     client.get("1", key="page:7")
@@ -42,7 +42,7 @@
 
 
 @scenario
-async def test_a_write_goes_to_the_origin_and_gets_its_receipt() -> None:
+async def test_a_write_is_forwarded_to_the_origin_and_acknowledged() -> None:
     world = await World().start()
     client = await world.client()
     client.put("1", b"\r\nbody", key="a b?#%".replace(" ", "_"))
@@ -53,7 +53,7 @@
 
 
 @scenario
-async def test_pipelined_commands_are_begun_at_once_and_answered_in_order() -> None:
+async def test_pipelined_commands_start_at_once_and_are_answered_in_order() -> None:
     world = await World().start()
     client = await world.client()
     for name in "12":
@@ -69,7 +69,7 @@
 
 
 @scenario
-async def test_the_latest_idle_connection_is_used_again() -> None:
+async def test_the_latest_idle_connection_is_reused() -> None:
     world = await World().start()
     client = await world.client()
     for name in "123":
@@ -80,7 +80,7 @@
 
 
 @scenario
-async def test_a_late_reply_reaches_nobody_and_shifts_nothing() -> None:
+async def test_a_late_reply_is_dropped_and_shifts_no_other_reply() -> None:
     world = await World().start()
     client = await world.client()
     client.get("1", wait=60)
@@ -97,7 +97,7 @@
 
 
 @scenario
-async def test_the_answer_is_due_at_the_deadline_and_nothing_goes_out_afterwards() -> None:
+async def test_a_request_is_answered_at_its_deadline_and_not_retried_after() -> None:
     world = await World().start()
     client = await world.client()
     began = time.monotonic()
@@ -113,7 +113,7 @@
 
 
 @scenario
-async def test_without_a_server_a_request_is_refused_in_time() -> None:
+async def test_a_request_without_a_server_is_rejected_in_time() -> None:
     world = await World().start()
     await world.tell(full=True)
     client = await world.client()
@@ -124,7 +124,7 @@
 
 
 @scenario
-async def test_a_client_that_leaves_is_forgotten() -> None:
+async def test_requests_of_a_disconnected_client_are_dropped() -> None:
     world = await World().start()
     client = await world.client()
     client.get("1")
@@ -143,7 +143,7 @@
 
 
 @scenario
-async def test_an_unsafe_write_that_may_have_run_is_failed_and_not_sent_again() -> None:
+async def test_a_non_idempotent_write_that_may_have_run_fails_without_retry() -> None:
     world = await World().start()
     client = await world.client()
     for name, end in (("1", "reset"), ("2", "end")):
@@ -157,7 +157,7 @@
 
 
 @scenario
-async def test_an_unsafe_write_that_never_ran_is_sent_again_then_refused() -> None:
+async def test_a_non_idempotent_write_that_never_ran_is_retried_then_rejected() -> None:
     world = await World().start()
     client = await world.client()
     client.put("1", b"v", wait=900)
@@ -177,7 +177,7 @@
 
 
 @scenario
-async def test_the_first_of_two_copies_serves_and_the_other_reaches_nobody() -> None:
+async def test_the_first_reply_of_a_hedged_request_wins_and_the_other_is_dropped() -> None:
     read = RequestClass("read", latency_objective=0.1)  # overdue at half of it
     world = await World(classes={"read": read}, cache_aside=False).start()
     other = await Peer().start()
@@ -195,7 +195,7 @@
 
 
 @scenario
-async def test_values_of_the_largest_size_pass_whole() -> None:
+async def test_values_of_the_largest_size_are_forwarded_complete() -> None:
     world = await World(cache_aside=False).start()
     await world.tell(world.cache.row("c"), full=True)
     client = await world.client()
@@ -211,7 +211,7 @@
 
 
 @scenario
-async def test_no_more_is_read_from_a_client_that_does_not_read() -> None:
+async def test_a_client_that_reads_no_responses_is_not_read_from() -> None:
     world = await World().start()
     client = await world.client()
     client.writer.transport.pause_reading()  # type: ignore[attr-defined]
--- a/tests/readers_router.py
+++ b/tests/readers_router.py
@@ -17,8 +17,8 @@
 from ironrail.peers.steering.carried import place
 from ironrail.peers.steering.expected import Hall
 
+from tests.net.lifecycle.test_handover import AdministeredWorld
 from tests.peers import LOCAL, Client
-from tests.test_operators import Operated
 
 NORTH = [f"127.0.1.{n}" for n in range(1, 60)]
 ROW = {"here": 0.5, "there": 0.5}
@@ -26,7 +26,7 @@
 HERE = next(a for a in NORTH if place(ROW, a) == "here")
 
 
-class Read(Operated):
+class Read(AdministeredWorld):
     """One of two routers; the policy in force and halls' load are as a test has them."""
 
     def __init__(self, folder: Path, **peers: Any) -> None:
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -15,9 +15,9 @@
 import pytest
 from ironrail.rehearsal.routers import end_with_parent
 
+from tests.net.lifecycle.test_process import ROOT, config, free_port
+from tests.net.lifecycle.test_signals import reach
 from tests.peers import LOCAL, Client, Peer, connect, read_http, scenario
-from tests.test_process import ROOT, config, free_port
-from tests.test_signals import reach
 
 FEW = 64  # descriptors, the fewest that a configuration may name
 P = b"Pc=read,t=x,d=5000"
--- a/tests/test_operator.py
+++ b/tests/test_operator_file.py
@@ -1,4 +1,4 @@
-"""The operator's own file: what it sets, and what is wrong with one that can't be used."""
+"""The operator's file: its settings, and the messages for invalid ones."""
 
 from __future__ import annotations
 
@@ -31,11 +31,11 @@
     return str(path)
 
 
-def test_the_file_that_ships_sets_what_is_usual() -> None:
+def test_the_shipped_file_equals_the_defaults() -> None:
     assert read_operator(str(ROOT / "deploy" / "operator.toml")) == OperatorSettings()
 
 
-def test_what_a_file_sets(tmp_path: Path) -> None:
+def test_settings_of_a_file(tmp_path: Path) -> None:
     got = read_operator(written(tmp_path, "[connections]\nper_cache = 8\ndepth = 1\n"))
     assert got == OperatorSettings(ConnectionSettings(per_router=8, max_in_flight=1))
     assert read_operator(written(tmp_path, "")) == OperatorSettings()
@@ -70,7 +70,7 @@
         ("#" * 100_000, "larger than"),
     ],
 )
-def test_a_broken_file_has_one_clear_message(
+def test_an_invalid_file_is_rejected_with_one_clear_message(
     text: str, message: str, tmp_path: Path, capfd: pytest.CaptureFixture[str]
 ) -> None:
     path = written(tmp_path, text)
@@ -82,13 +82,13 @@
     assert err.count("\n") == 1 and message in err
 
 
-def test_a_file_that_is_not_there(tmp_path: Path) -> None:
+def test_a_missing_file_is_rejected(tmp_path: Path) -> None:
     with pytest.raises(OperatorError, match="No such file"):
         read_operator(str(tmp_path / "x.toml"))
 
 
 @scenario
-async def test_connections_and_their_depth_follow_the_file() -> None:
+async def test_connection_limits_follow_the_file() -> None:
     node = Node(World().config(), OperatorSettings(ConnectionSettings(per_router=5, max_in_flight=3)))
     cache = node._pool_factory.make(Endpoint("c", kind="std"), ("127.0.0.1", 1)).upstream
     origin = node._pool_factory.make(Endpoint("o", kind="origin"), ("127.0.0.1", 1)).upstream
@@ -97,7 +97,7 @@
 
 
 @scenario
-async def test_without_a_number_a_router_takes_its_share_of_a_cache_s_places() -> None:
+async def test_by_default_a_router_takes_its_quota_of_a_caches_connections() -> None:
     settings = World().config().settings
     for routers, each in ((3, 12), (4, 9)):
         config = replace(World().config(), settings=replace(settings, router_count=routers))
