--- a/benchmarks/halls_worlds.py
+++ b/benchmarks/halls_worlds.py
@@ -146,7 +146,7 @@
                         state = LinkState.CUT if cut else LinkState.SLOW
                 links[other] = ZoneLink(state, trip, trip, 0.0, 0.0)
             node = self._routers[name].node  # type: ignore[attr-defined]
-            node._host.guide(ZoneLinksChanged(links))
+            node._dispatcher.guide(ZoneLinksChanged(links))
 
     def _there(self, hall: str) -> str:
         return next(
--- a/ironrail/access_log/pseudonyms.py
+++ b/ironrail/access_log/pseudonyms.py
@@ -1,4 +1,4 @@
-"""Keyed hashes in place of identifiers, so that a log names nobody."""
+"""Keyed hashes in place of identifiers."""
 
 from __future__ import annotations
 
--- a/ironrail/cli.py
+++ b/ironrail/cli.py
@@ -11,9 +11,7 @@
     import click
 
 
-def _commands() -> click.Group:
-    import click  # noqa: PLC0415
-
+def _add_kit_commands(group: click.Group) -> None:
     from ironrail.recorded.command import trace  # noqa: PLC0415
     from ironrail.rehearsal.command import pipeline_report  # noqa: PLC0415
     from ironrail.rehearsal.experiments.command import experiment  # noqa: PLC0415
@@ -21,6 +19,13 @@
     from ironrail.rehearsal.virtual.command import explore  # noqa: PLC0415
     from ironrail.rehearse import rehearse  # noqa: PLC0415
 
+    for command in (rehearse, pipeline_report, explore, experiment, fleet, trace):
+        group.add_command(command)
+
+
+def _commands() -> click.Group:
+    import click  # noqa: PLC0415
+
     @click.group(
         context_settings={"help_option_names": ["-h", "--help"]},
         epilog="Example: ironrail rehearse calm --seed 7",
@@ -40,12 +45,7 @@
 
         sys.exit(daemon(["--operator", operator] if operator else []))
 
-    ironrail.add_command(rehearse)
-    ironrail.add_command(pipeline_report)
-    ironrail.add_command(explore)
-    ironrail.add_command(experiment)
-    ironrail.add_command(fleet)
-    ironrail.add_command(trace)
+    _add_kit_commands(ironrail)
     return ironrail
 
 
--- a/ironrail/net/access_log_writer.py
+++ b/ironrail/net/access_log_writer.py
@@ -103,12 +103,16 @@
             outcome: How it ended.
             value_bytes: Size of the value in its response; 0 if there is none.
         """
+        idempotency_key = command.fields.get("k", "")
+        if self._buffer.samples(idempotency_key.encode() or command.request_id):
+            self._buffer.add(self._record(command, duration, outcome, value_bytes))
+
+    def _record(
+        self, command: Command, duration: float, outcome: RequestOutcome, value_bytes: int
+    ) -> AccessRecord:
         fields = command.fields
-        idempotency_key = fields.get("k", "")
-        if not self._buffer.samples(idempotency_key.encode() or command.request_id):
-            return
         hint = read_figure(fields, "h")
-        record = AccessRecord(
+        return AccessRecord(
             started_at=self._system.wall() - duration,
             duration=duration,
             request_class=fields["c"],
@@ -117,11 +121,10 @@
             value_bytes=value_bytes or len(command.value or b""),
             is_write=command.write,
             outcome=outcome,
-            idempotency_key=idempotency_key,
+            idempotency_key=fields.get("k", ""),
             expected_seconds=0.0 if hint is None else hint / MICROSECONDS_PER_SECOND,
             is_retry=fields.get("r") == "1",
         )
-        self._buffer.add(record)
 
     def reopen(self) -> None:
         """Open the file anew, after it was moved away."""
--- a/ironrail/net/discovery/endpoint_list.py
+++ b/ironrail/net/discovery/endpoint_list.py
@@ -54,12 +54,12 @@
     ) -> EndpointListMessage:
         """Parse one message as a whole.
 
-        A full list may have any version: a discovery that lost its own starts numbering again.
+        A full list may have any version, as a restarted discovery may number anew.
 
         Args:
             message: The decoded JSON document.
             kind: Kind of the update; None takes it from the message.
-            min_delta_version: Lowest version of a delta; infinity rejects every delta.
+            min_delta_version: Lowest version of a delta; infinity rejects all.
 
         Raises:
             EndpointListError: The message can't be used; nothing of it was taken.
@@ -73,18 +73,20 @@
             raise EndpointListError(f"malformed list: {error!r}") from error
         if kind is EndpointListKind.DELTA and version < min_delta_version:
             raise EndpointListError(f"delta to version {version} doesn't apply to the current list")
-        endpoints = tuple(endpoint for endpoint, _ in rows)
-        self._forget_removed(kind, endpoints)
+        update = EndpointListUpdate(kind, tuple(endpoint for endpoint, _ in rows))
+        self._forget_removed(update)
         addresses = {endpoint.name: address for endpoint, address in rows}
-        return EndpointListMessage(version, EndpointListUpdate(kind, endpoints), addresses)
+        return EndpointListMessage(version, update, addresses)
 
-    def _forget_removed(self, kind: EndpointListKind, endpoints: tuple[Endpoint, ...]) -> None:
+    def _forget_removed(self, update: EndpointListUpdate) -> None:
         """Drop start times of servers that are no longer listed; bounds memory."""
         removed = {
-            endpoint.name for endpoint in endpoints if endpoint.state is EndpointState.REMOVED
+            endpoint.name
+            for endpoint in update.endpoints
+            if endpoint.state is EndpointState.REMOVED
         }
-        if kind is not EndpointListKind.DELTA:
-            removed |= self._start_times.keys() - {endpoint.name for endpoint in endpoints}
+        if update.kind is not EndpointListKind.DELTA:
+            removed |= self._start_times.keys() - {endpoint.name for endpoint in update.endpoints}
         for name in removed & self._start_times.keys():
             del self._start_times[name]
 
--- a/ironrail/net/lifecycle/graceful_shutdown.py
+++ b/ironrail/net/lifecycle/graceful_shutdown.py
@@ -77,7 +77,7 @@
     async def run(self, is_served_by_other: Callable[[], bool]) -> None:
         """Return once all connections are closed, or at `exit_at`.
 
-        `is_served_by_other` tells whether another process listens at the address; it is called
+        `is_served_by_other` returns whether another process listens at the address; it is called
         once this process does not.
         """
         await self._sleep_until(self.schedule.accept_until)
--- a/ironrail/net/lifecycle/node.py
+++ b/ironrail/net/lifecycle/node.py
@@ -71,19 +71,30 @@
         self._is_listening = False
         self._shutdown_requested_at: float | None = None  # at the earliest, on the system's clock
         self._handover = Handover(self._listen)
+        self._assemble(operator, read_latest_config)
+        self.peer_runtime = self._make_peer_runtime(operator, store)
+        self._apply_cached_list()
+
+    def _assemble(
+        self, operator: OperatorSettings, read_latest_config: Callable[[], Config]
+    ) -> None:
+        config = self._config
+        system = self._system
         diagnostics = DaemonDiagnostics()
-        reader = EndpointListReader(system)
-        self._endpoint_watcher = make_watcher(config, reader, diagnostics.list_calls)
+        self._list_reader = EndpointListReader(system)
+        self._endpoint_watcher = make_watcher(config, self._list_reader, diagnostics.list_calls)
         self._reloader = ConfigReloader(config, read_latest_config, self._endpoint_watcher.relocate)
         self._access_log = make_access_log(config, operator, system)
         self._pool_factory = PoolFactory(
             config, operator, system, self._attempt_written, self._link_observer
         )
-        self._host = self._make_dispatcher(diagnostics)
-        self._clients = make_client_listener(config, self._host, self._can_serve, system)
-        self.peer_runtime = self._make_peer_runtime(operator, store)
-        self.admin_pages = AdminPages(self._host, self._clients, lambda: self._is_listening)
-        self._apply_cached_list(reader)
+        self._dispatcher = self._make_dispatcher(diagnostics)
+        self._client_listener = make_client_listener(
+            config, self._dispatcher, self._can_serve, system
+        )
+        self.admin_pages = AdminPages(
+            self._dispatcher, self._client_listener, lambda: self._is_listening
+        )
 
     def _make_dispatcher(self, diagnostics: DaemonDiagnostics) -> RequestDispatcher:
         config = self._config
@@ -107,26 +118,30 @@
         # imported late: saves memory without peers
         from ironrail.net.peers.runtime import PeerRuntime  # noqa: PLC0415
 
-        runtime = PeerRuntime(self._config, operator, self._system, self._host.guide, store)
-        self._host.before = runtime.check
-        runtime.serve(self._clients)
+        runtime = PeerRuntime(self._config, operator, self._system, self._dispatcher.guide, store)
+        self._dispatcher.before = runtime.check
+        runtime.serve(self._client_listener)
         return runtime
 
-    def _apply_cached_list(self, reader: EndpointListReader) -> None:
+    def _apply_cached_list(self) -> None:
         """Use the endpoint list of the configuration until discovery answers."""
         if self._config.cached_endpoint_list is None:
             return
         try:
-            cached = reader.read(self._config.cached_endpoint_list, EndpointListKind.CACHED)
+            cached = self._list_reader.read(
+                self._config.cached_endpoint_list, EndpointListKind.CACHED
+            )
         except EndpointListError as error:
             raise ConfigError(str(error), "known") from error
         self._apply_list_update(cached.update, cached.addresses)
 
     def _can_serve(self) -> bool:
-        return self._host.can_serve() and (self.peer_runtime is None or self.peer_runtime.ready())
+        return self._dispatcher.can_serve() and (
+            self.peer_runtime is None or self.peer_runtime.ready()
+        )
 
     def _attempt_written(self) -> None:
-        self._host.figures.attempt_written()
+        self._dispatcher.figures.attempt_written()
 
     def _link_observer(self, zone: str) -> LinkObserver | None:
         return self.peer_runtime.watch(zone) if self.peer_runtime is not None else None
@@ -149,12 +164,12 @@
         return address
 
     def _listen(self) -> Address:
-        address = self._clients.listen(self._config.listen_address)
+        address = self._client_listener.listen(self._config.listen_address)
         self._is_listening = True
         return address
 
     def _apply_list_update(self, update: EndpointListUpdate, addresses: dict[str, Address]) -> None:
-        self._host.servers(update, addresses)
+        self._dispatcher.servers(update, addresses)
         if self.peer_runtime is not None:
             self.peer_runtime.servers(update)
         if update.kind is EndpointListKind.FULL:
@@ -181,7 +196,7 @@
 
         def request_shutdown() -> None:
             if not shutdown_requested.is_set():
-                self._shutdown_requested_at = self._host.monitor.earliest_event()
+                self._shutdown_requested_at = self._dispatcher.monitor.earliest_event()
                 shutdown_requested.set()
 
         for number in (signal.SIGTERM, signal.SIGINT):
@@ -192,14 +207,14 @@
 
     def reload(self) -> None:
         """Read the configuration again, unless the router is shutting down."""
-        if self._clients.places.draining:
+        if self._client_listener.places.draining:
             log.info("reload_rejected", extra={"error": "the router is shutting down"})
             return
         self._reloader.reload()
 
     async def stop(self) -> None:
         """Shut down gracefully: answer all pending requests, then close every part."""
-        self._clients.drain()
+        self._client_listener.drain()
         self._handover.cancel()
         if self._is_listening:
             await self._shut_down_gracefully()
@@ -213,7 +228,7 @@
         now = self._system.now
         requested_at = self._shutdown_requested_at
         shutdown = GracefulShutdown(
-            self._clients,
+            self._client_listener,
             shutdown_schedule(self._config.settings),
             now,
             started_at=now() if requested_at is None else requested_at,
--- a/ironrail/rehearsal/virtual/ground.py
+++ b/ironrail/rehearsal/virtual/ground.py
@@ -133,7 +133,7 @@
             self.node = Node(
                 self._config(), self._ground.operator, self._ground.system_of(self.name), self._config
             )
-            host = self.node._host
+            host = self.node._dispatcher
             host._router = Tap(host._router, self._ground.decided)  # type: ignore[assignment]
             await self.node.serve()
         except Exception as e:
--- a/ironrail/rehearsal/virtual/invariants.py
+++ b/ironrail/rehearsal/virtual/invariants.py
@@ -33,7 +33,7 @@
 
 
 def _of_node(node: Node) -> Iterator[tuple[str, str]]:
-    host, clients = node._host, node._clients
+    host, clients = node._dispatcher, node._client_listener
     policy = host._router
     yield from _of_guard(host.diagnostics.invariants)
     if host._held:
@@ -90,7 +90,7 @@
 def _descriptors(router: Any) -> Iterator[tuple[str, str]]:
     """What the process has open beyond what its parts know of."""
     node = router.node
-    host, clients = node._host, node._clients
+    host, clients = node._dispatcher, node._client_listener
     known = len(clients._connections) + len(clients._opening)
     known += sum(len(pool._connections) + len(pool._dialling) for pool in host._pools.values())
     there = len(router.process.sockets)
--- a/tests/diagnostics/test_invariants.py
+++ b/tests/diagnostics/test_invariants.py
@@ -164,8 +164,8 @@
     client.get("1")
     (await world.cache.next()).reply_value(b"v")  # its connection rests from now on
     assert await client.value("1") == b"v"
-    world.node._host._pools["c"].upstream.ready = False  # and the policy does not know
+    world.node._dispatcher._pools["c"].upstream.ready = False  # and the policy does not know
     client.get("2", wait=200)
     assert (await client.line()).startswith(b"SERVER_ERROR")
-    assert world.node._host.diagnostics.invariants.violations[Violation.SENT_TO_DRAINED] > 0
+    assert world.node._dispatcher.diagnostics.invariants.violations[Violation.SENT_TO_DRAINED] > 0
     assert world.cache.messages.empty()
--- a/tests/diagnostics/test_request_log.py
+++ b/tests/diagnostics/test_request_log.py
@@ -19,7 +19,7 @@
     await world.cache.next()
     time.sleep(0.2)  # the loop does not turn meanwhile: its deadline passes
     await client.line()
-    diagnostics = world.node._host.diagnostics
+    diagnostics = world.node._dispatcher.diagnostics
     assert diagnostics.late_answers == 1
     assert diagnostics.rejections[RejectionReason.DEADLINE_EXCEEDED] == 1
     [record] = [r for r in caplog.records if r.message == "request_answered_late"]
@@ -27,7 +27,7 @@
     assert fields["request"] == "late" and fields["age"] >= 0.2
     assert [text.split()[0] for text in fields["attempts"]] == ["c"]
     assert any(r.message == "event_loop_held_up" for r in caplog.records)
-    metrics = world.node._host.metrics().decode()
+    metrics = world.node._dispatcher.metrics().decode()
     assert "edge_node.answered_late:1|c" in metrics and "edge_node.refused.time_up:1|c" in metrics
 
 
@@ -35,7 +35,7 @@
 async def test_retries_closes_and_list_calls_are_counted_by_reason(caplog: pytest.LogCaptureFixture) -> None:
     caplog.set_level(logging.INFO)
     world = await World().start()
-    diagnostics = world.node._host.diagnostics
+    diagnostics = world.node._dispatcher.diagnostics
     assert diagnostics.list_calls[ListCallResult.ANSWERED] == 1
     client = await world.client()
     client.get("1")
--- a/tests/net/discovery/test_endpoint_list_updates.py
+++ b/tests/net/discovery/test_endpoint_list_updates.py
@@ -171,7 +171,7 @@
     )
     monkeypatch.setattr(discovery_freshness, "POLL_SPREAD_RATIO", 0.0)  # of the first call
     await world.start()
-    world.node._host._router.discovery_freshness.poll_spread = 600.0
+    world.node._dispatcher._router.discovery_freshness.poll_spread = 600.0
     half = orjson.dumps({"version": 2, "full": True, "servers": world.rows()})[:-9]
     head = b"HTTP/1.1 200 X\r\nContent-Length: %d\r\n\r\n" % (len(half) + 9)
     if how in ("stops short", "breaks off"):
--- a/tests/net/discovery/test_watch_events.py
+++ b/tests/net/discovery/test_watch_events.py
@@ -161,7 +161,7 @@
 async def test_requests_behind_a_slow_connect_are_rerouted_once_the_server_drains(gone: bool) -> None:
     world = await World(connect_timeout=5.0).start()
     other, client = await Peer().start(), await world.client()
-    pool = world.node._host._pools["c"]
+    pool = world.node._dispatcher._pools["c"]
     gate = pool._loop = Gate(pool._loop)  # type: ignore[assignment]
     for name in "12":
         client.get(name, key=f"k{name}")
--- a/tests/net/discovery/test_watch_timeout.py
+++ b/tests/net/discovery/test_watch_timeout.py
@@ -52,7 +52,7 @@
         slow_start_duration=600.0,
         router_index=1,
     ).start()
-    world.node._host._router.discovery_freshness.poll_spread = 600.0
+    world.node._dispatcher._router.discovery_freshness.poll_spread = 600.0
     over = time.monotonic() + 0.2
     assert (await world.discovery.next()).head == b"GET /api/targets"  # silent as well
     assert 0.4 < time.monotonic() - over < 0.95  # 1 s is the patience with a usual call
--- a/tests/net/discovery/update_recorder.py
+++ b/tests/net/discovery/update_recorder.py
@@ -66,7 +66,7 @@
 async def take_full_list(
     peer: Peer, told: UpdateRecorder, version: int = 1, row: dict[str, Any] = ROW
 ) -> Message:
-    """Answer the call for the whole list; the watch that watcher."""
+    """Answer the request for the full list; return the watch that follows."""
     call = await peer.next()
     assert call.head == b"GET /api/targets"
     call.respond_list(version, row)
--- a/tests/net/lifecycle/test_graceful_shutdown.py
+++ b/tests/net/lifecycle/test_graceful_shutdown.py
@@ -74,7 +74,7 @@
     client.get("held", wait=400)
     await world.cache.next()
     client.send(b"".join(b"mg k v Or%d Pc=read,t=x,d=400\r\n" % n for n in range(300)))
-    end_all, late = world.node._host.end_all, 0
+    end_all, late = world.node._dispatcher.end_all, 0
 
     def end() -> None:
         nonlocal late
@@ -86,10 +86,10 @@
             client.writer.transport.write(writes)
         end_all()
 
-    monkeypatch.setattr(world.node._host, "end_all", end)
+    monkeypatch.setattr(world.node._dispatcher, "end_all", end)
     await world.node.stop()
     # here the process ends: all is answered, and said to be over
-    assert late and not world.node._host._held and not world.node._clients.all()
+    assert late and not world.node._dispatcher._held and not world.node._client_listener.all()
     for _ in range(301 + late):
         assert (await client.line()).startswith(b"SERVER_ERROR ")
     assert await client.ended()
@@ -106,13 +106,13 @@
     def look() -> None:
         nonlocal looked
         looked += 1
-        world.node._clients.end_waiting(True)
+        world.node._client_listener.end_waiting(True)
         if looked < 2000:
             loop.call_soon(look)
 
     loop = asyncio.get_running_loop()
     loop.call_soon(look)
-    world.node._clients.drain()
+    world.node._client_listener.drain()
     for _ in range(most + 2):
         assert await client.line() == b"SERVER_ERROR not ready\r\n"
 
@@ -122,7 +122,7 @@
     world = await World().start()
     client = await world.client()
     client.writer.transport.pause_reading()  # type: ignore[attr-defined]
-    connection, n = world.node._clients.all()[0], 0
+    connection, n = world.node._client_listener.all()[0], 0
     while not connection.transport.get_write_buffer_size():
         client.get(str(n))
         (await world.cache.next()).reply_value(b"x" * 65536)
@@ -179,7 +179,7 @@
     world = await World().start()
     world.node._reloader._read = lambda: replace(world.config(), discovery_address=(LOCAL, 9))
     task = world.node._endpoint_watcher._task
-    world.node._clients.drain()
+    world.node._client_listener.drain()
     world.node.reload()
     assert (
         world.node._endpoint_watcher._task is task and world.node._reloader.config.discovery_address[1] != 9
--- a/tests/outcomes/test_breaks.py
+++ b/tests/outcomes/test_breaks.py
@@ -179,7 +179,7 @@
     client.put("1", b"v")
     got = await world.origin.next()
     client.close()
-    host = world.node._host
+    host = world.node._dispatcher
     await until(lambda: not host._held)
     origin = host._router.servers["o"]
     assert origin.in_flight == 1 and host._open  # it is still worked on
--- a/tests/outcomes/test_nobody_waits.py
+++ b/tests/outcomes/test_nobody_waits.py
@@ -141,22 +141,22 @@
     client = await world.client()
     many = session_manager.MOST_PIPELINED + 8
     client.send(b"".join(b"ms k 1 O%d Pc=once,t=x,d=5000\r\nv\r\n" % n for n in range(many)))
-    await until(lambda: len(world.node._clients.places))
-    (place,) = world.node._clients.places
+    await until(lambda: len(world.node._client_listener.places))
+    (place,) = world.node._client_listener.places
     await until(lambda: not place.reading)
     sent = [await world.origin.next()]
-    origin = world.node._host._router.servers["o"]
+    origin = world.node._dispatcher._router.servers["o"]
     await until(lambda: len(sent) + world.origin.messages.qsize() == origin.in_flight)
     out = origin.in_flight
-    assert len(world.node._host._held) == session_manager.MOST_PIPELINED > out
-    (connection,) = world.node._clients.all()
+    assert len(world.node._dispatcher._held) == session_manager.MOST_PIPELINED > out
+    (connection,) = world.node._client_listener.all()
     client.writer.write_eof()
     await until(connection.left, False)
     for _ in range(out):
         (sent.pop() if sent else await world.origin.next()).respond(b"r")
-    await until(lambda: not world.node._host._held and not origin.in_flight)
+    await until(lambda: not world.node._dispatcher._held and not origin.in_flight)
     assert world.origin.messages.empty()
-    assert not world.node._host._open and not world.node._host._router.attempts_in_flight
+    assert not world.node._dispatcher._open and not world.node._dispatcher._router.attempts_in_flight
     assert origin.consecutive_losses == 0
 
 
@@ -201,7 +201,7 @@
     client = await world.client()
     client.get("1")
     got = await world.cache.next()
-    host = world.node._host
+    host = world.node._dispatcher
     held = host._held["1"]
     pool = host._pools["o"]
     late = Attempt("1", 1, REAL.now(), held.deadline, held.command, host._on_outcome)
--- a/tests/readers_router.py
+++ b/tests/readers_router.py
@@ -50,7 +50,7 @@
         return self.node.peer_runtime.readers
 
     def connections(self) -> list[ClientConnection]:
-        return self.node._clients.all()
+        return self.node._client_listener.all()
 
     async def served(self, client: Client, name: str) -> None:
         client.get(name)
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -17,7 +17,7 @@
 async def crowded(most: int) -> World:
     """A router that takes so many connections."""
     world = await World().start()
-    world.node._clients.places.most = most
+    world.node._client_listener.places.most = most
     return world
 
 
@@ -75,7 +75,7 @@
     client = await world.client()
     client.send(b"mg k v O1 " + P + b"\r\nmg k v O2")
     got = await world.cache.next()
-    while not any(place.used and place.ending for place in world.node._clients.places):
+    while not any(place.used and place.ending for place in world.node._client_listener.places):
         await asyncio.sleep(0)
     got.reply_value(b"v")
     assert await client.value("1") == b"v"
@@ -158,11 +158,11 @@
 @scenario
 async def test_the_connection_used_last_stays_whatever_the_number_of_busy_ones() -> None:
     world = await World(sockets=64).start()
-    kept = world.node._clients.places.kept
+    kept = world.node._client_listener.places.kept
     busy = [await world.client() for _ in range(kept + 2)]
     for n, client in enumerate(busy):
         client.put(str(n), b"v")  # which the module holds till the origin has answered
-    while len(world.node._host._held) < len(busy):
+    while len(world.node._dispatcher._held) < len(busy):
         await asyncio.sleep(0)
     last = await world.client()
     for _ in "12":
--- a/tests/test_clients_ends.py
+++ b/tests/test_clients_ends.py
@@ -30,7 +30,7 @@
     client = await world.client()
     client.writer.transport.pause_reading()  # type: ignore[attr-defined]
     n = 0
-    while len(world.node._clients.places):
+    while len(world.node._client_listener.places):
         if n < 400:
             client.get(str(n))
             n += 1
@@ -50,7 +50,7 @@
     async def answer() -> None:
         while True:
             message = await world.origin.next()
-            assert len(world.node._host._held) <= session_manager.MOST_PIPELINED
+            assert len(world.node._dispatcher._held) <= session_manager.MOST_PIPELINED
             message.respond(b"r")
 
     task = asyncio.ensure_future(answer())
@@ -87,7 +87,7 @@
     client.get("1")
     got = await world.cache.next()
     client.send(b"ms k 60000000 O2 " + P + b"\r\n" + b"x" * 60_000_000)
-    place = next(iter(world.node._clients.places))
+    place = next(iter(world.node._client_listener.places))
     await until(lambda: place.ending)
     got.reply_value(b"v")
     assert await client.value("1") == b"v"
--- a/tests/test_clients_left.py
+++ b/tests/test_clients_left.py
@@ -32,7 +32,7 @@
     client = await world.client()
     most = session_manager.MOST_PIPELINED
     client.send(b"".join(b"mg k v O%d " % n + P + b"\r\n" for n in range(most)))
-    connection: ClientConnection = world.node._clients.all()[0]
+    connection: ClientConnection = world.node._client_listener.all()[0]
     await until(lambda: not connection.place.reading)
     client.send(b"mg k v Omore " + P + b"\r\n")
     await until(world.node._system.unread(connection.transport))
--- a/tests/test_clients_linger.py
+++ b/tests/test_clients_linger.py
@@ -20,8 +20,8 @@
     assert await is_ready(client)
     connection_of(world).shut()
     assert await client.reader.read() == b""
-    await until(lambda: not world.node._clients._connections)
-    assert not len(world.node._clients.lingering)
+    await until(lambda: not world.node._client_listener._connections)
+    assert not len(world.node._client_listener.lingering)
 
 
 @scenario
@@ -30,13 +30,13 @@
     crowd = [await world.client() for _ in range(4)]
     for client in crowd:
         assert await is_ready(client)
-    world.node._clients.lingering.most = 2
-    first, second, third, _ = world.node._clients.all()
+    world.node._client_listener.lingering.most = 2
+    first, second, third, _ = world.node._client_listener.all()
     for connection in (first, second, third):
         connection.shut()
-    await until(lambda: len(world.node._clients._connections) == 3)
-    assert first not in world.node._clients.lingering
-    assert second in world.node._clients.lingering and third in world.node._clients.lingering
+    await until(lambda: len(world.node._client_listener._connections) == 3)
+    assert first not in world.node._client_listener.lingering
+    assert second in world.node._client_listener.lingering and third in world.node._client_listener.lingering
     assert await is_ready(crowd[3])
 
 
@@ -58,10 +58,10 @@
         n += 1
     client.get("waits")
     await world.cache.next()
-    assert list(world.node._host._held) == ["waits"]
+    assert list(world.node._dispatcher._held) == ["waits"]
     client.writer.write_eof()
-    await until(lambda: not world.node._host._held)  # at once: it has gone
-    await until(lambda: not world.node._clients._connections)
+    await until(lambda: not world.node._dispatcher._held)  # at once: it has gone
+    await until(lambda: not world.node._client_listener._connections)
 
 
 @scenario
@@ -83,7 +83,7 @@
         n += 1
     assert connection.place.unread_since is None
     monkeypatch.setattr(session_manager, "IDLE", 0.1)
-    await until(lambda: not world.node._clients._connections)
+    await until(lambda: not world.node._client_listener._connections)
 
 
 @pytest.mark.parametrize("sockets", [64, 65, 100, 256, 384, 1024, 4096])
--- a/tests/test_clients_shut.py
+++ b/tests/test_clients_shut.py
@@ -18,7 +18,7 @@
 
 
 def connection_of(world: World) -> ClientConnection:
-    return world.node._clients.all()[0]
+    return world.node._client_listener.all()[0]
 
 
 async def crosses(world: World, client: Client, monkeypatch: pytest.MonkeyPatch) -> None:
@@ -41,7 +41,7 @@
     """It sees an end, no reset, and nothing that it asked for was sent on."""
     assert await client.reader.read() == b""  # a reset would raise
     client.close()
-    await until(lambda: not len(world.node._clients.lingering))
+    await until(lambda: not len(world.node._client_listener.lingering))
     assert world.cache.messages.empty()
 
 
@@ -54,8 +54,8 @@
     client = await world.client()
     assert await is_ready(client)
     await crosses(world, client, monkeypatch)
-    world.node._clients.drain()
-    world.node._clients.end_waiting(False)
+    world.node._client_listener.drain()
+    world.node._client_listener.end_waiting(False)
     await ends_in_order(client, world)
 
 
@@ -67,7 +67,7 @@
     client = await world.client()
     client.get("0")
     got = await world.cache.next()
-    world.node._clients.drain()
+    world.node._client_listener.drain()
     await crosses(world, client, monkeypatch)
     got.reply_value(b"v" * 60_000)
     assert await client.value("0") == b"v" * 60_000
@@ -79,10 +79,10 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     world = await World().start()
-    world.node._clients.places.kept = 0
+    world.node._client_listener.places.kept = 0
     client, other = await world.client(), await world.client()
     assert await is_ready(client)
-    world.node._clients.places._back = 0.0
+    world.node._client_listener.places._back = 0.0
     await crosses(world, client, monkeypatch)
     assert await is_ready(other)
     await ends_in_order(client, world)
@@ -125,8 +125,8 @@
     assert await is_ready(client)
     await crosses(world, client, monkeypatch)
     await asyncio.sleep(0.01)  # a timer's turn of the loop: what comes is looked for before the next one
-    world.node._clients.drain()
-    world.node._clients.end_waiting(False)
+    world.node._client_listener.drain()
+    world.node._client_listener.end_waiting(False)
     await ends_in_order(client, world)
     assert states in ([ESTABLISHED, FIN_WAIT2], [ESTABLISHED, FIN_WAIT1])
 
@@ -136,7 +136,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     world = await World().start()
-    places = world.node._clients.places
+    places = world.node._client_listener.places
     places.most = 1
     client = await world.client()
     assert await is_ready(client)
@@ -157,7 +157,7 @@
 async def test_one_that_is_turned_away_reads_so_though_it_has_asked() -> None:
     """A close over its unread request was a reset, which took the line along."""
     world = await World().start()
-    world.node._clients.places.most = 0
+    world.node._client_listener.places.most = 0
     raw = socket.create_connection(world.address)
     raw.sendall(ASKED * 20)  # before it is accepted
     client = Client(*await asyncio.open_connection(sock=raw))
@@ -165,7 +165,7 @@
     assert await client.line() == b"SERVER_ERROR too many connections\r\n"
     assert await client.ended()
     client.close()
-    await until(lambda: not len(world.node._clients.lingering))
+    await until(lambda: not len(world.node._client_listener.lingering))
 
 
 @scenario
@@ -173,7 +173,7 @@
     world = await World().start()
     client = await world.client()
     client.send(b"ms k x O1 " + P + b"\r\n" + b"x" * 600_000)
-    await until(lambda: len(world.node._clients.lingering))
+    await until(lambda: len(world.node._client_listener.lingering))
     await client.writer.drain()
     assert (await client.line()).startswith(b"CLIENT_ERROR ")
     assert await client.ended()  # in order: all that was sent was read
@@ -186,13 +186,13 @@
     client, other = await world.client(), await world.client()
     client.get("1")
     await world.cache.next()
-    connection = next(c for c in world.node._clients.all() if c.place.open)
+    connection = next(c for c in world.node._client_listener.all() if c.place.open)
     connection.eof_received()
-    assert not world.node._host._held
+    assert not world.node._dispatcher._held
     other.put("1", b"v")
     got = await world.origin.next()
     connection.transport.abort()
-    await until(lambda: connection not in world.node._clients._connections.values())
+    await until(lambda: connection not in world.node._client_listener._connections.values())
     got.respond(b"r")
     assert (await other.line()).startswith(b"HD O1 ")
 
@@ -203,7 +203,7 @@
     client = await world.client()
     client.get("1")
     got = await world.cache.next()
-    links = [c for pool in world.node._host._pools.values() for c in pool._connections.values()]
+    links = [c for pool in world.node._dispatcher._pools.values() for c in pool._connections.values()]
     assert links
     for transport in (connection_of(world).transport, *(link.transport for link in links)):
         raw = transport.get_extra_info("socket")
--- a/tests/test_long_values.py
+++ b/tests/test_long_values.py
@@ -29,12 +29,12 @@
     client, got = await asked(world)
     client.reader._transport.pause_reading()  # type: ignore[attr-defined]
     client.writer.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 65536)
-    for connection in world.node._clients._connections.values():
+    for connection in world.node._client_listener._connections.values():
         connection.transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 65536)
     value = LONG[: 600 * 1024]
     whole = b"VA %d O1 h1\r\n" % len(value) + value + b"\r\n"
     got.reply(whole)
-    while world.node._host._held:  # the system and the router hold what is left
+    while world.node._dispatcher._held:  # the system and the router hold what is left
         client.reader._transport.resume_reading()  # type: ignore[attr-defined]
         await asyncio.sleep(0.001)
     assert await client.value("1") == value
@@ -60,7 +60,7 @@
     assert again.writer is got.writer  # nothing is left on it
     again.reply_value(b"v")
     assert await client.value("2") == b"v"
-    assert world.node._host.room.free == world.node._host.room._total
+    assert world.node._dispatcher.room.free == world.node._dispatcher.room._total
 
 
 @scenario
@@ -93,7 +93,7 @@
     got.end()
     with pytest.raises((asyncio.IncompleteReadError, ConnectionResetError)):
         await client.reader.readexactly(len(LONG))
-    assert not world.node._host._held
+    assert not world.node._dispatcher._held
 
 
 @scenario
@@ -102,11 +102,11 @@
     client, got = await asked(world)
     client.reader._transport.pause_reading()  # type: ignore[attr-defined]
     client.writer.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 65536)
-    for connection in world.node._clients._connections.values():  # or the system takes all of it
+    for connection in world.node._client_listener._connections.values():  # or the system takes all of it
         connection.transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 65536)
     huge = bytes(meta_codec.MAX_VALUE)
     got.reply(b"VA %d O1 h1\r\n" % len(huge) + huge + b"\r\n")
-    host = world.node._host
+    host = world.node._dispatcher
     await until(lambda: host._held and next(iter(host._held.values())).streaming)
     link = next(iter(host._open.values()))[0].link
     assert link is not None
@@ -127,14 +127,14 @@
     await client.line()
     client.close()
     assert await world.cache.ended.acquire()
-    room = world.node._host.room
-    assert room.free == room._total and not world.node._host._open
+    room = world.node._dispatcher.room
+    assert room.free == room._total and not world.node._dispatcher._open
 
 
 @scenario
 async def test_without_room_a_long_value_is_a_failed_attempt() -> None:
     world = await World().start()
-    room = world.node._host.room = MemoryBudget(STREAM_ROOM)
+    room = world.node._dispatcher.room = MemoryBudget(STREAM_ROOM)
     assert room.take("another", 1)
     client, got = await asked(world, wait=200)
     got.reply(HEAD + LONG + b"\r\n")
@@ -162,7 +162,7 @@
     client, got = await asked(world)
     for byte in b"VA 6 O1\r\nvalues\r\n":
         got.reply(bytes([byte]))
-        world.node._host._pools["c"].expire()
+        world.node._dispatcher._pools["c"].expire()
         await asyncio.sleep(0.08)  # longer in all than one may stand still
     assert await client.value("1") == b"values"
 
@@ -170,26 +170,26 @@
 @scenario
 async def test_long_writes_wait_for_room_and_are_read_in_turn() -> None:
     world = await World().start()
-    world.node._host.room = MemoryBudget(len(LONG) + 1000)
+    world.node._dispatcher.room = MemoryBudget(len(LONG) + 1000)
     first, second = await world.client(), await world.client()
     first.put("1", LONG)
     put = await world.origin.next()
     second.put("2", LONG)
     await asyncio.sleep(0.05)
-    assert "2" not in world.node._host._held  # not taken: its value is not read
+    assert "2" not in world.node._dispatcher._held  # not taken: its value is not read
     put.respond(b"r1")
     assert await first.line() == b"HD O1 cr1\r\n"
     put = await world.origin.next()
     assert put.value == LONG
     put.respond(b"r2")
     assert await second.line() == b"HD O2 cr2\r\n"
-    assert world.node._host.room.free == len(LONG) + 1000
+    assert world.node._dispatcher.room.free == len(LONG) + 1000
 
 
 @scenario
 async def test_who_waits_for_room_and_leaves_holds_up_nobody() -> None:
     world = await World().start()
-    room = world.node._host.room = MemoryBudget(len(LONG))
+    room = world.node._dispatcher.room = MemoryBudget(len(LONG))
     assert room.take("another", len(LONG))
     leaver, stays = await world.client(), await world.client()
     leaver.send(b"ms k %d O1 Pc=once,t=x,d=5000\r\n" % len(LONG) + LONG[:-1000])
@@ -198,6 +198,6 @@
     await until(lambda: len(room._queue) == 2)
     leaver.close()
     room.give_back("another")
-    world.node._clients.let_in()  # the leaver, who is found to be gone
+    world.node._client_listener.let_in()  # the leaver, who is found to be gone
     put = await world.origin.next()
     assert put.value == LONG
--- a/tests/test_readers.py
+++ b/tests/test_readers.py
@@ -26,7 +26,7 @@
         (one,) = (c.reader for c in world.connections())
         assert isinstance(one, One) and one.region == "north"
         one.looked = 0.0
-        world.readers._evidence.measure(world.node._clients)
+        world.readers._evidence.measure(world.node._client_listener)
     assert isinstance(one, One) and 0.0 < one.rtt < 0.1  # of loopback, by the kernel
     room, now = world.readers.room, world.node._system.now()
     for tick in range(1, 7):
@@ -108,17 +108,17 @@
     world.put_in_force(monkeypatch, {"north": ROW}, load=9.5)  # at its limit
     now = world.node._system.now()
     world.readers._follow(now)
-    world.readers._move(now + 60.0, world.node._clients)
+    world.readers._move(now + 60.0, world.node._client_listener)
     assert world.readers.let_go == 0 and world.connections() == there
     world.put_in_force(monkeypatch, {"north": ROW})
-    world.readers._move(now + 120.0, world.node._clients)
+    world.readers._move(now + 120.0, world.node._client_listener)
     (connection,) = (c for c in world.connections() if c.place.leaves)
     assert world.connections() == there  # it asks once more, and goes behind its answer
     owed.reply_value(b"v")
     assert await busy.value("busy") == b"v"
     await world.served(resting, "last")
     assert await resting.ended() and connection.place.left and len(world.connections()) == 3
-    world.readers._move(now + 121.0, world.node._clients)
+    world.readers._move(now + 121.0, world.node._client_listener)
     assert world.readers.let_go == 1
     half.send(b"Pc=read,t=x,d=5000\r\n")
     (await world.cache.next()).reply_value(b"w")
@@ -139,14 +139,14 @@
     world.put_in_force(monkeypatch, {"north": ROW})
     now = world.node._system.now()
     world.readers._follow(now)
-    world.readers._move(now + 60.0, world.node._clients)
+    world.readers._move(now + 60.0, world.node._client_listener)
     (connection,) = world.connections()
     assert connection.place.leaves
     client.get("2")
     await world.cache.next()
     with socket.socket(fileno=os.dup(client.writer.get_extra_info("socket").fileno())) as raw:
         raw.send(b"mg k v O3 Pc=read,t=x,d=5000\r\n")  # it has come, and this loop has not read it
-    host = world.node._host
+    host = world.node._dispatcher
     host._lose(host._held["2"])
     assert not connection.transport.is_closing()
     assert await client.line() == b"SERVER_ERROR failed\r\n"
@@ -165,13 +165,13 @@
     now = world.node._system.now()
     world.put_in_force(monkeypatch, {"north": ROW})
     world.readers._follow(now)
-    world.readers._move(now + 60.0, world.node._clients)
+    world.readers._move(now + 60.0, world.node._client_listener)
     assert connection.place.leaves
     world.put_in_force(monkeypatch, {"north": ROW}, load=9.5)
-    world.readers._move(now + 61.0, world.node._clients)
+    world.readers._move(now + 61.0, world.node._client_listener)
     assert not connection.place.leaves
     world.put_in_force(monkeypatch, {"north": ROW})
-    world.readers._move(now + 62.0, world.node._clients)
+    world.readers._move(now + 62.0, world.node._client_listener)
     assert connection.place.leaves
     world.put_in_force(monkeypatch, {"north": {"here": 1.0}}, version=8)
     world.readers._follow(now + 63.0)
@@ -196,7 +196,7 @@
 async def test_a_router_alone_asks_nobody_who_reads() -> None:
     world = await World().start()
     await world.client()
-    while not world.node._clients.all():
+    while not world.node._client_listener.all():
         await asyncio.sleep(0.01)
-    (connection,) = world.node._clients.all()
+    (connection,) = world.node._client_listener.all()
     assert connection.reader is None and world.node.peer_runtime is None
