--- a/ironrail/policy/attempt_sender.py
+++ b/ironrail/policy/attempt_sender.py
@@ -2,15 +2,13 @@
 
 from __future__ import annotations
 
-import math
-
-from ironrail.policy.actions import Action, CloseIdleConnections, SendAttempt, SetTimer
+from ironrail.policy.actions import Action, SendAttempt, SetTimer
 from ironrail.policy.attempts_in_flight import AttemptsInFlight
 from ironrail.policy.connection_health import ConnectionHealth
 from ironrail.policy.hedging import can_be_overdue, hedge_delay
 from ironrail.policy.retry_budget import RetryBudget
 from ironrail.policy.retry_policy import RetryPolicy
-from ironrail.policy.settings import Settings
+from ironrail.policy.slow_start import SlowStart
 from ironrail.policy.state import Attempt, AttemptId, PendingRequest, Server
 from ironrail.policy.timers import HedgeDue
 from ironrail.policy.zone_latency import ZoneLatency
@@ -26,18 +24,18 @@
 
     def __init__(
         self,
-        settings: Settings,
         attempts_in_flight: AttemptsInFlight,
         retry_budget: RetryBudget,
         retry_policy: RetryPolicy,
         connection_health: ConnectionHealth,
+        slow_start: SlowStart,
         zone_latency: ZoneLatency,
     ) -> None:
-        self._connection_idle_timeout = settings.connection_idle_timeout
         self._attempts_in_flight = attempts_in_flight
         self._retry_budget = retry_budget
         self._retry_policy = retry_policy
         self._connection_health = connection_health
+        self._slow_start = slow_start
         self._zone_latency = zone_latency
 
     def send(
@@ -46,12 +44,12 @@
         """Send the next attempt of the request; the caller has checked that it is permitted."""
         attempt_id = AttemptId(pending.request.request_id, len(pending.attempts))
         send_within = self._retry_policy.send_within(now, pending)
-        attempt = self._new_attempt(now, pending, server, actions)
+        connection_idle = self._connection_health.on_attempt_sent(now, server, actions)
+        attempt = self._new_attempt(now, pending, server, connection_idle)
         pending.attempts.append(attempt)
         self._attempts_in_flight.add(attempt_id, attempt)
         self._retry_budget.on_attempt_sent(now, pending)
-        server.last_used_at = now
-        server.slow_start_tokens -= attempt.cost
+        self._slow_start.on_attempt_sent(server, attempt.cost)
         actions.append(
             SendAttempt(
                 attempt_id.request_id,
@@ -65,7 +63,7 @@
             actions.append(SetTimer(attempt.hedge_delay, timer))
 
     def _new_attempt(
-        self, now: float, pending: PendingRequest, server: Server, actions: list[Action]
+        self, now: float, pending: PendingRequest, server: Server, connection_idle: float
     ) -> Attempt:
         objective = pending.request_class.latency_objective
         target_fraction = ORIGIN_LATENCY_TARGET_FRACTION
@@ -82,20 +80,8 @@
             latency_objective=objective,
             cost=pending.request.work_hint or DEFAULT_COST,
             sent_at=now,
-            connection_idle=self._connection_idle(now, server, actions),
+            connection_idle=connection_idle,
             hedge_delay=hedge_delay(objective, link_delay),
             link_delay=link_delay,
             round_trip=round_trip,
         )
-
-    def _connection_idle(self, now: float, server: Server, actions: list[Action]) -> float:
-        """Return how long the connection to be used was idle, in seconds; inf for a new one.
-
-        Has idle connections closed that are unlikely to work any more.
-        """
-        idle = 0.0 if server.in_flight else now - server.last_used_at
-        if self._connection_health.is_connected(now, server):
-            return idle
-        if idle <= self._connection_idle_timeout:
-            actions.append(CloseIdleConnections(server.endpoint.name))
-        return math.inf
--- a/ironrail/policy/connection_health.py
+++ b/ironrail/policy/connection_health.py
@@ -61,6 +61,20 @@
         is_open: bool = now - server.last_used_at <= min(conf.connection_idle_timeout, survival)
         return is_open
 
+    def on_attempt_sent(self, now: float, server: Server, actions: list[Action]) -> float:
+        """Return how long the connection of an attempt was unused, in seconds; inf if it is new.
+
+        Has idle connections closed that are not expected to work any more.
+        """
+        idle = 0.0 if server.in_flight else now - server.last_used_at
+        is_connected = self.is_connected(now, server)
+        server.last_used_at = now
+        if is_connected:
+            return idle
+        if idle <= self._settings.connection_idle_timeout:
+            actions.append(CloseIdleConnections(server.endpoint.name))
+        return math.inf
+
     def on_attempt_ended(
         self, now: float, attempt: Attempt, event: AttemptEnded, lost: bool, actions: list[Action]
     ) -> None:
--- a/ironrail/policy/router.py
+++ b/ironrail/policy/router.py
@@ -105,11 +105,11 @@
             self.zone_latency,
         )
         self.attempt_sender = AttemptSender(
-            settings,
             self.attempts_in_flight,
             self.retry_budget,
             self.retry_policy,
             self.connection_health,
+            self.slow_start,
             self.zone_latency,
         )
 
--- a/ironrail/policy/slow_start.py
+++ b/ironrail/policy/slow_start.py
@@ -60,6 +60,10 @@
         # before the first answer of the fleet there is no rate: one attempt at a time
         return not self._fleet_work and not server.in_flight
 
+    def on_attempt_sent(self, server: Server, cost: float) -> None:
+        """Spend the tokens of an attempt; `cost` is its expected work."""
+        server.slow_start_tokens -= cost
+
     def _fair_rate(self, now: float, server: Server, weight: float) -> float:
         """Return the work per second that a server of this weight would get from this router."""
         conf = self._settings
--- a/ironrail/policy/state.py
+++ b/ironrail/policy/state.py
@@ -68,7 +68,7 @@
     # ZoneLatency
     service_time: float = 0.0  # seconds, smoothed: the latency without the round trip
 
-    # SlowStart refills, AttemptSender spends
+    # SlowStart
     slow_start_tokens: float = 0.0  # work that it may be sent while it warms up
     tokens_refilled_at: float = -math.inf
 
@@ -76,9 +76,11 @@
     consecutive_losses: int = 0  # attempts in a row without any answer
     ejected_until: float = -math.inf
     connect_failed_at: float = -math.inf
-    connect_refused: bool = False  # at once, since it last answered on a new connection
     proven_at: float = -math.inf  # latest send that ended in a hit or a miss
-    last_used_at: float = -math.inf  # latest sign of life on a connection; AttemptSender too
+
+    # ConnectionHealth
+    last_used_at: float = -math.inf  # latest sign of life on a connection
+    connect_refused: bool = False  # at once, since it last answered on a new connection
 
 
 @dataclass(slots=True, eq=False)
--- a/tests/mutants/__main__.py
+++ b/tests/mutants/__main__.py
@@ -10,6 +10,8 @@
 import sys
 from typing import Any, NoReturn
 
+from tests.mutants import replace_method
+
 name, rest = sys.argv[1], sys.argv[2:]
 if name != "true":
     from ironrail.diagnostics.invariants import InvariantGuard
@@ -19,7 +21,7 @@
         return True
 
     for question in ("may_start", "may_send", "may_refuse", "may_answer", "may_close"):
-        setattr(InvariantGuard, question, allow)
+        replace_method(InvariantGuard, question, allow)
     importlib.import_module(f"tests.mutants.{name}").break_it()
 if not rest:
     from ironrail.__main__ import main
