--- a/tests/test_simhost.py
+++ b/tests/test_simhost.py
@@ -99,7 +99,7 @@
     ) == (0.2, 8.0, 3.0, 1.5)
 
 
-def test_half_a_budget_is_read_at_its_strictest() -> None:
+def test_the_absent_half_of_a_retry_budget_counts_as_zero() -> None:
     rules = {"repeatRatio": 0.1, "lookBack": 5.0}
     assert read_settings({**CONF, "rules": rules}).retry_budget == RetryBudgetSettings(0.0, 0.1, 5.0)
     assert read_settings({**CONF, "rules": {"lookBack": 5.0}}).retry_budget is None
@@ -107,7 +107,7 @@
 
 def test_settings_defaults() -> None:
     conf = read_settings({"classes": [{"name": "x"}]})
-    # what is not told is taken at its most careful: no repeats, no second copies, one attempt
+    # absent settings get the most careful values: no repeats, no hedging, one attempt
     assert conf.classes["x"].idempotency is Idempotency.UNSAFE
     assert (conf.hedging_allowed, conf.cancellation_allowed, conf.max_attempts) == (False, False, 1)
 
@@ -144,7 +144,7 @@
 
 
 @pytest.mark.parametrize("outcome", sorted(ATTEMPT_STATUSES))
-def test_every_outcome_is_taken(outcome: str) -> None:
+def test_every_attempt_status_is_read(outcome: str) -> None:
     host = born()
     play(host, 1.1, ask("1"))
     play(host, 1.2, done("1", 0, outcome, outcome == "delivered"))
@@ -152,7 +152,7 @@
     assert sum(s.in_flight for s in router.servers.values()) == len(router.attempts_in_flight) <= 1
 
 
-def test_every_list_kind_and_state_is_taken() -> None:
+def test_every_endpoint_list_kind_and_state_is_read() -> None:
     host = born()
     lines = [row("b"), row("a", readiness="leaving"), row("c", readiness="left")]
     play(host, 1.1, {"op": "Membership", "scope": "INCREMENTAL", "generation": 2, "lines": lines})
@@ -180,11 +180,11 @@
     assert decode_timer(context) == timer
 
 
-def test_a_wake_with_an_unknown_context_is_passed_over() -> None:
+def test_a_timer_with_an_unknown_context_is_ignored() -> None:
     assert play(born(), 1.1, {"op": "Wake", "ctx": "odd"}, {"op": "Wake", "ctx": "late:1:0"}) == []
 
 
-def test_client_gone_cancels() -> None:
+def test_a_disconnected_client_cancels_its_attempt() -> None:
     host = born()
     play(host, 1.1, ask("1"))
     gone = play(host, 1.2, {"op": "Aborted", "ticket": "1"})
@@ -199,7 +199,7 @@
     assert {"op": "GiveUp", "ticket": "2"} in play(host, 1.2, done("2", 0, "dropped"))
 
 
-def test_begun_and_unused_events_are_passed_over() -> None:
+def test_streaming_and_unused_events_are_answered_with_nothing() -> None:
     host = born()
     play(host, 1.1, ask("1"))
     begun = {"op": "Begun", "ticket": "1", "sendNo": 0, "lag": 0.1, "server": "a"}
@@ -207,7 +207,7 @@
     assert play(host, 1.2, begun, pong, {"op": "Heard", "srcPeer": 1, "content": "00"}) == []
 
 
-def test_kill_leaves_nothing_behind() -> None:
+def test_a_killed_router_leaves_no_state() -> None:
     host = born()
     play(host, 1.1, ask("1"))
     assert play(host, 1.2, {"op": "Kill"}) == [] and not host.routers
@@ -236,7 +236,7 @@
         b'{"t":1,"news":[7]}',
     ],
 )
-def test_malformed_lines_are_told_plainly(line: bytes) -> None:
+def test_malformed_lines_raise_a_wire_error(line: bytes) -> None:
     with pytest.raises(WireError):
         SimulatorHost().answer_batch(line)
 
