--- a/ironrail/policy/attempt_sender.py
+++ b/ironrail/policy/attempt_sender.py
@@ -16,7 +16,7 @@
 # mean latency above which a server is overloaded, as a fraction of the latency objective
 CACHE_LATENCY_TARGET_FRACTION = 0.25
 ORIGIN_LATENCY_TARGET_FRACTION = 0.5  # slow by nature
-DEFAULT_COST = 1.0  # of a request without a work hint: that of a mean request
+DEFAULT_COST_FACTOR = 1.0  # of a request without a work hint, which counts as a mean one
 
 
 class AttemptSender:
@@ -78,7 +78,7 @@
             server=server,
             latency_target=target_fraction * objective,
             latency_objective=objective,
-            cost=pending.request.work_hint or DEFAULT_COST,
+            cost=pending.request.work_hint or DEFAULT_COST_FACTOR,
             sent_at=now,
             connection_idle=connection_idle,
             hedge_delay=hedge_delay(objective, link_delay),
--- a/ironrail/policy/state.py
+++ b/ironrail/policy/state.py
@@ -16,7 +16,7 @@
 INITIAL_CONCURRENCY_LIMIT = 4.0  # attempts of one router at one server; adapts within seconds
 SMOOTHING_FACTOR = 0.2  # weight of the latest sample in an exponential moving average
 
-# statuses of attempts that the server served, and of all that it answered
+# statuses of attempts that the server served, and of those that it answered at all
 SERVED_STATUSES = (AttemptStatus.OK, AttemptStatus.MISS)
 ANSWERED_STATUSES = (
     AttemptStatus.OK,
--- a/ironrail/settings.py
+++ b/ironrail/settings.py
@@ -30,7 +30,7 @@
 POLLING_BY_MEMBERSHIP_MODE = {"subscribe": True, "automatic": False}
 LIVE_WEIGHTS = "live"
 
-NO_ORIGIN_INDEX = -1
+MIN_ORIGIN_INDEX = -1  # no origin
 DEFAULT_LATENCY_OBJECTIVE_SECONDS = 1.0
 
 
@@ -145,7 +145,9 @@
 
 def _with_origin(settings: Settings, conf: dict[str, Any], family: dict[str, Any]) -> Settings:
     kinds = conf.get("skus") or []
-    index = int(read_number(family, "originKind", NO_ORIGIN_INDEX, "familyInfo.", NO_ORIGIN_INDEX))
+    index = int(
+        read_number(family, "originKind", MIN_ORIGIN_INDEX, "familyInfo.", MIN_ORIGIN_INDEX)
+    )
     return replace(
         settings,
         cache_aside=read_choice(family, "mode", "through", CACHE_ASIDE_BY_MODE, "familyInfo."),
