--- /dev/null
+++ b/ironrail/net/dispatch/admission.py
@@ -0,0 +1,61 @@
+"""Which requests are accepted for dispatch, and what a client is answered otherwise."""
+
+from __future__ import annotations
+
+from enum import Enum
+
+from ironrail.diagnostics.invariants import InvariantGuard
+from ironrail.net.dispatch.open_attempts import OpenAttempts
+from ironrail.net.dispatch.response_tracker import ResponseTracker
+from ironrail.net.protocol import meta_codec
+from ironrail.net.protocol.meta_codec import Command
+from ironrail.policy.settings import Settings
+
+
+class AdmissionError(Enum):
+    """Why a request is not accepted; the value is the response."""
+
+    UNKNOWN_CLASS = b"CLIENT_ERROR unknown class\r\n"
+    MISSING_TENANT = b"CLIENT_ERROR missing t\r\n"
+    CLIENT_TIMEOUT_TOO_LONG = b"CLIENT_ERROR bad d\r\n"
+    ID_IN_USE = b"CLIENT_ERROR id in use\r\n"
+    INVARIANT_VIOLATED = meta_codec.write_busy(None)
+
+
+class AdmissionCheck:
+    """Checks requests against the settings and against those in flight."""
+
+    def __init__(
+        self,
+        settings: Settings,
+        requests: ResponseTracker,
+        attempts: OpenAttempts,
+        guard: InvariantGuard,
+    ) -> None:
+        self._settings = settings
+        self._requests = requests
+        self._attempts = attempts
+        self._guard = guard
+
+    def check(
+        self, command: Command, request_id: str, timeout: float, now: float
+    ) -> AdmissionError | None:
+        """Return why a request whose client waits `timeout` seconds is not accepted, or None."""
+        settings = self._settings
+        request_class = settings.classes.get(command.fields["c"])
+        if request_class is None:
+            return AdmissionError.UNKNOWN_CLASS
+        if settings.names_tenants and "t" not in command.fields:
+            return AdmissionError.MISSING_TENANT
+        # bounds the memory and the timers of a request by what a client may wait
+        if timeout > request_class.client_timeout:
+            return AdmissionError.CLIENT_TIMEOUT_TOO_LONG
+        # responses and attempts are matched by id, also those of an earlier request
+        is_in_flight = request_id in self._requests.by_id
+        if is_in_flight or self._attempts.has_request(request_id, settings.max_attempts):
+            return AdmissionError.ID_IN_USE
+        if not self._guard.may_start(
+            now, request_id, is_in_flight, self._requests.is_shutting_down
+        ):
+            return AdmissionError.INVARIANT_VIOLATED
+        return None
--- /dev/null
+++ b/ironrail/net/dispatch/attempt_sender.py
@@ -0,0 +1,168 @@
+"""Hands attempts to the connection pools, and reports their outcomes to the policy."""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Callable, Mapping
+
+from ironrail.diagnostics.daemon import DaemonDiagnostics
+from ironrail.diagnostics.invariants import Sending
+from ironrail.diagnostics.reasons import retry_reason
+from ironrail.net.dispatch.open_attempts import OpenAttempts
+from ironrail.net.dispatch.pending_request import InFlightRequest
+from ironrail.net.dispatch.policy_driver import PolicyDriver
+from ironrail.net.dispatch.request_lifecycle import RequestLifecycle
+from ironrail.net.dispatch.request_summary import written_attempts
+from ironrail.net.dispatch.response_tracker import ResponseTracker
+from ironrail.net.dispatch.value_streamer import ValueStreamer
+from ironrail.net.upstream.connection_pool import Attempt, ConnectionPool
+from ironrail.policy.actions import SendAttempt
+from ironrail.policy.events import AttemptEnded, AttemptStatus
+
+# a request forwarded so soon is forwarded in the turn of the event loop in which it was read
+SAME_TURN_SECONDS = 0.01
+
+
+class AttemptSender:
+    """Starts attempts, checks each before it is written, and takes its outcome."""
+
+    def __init__(
+        self,
+        now: Callable[[], float],
+        driver: PolicyDriver,
+        requests: ResponseTracker,
+        attempts: OpenAttempts,
+        lifecycle: RequestLifecycle,
+        streamer: ValueStreamer,
+        pools: Mapping[str, ConnectionPool],
+        diagnostics: DaemonDiagnostics,
+    ) -> None:
+        self._settings = driver.router.settings
+        self._now = now
+        self._driver = driver
+        self._requests = requests
+        self._attempts = attempts
+        self._lifecycle = lifecycle
+        self._streamer = streamer
+        self._pools = pools
+        self._diagnostics = diagnostics
+        self._loop = asyncio.get_running_loop()
+
+    def send(self, action: SendAttempt) -> None:
+        """Start an attempt, unless its request has its response or its client is gone."""
+        now = self._now()
+        request = self._requests.by_id.get(action.request_id)
+        pool = self._pools.get(action.server)
+        if request is None or not self._may_start(request, now):
+            status = AttemptStatus.NOT_SENT
+            event = AttemptEnded(action.request_id, action.attempt_number, status, True)
+            self._driver.submit(event)
+            return
+        attempt = self._make_attempt(request, action, now)
+        if request.attempts:
+            self._diagnostics.retries.add(retry_reason(request.attempts[-1].outcome))
+        request.attempts.append(attempt)
+        if pool is not None:
+            self._hand_to_pool(attempt, pool, action, now)
+        else:
+            status = AttemptStatus.CONNECT_FAILED
+            self._driver.submit(AttemptEnded(attempt.request, attempt.number, status))
+
+    def _hand_to_pool(
+        self, attempt: Attempt, pool: ConnectionPool, action: SendAttempt, now: float
+    ) -> None:
+        attempt_id = self._attempts.add(attempt, pool)
+        # also for an attempt that outlives its request: without an outcome the policy would count
+        # it as load for good
+        attempt.timer = self._loop.call_later(
+            attempt.until - now, self._attempts.abandon, attempt_id, AttemptStatus.TIMEOUT
+        )
+        if action.send_within is not None:
+            attempt.begin_by = now + action.send_within
+            self._loop.call_later(action.send_within, pool.withdraw, attempt)
+        pool.send(attempt)
+
+    def _may_start(self, request: InFlightRequest, now: float) -> bool:
+        """Whether the client of a request still waits for an attempt that would start now."""
+        age = now - request.received_at + request.read_delay
+        waited = bool(request.attempts) or age > SAME_TURN_SECONDS
+        if self._requests.is_shutting_down:
+            return False
+        return not self._lifecycle.end_if_disconnected(request, waited)
+
+    def _make_attempt(self, request: InFlightRequest, action: SendAttempt, now: float) -> Attempt:
+        until = request.deadline
+        if action.timeout is not None:
+            until = min(until, now + action.timeout)
+        attempt = Attempt(
+            action.request_id,
+            len(request.attempts),
+            now,
+            until,
+            request.command,
+            self._on_outcome,
+        )
+        attempt.begun = self._streamer.begin
+        attempt.piece = self._streamer.forward
+        attempt.wanted = self._is_still_wanted
+        attempt.may_send = self._may_write
+        attempt.alone = request.command.write  # a write is not exposed to the faults of others
+        attempt.server = action.server
+        return attempt
+
+    def _is_still_wanted(self, attempt: Attempt) -> bool:
+        """Whether an attempt that waited for a connection is still to be sent."""
+        request = self._requests.by_id.get(attempt.request)
+        if request is None or self._now() >= min(request.deadline, attempt.begin_by):
+            return False
+        return not self._lifecycle.end_if_disconnected(request, True)
+
+    def _may_write(self, attempt: Attempt, server_ready: bool) -> bool:
+        """Check the invariants of a request right before an attempt is written."""
+        request = self._requests.by_id.get(attempt.request)
+        guard = self._diagnostics.guard
+        violations_before = guard.violations.total()
+        may_write = guard.may_send(self._describe_write(attempt, request, server_ready))
+        if request is not None and guard.violations.total() > violations_before:
+            self._lifecycle.drop(request)
+        return may_write
+
+    def _describe_write(
+        self, attempt: Attempt, request: InFlightRequest | None, server_ready: bool
+    ) -> Sending:
+        request_class = self._settings.classes[attempt.command.fields["c"]]
+        return Sending(
+            self._now(),
+            attempt.request,
+            attempt.server,
+            server_ready,
+            request is not None,
+            attempt.until,
+            attempt.begin_by,
+            request_class.idempotency,
+            request_class.idempotency_window,
+            self._settings.hedging_allowed,
+            written_attempts(request, attempt.number) if request is not None else (),
+        )
+
+    def _on_outcome(self, attempt: Attempt, status: AttemptStatus, body: bytes) -> None:
+        """Respond with what an attempt brought, or leave the next step to the policy."""
+        self._attempts.remove(attempt)
+        attempt.outcome = status
+        self._streamer.release(attempt)
+        request = self._requests.by_id.get(attempt.request)
+        latency = self._now() - attempt.sent_at
+        if request is not None and request.streamed_attempt is attempt:
+            # from then on the client's own speed counts
+            latency = request.streaming_since - attempt.sent_at
+            self._streamer.end(request, status is AttemptStatus.OK)
+            request = None
+        elif request is not None and _is_response(request, status):
+            self._requests.serve(request, body)
+            request = None
+        event = AttemptEnded(attempt.request, attempt.number, status, request is None, latency)
+        self._driver.submit(event)
+
+
+def _is_response(request: InFlightRequest, status: AttemptStatus) -> bool:
+    return status is AttemptStatus.OK and request.streamed_attempt is None
--- a/ironrail/net/dispatch/pending_request.py
+++ b/ironrail/net/dispatch/pending_request.py
@@ -1,4 +1,4 @@
-"""A request as a router holds it, and the way of its long value."""
+"""A request that awaits its final response, and the interfaces to the client that sent it."""
 
 from __future__ import annotations
 
@@ -11,68 +11,77 @@
 from ironrail.net.protocol.meta_codec import Command
 from ironrail.net.upstream.connection import Attempt
 
-Answer = Callable[[bytes], None]
+Respond = Callable[[bytes], None]
 
+MILLISECONDS_PER_SECOND = 1000
 
-class Reader(Protocol):
-    """Whoever is at the other end of a client's connection, where regions of readers are told apart."""
+
+class ClientReader(Protocol):
+    """The network region that a client reads from, where regions are measured separately."""
 
     def time_left(self, left: float) -> float:
-        """Of so many seconds until the reader needs the answer, those in which it has to be ready."""
+        """Return how many of the `left` seconds remain once the way to the client is deducted."""
 
     def ended(self, request_class: str, seconds: float, ended: RequestOutcome) -> None:
-        """A request of this reader has ended, so long after it was taken."""
+        """Record a request that ended `seconds` after it was received."""
 
 
 class ResponseStream(Protocol):
-    """Where a long value goes as it comes."""
+    """The client's end of a long value, which is forwarded as it arrives."""
 
     @property
-    def reader(self) -> Reader | None:
-        """Who gets it, where that is told apart."""
+    def reader(self) -> ClientReader | None:
+        """Region of the client, where regions are measured separately."""
 
     @property
     def arrived_at(self) -> float | None:
-        """When the request that is being taken may have come at the earliest; None for now."""
+        """Earliest time at which the request may have arrived; None for now."""
 
     def left(self, waited: bool) -> bool:
-        """Whether its client has gone, told or not: nothing new is to begin for it.
+        """Whether the client has disconnected, even if the event loop has not reported it yet.
 
-        `waited`: since it was read, so that its end may have come and not be read yet.
+        Args:
+            waited: Time has passed since the request was read, so the end of the connection may
+                be in the socket unread.
         """
 
     def begin(self, head: bytes, hold: Callable[[bool], None]) -> None:
-        """Its head; `hold` is to be told when the client takes no more for now, or again."""
+        """Write the head; `hold` is called with True when the client is slow, then with False."""
 
     def more(self, data: bytes) -> None:
-        """A piece of it."""
+        """Write a part of the value."""
 
     def finish(self) -> None:
-        """It was whole."""
+        """End a value that is complete."""
 
     def cut(self) -> None:
-        """The rest will never come, and the client is to see that."""
+        """Abort a value that will never be complete, so that the client notices."""
 
 
 @dataclass(slots=True, eq=False)
 class InFlightRequest:
-    """A request that is owed its one final answer."""
+    """A request that awaits its one final response. Times are seconds on the monotonic clock."""
 
-    request: str
+    request_id: str
     command: Command
-    answer: Answer
+    respond: Respond
     deadline: float
-    timer: asyncio.TimerHandle
-    passage: ResponseStream | None = None
+    timer: asyncio.TimerHandle  # fires at the deadline
+    stream: ResponseStream | None = None
     attempts: list[Attempt] = field(default_factory=list)
-    streaming: Attempt | None = None  # the one whose long value its client is given
-    streams_since: float = 0.0
-    taken_at: float = 0.0
-    length: int = 0  # bytes of the value that it was given
-    reader: Reader | None = None
-    read_late: float = 0.0  # seconds at most for which its last byte had waited unread
-
-    def ended(self, now: float, ended: RequestOutcome) -> None:
-        """Tell whoever wants to know."""
+    streamed_attempt: Attempt | None = None  # the one whose long value the client receives
+    streaming_since: float = 0.0
+    received_at: float = 0.0
+    value_bytes: int = 0  # of the value that the client receives
+    reader: ClientReader | None = None
+    read_delay: float = 0.0  # seconds for which its last byte may have waited unread
+
+    def report_end(self, now: float, outcome: RequestOutcome) -> None:
+        """Report the outcome to the region that the client reads from."""
         if self.reader is not None:
-            self.reader.ended(self.command.fields["c"], now - self.taken_at, ended)
+            self.reader.ended(self.command.fields["c"], now - self.received_at, outcome)
+
+
+def client_timeout(command: Command) -> float:
+    """Return the seconds for which the client waits for the response."""
+    return float(command.fields["d"]) / MILLISECONDS_PER_SECOND
--- a/ironrail/net/dispatch/policy_driver.py
+++ b/ironrail/net/dispatch/policy_driver.py
@@ -1,4 +1,4 @@
-"""Hands events to the decision module one by one, and none while what it believes may be old."""
+"""Hands events to the policy one by one, and none while its endpoint list may be stale."""
 
 from __future__ import annotations
 
@@ -7,103 +7,157 @@
 from collections import deque
 from collections.abc import Callable
 from dataclasses import replace
+from typing import Protocol
 
-from ironrail.net.lifecycle.loop_monitor import LoopMonitor
 from ironrail.net.system import System
 from ironrail.policy.actions import Action
-from ironrail.policy.events import Event, PolicyOverridesChanged, RequestReceived, ZoneLinksChanged
+from ironrail.policy.events import (
+    AttemptEnded,
+    ClientDisconnected,
+    DeadlineReached,
+    EndpointListUpdate,
+    Event,
+    PolicyOverridesChanged,
+    RequestReceived,
+    StreamingStarted,
+    ZoneLinksChanged,
+)
 from ironrail.policy.router import Router
 
 log = logging.getLogger(__name__)
 
-BEAT = 0.25  # seconds between signs that the loop turns
-AWAY = 0.75  # seconds without one: the process stood still, and what it believes may be that old
-# seconds, then, at the most, for the list to be asked for anew before anything is sent
-CATCH_UP = 0.3
+HEARTBEAT_INTERVAL_SECONDS = 0.25
+STALL_THRESHOLD_SECONDS = 0.75  # without a heartbeat: the process was stopped or starved
+CATCH_UP_SECONDS = 0.3  # after a stall, at most, until the endpoint list has been fetched again
 
+RequestEvent = (
+    RequestReceived | StreamingStarted | AttemptEnded | ClientDisconnected | DeadlineReached
+)
 
-class PolicyDriver:
-    """The decision module, and the events that it is still to hear of; a subclass carries its actions out."""
 
-    def __init__(self, router: Router, system: System, returned: Callable[[], None]) -> None:
-        """`returned`: is told that the process stood still, and has the list asked for anew."""
-        self._now, self._returned = system.now, returned
-        self._router = router
+class ActionHandler(Protocol):
+    """Carries out what the policy decides."""
+
+    def carry_out(self, action: Action) -> None:
+        """Carry out one action."""
+
+    def on_policy_failed(self, event: Event) -> None:
+        """Take over what an event was about after the policy raised an exception on it."""
+
+
+class PolicyDriver:
+    """Owns the queue of events for the policy, and detects stalls of the process.
+
+    Args:
+        router: The policy.
+        system: Gives the clock.
+        on_stall: Called after a stall; has the endpoint list fetched again.
+    """
+
+    _handler: ActionHandler
+
+    def __init__(self, router: Router, system: System, on_stall: Callable[[], None]) -> None:
+        self.router = router
+        self.before_event: Callable[[float], None] | None = None  # called with the time
+        self.is_catching_up = False  # after a stall, until the endpoint list is known again
+        self._now = system.now
+        self._on_stall = on_stall
         self._loop = asyncio.get_running_loop()
-        self.monitor = LoopMonitor(system)
         self._events: deque[Event] = deque()
-        self._busy = False
-        self._beat_at, self._catching_up = self._now(), False
-        # what is to be looked at before each decision
-        self.before: Callable[[float], None] | None = None
+        self._is_busy = False
+        self._heartbeat_at = self._now()
 
-    def _carry_out(self, action: Action) -> None:
-        raise NotImplementedError
+    def start(self, handler: ActionHandler) -> None:
+        """Start the heartbeat; from now on events may be submitted."""
+        self._handler = handler
+        self._loop.call_later(HEARTBEAT_INTERVAL_SECONDS, self._beat)
 
-    def _failed_on(self, event: Event) -> None:
-        """The module has failed, and no longer looks after what the event was about."""
-        raise NotImplementedError
-
-    def _feed(self, event: Event) -> None:
+    def submit(self, event: Event) -> None:
+        """Queue an event, and hand over the queue unless that is under way already."""
         self._events.append(event)
-        self._notice_return()
-        self._pump()
-
-    def _pump(self) -> None:
-        """Hand over events one by one: what an action brings about comes after all that is before it."""
-        if self._busy or self._catching_up:
-            return
-        self._busy = True
+        self.check_stall()
+        self._drain_queue()
+
+    def submit_endpoint_list(
+        self, update: EndpointListUpdate, apply_to_pools: Callable[[], None]
+    ) -> None:
+        """Queue an update of the endpoint list ahead of what its application to the pools causes.
+
+        After a stall it also goes ahead of all that was queued meanwhile.
+        """
+        if self.is_catching_up:
+            self._events.appendleft(update)
+            self.is_catching_up = False
+        else:
+            self._events.append(update)
+        self._is_busy = True
         try:
-            while self._events:
-                self._handle(self._events.popleft())
+            apply_to_pools()
         finally:
-            self._busy = False
-
-    def guide(self, guidance: PolicyOverridesChanged | ZoneLinksChanged) -> None:
-        """Have the module decide by this, at once: also an event that is about to be handed over."""
-        for action in self._router.handle(self._now(), guidance):
-            self._carry_out(action)
+            self._is_busy = False
+        self._drain_queue()
+
+    def apply_now(self, change: PolicyOverridesChanged | ZoneLinksChanged) -> None:
+        """Hand over a change at once, ahead of an event that is about to be handed over."""
+        for action in self.router.handle(self._now(), change):
+            self._handler.carry_out(action)
+
+    def expire_now(self, request_id: str) -> None:
+        """Hand over at once what is queued of one request, as of one whose time is up."""
+        while queued := [e for e in self._events if request_id_of(e) == request_id]:
+            for event in queued:
+                self._events.remove(event)
+                self.handle_now(_without_time_left(event))
 
-    def _handle(self, event: Event) -> None:
-        if self.before is not None:
-            self.before(self._now())
+    def handle_now(self, event: Event) -> None:
+        """Hand over one event, ahead of those queued, and carry out the policy's actions."""
+        if self.before_event is not None:
+            self.before_event(self._now())
         try:
-            actions = self._router.handle(self._now(), event)
-        except Exception:  # guards all other requests against a fault that one event shows
-            log.exception("module_failed", extra={"on": repr(event)})
-            self._failed_on(event)
+            actions = self.router.handle(self._now(), event)
+        except Exception:  # keeps a fault that one event exposes from affecting other requests
+            log.exception("policy_failed", extra={"on": repr(event)})
+            self._handler.on_policy_failed(event)
             return
         for action in actions:
-            self._carry_out(action)
-
-    def _hear_of(self, name: str) -> None:
-        """What is still to be told of one request is told at once, as one whose time is up."""
-        while mine := [
-            event for event in self._events if getattr(event, "request_id", None) == name
-        ]:
-            for event in mine:
-                self._events.remove(event)
-                self._handle(
-                    replace(event, time_left=0.0) if isinstance(event, RequestReceived) else event
-                )
+            self._handler.carry_out(action)
 
-    # Standing still
+    def check_stall(self) -> None:
+        """Stop handing over events if the process stalled: servers may be draining or gone."""
+        now = self._now()
+        stalled_for = now - self._heartbeat_at
+        if stalled_for > STALL_THRESHOLD_SECONDS:
+            log.warning("process_stalled", extra={"seconds": round(stalled_for, 3)})
+            self._heartbeat_at = now
+            self.is_catching_up = True
+            self._on_stall()
+            self._loop.call_later(CATCH_UP_SECONDS, self._end_catch_up)
+
+    def _drain_queue(self) -> None:
+        """Hand over queued events one by one; what an action causes is queued behind them."""
+        if self._is_busy or self.is_catching_up:
+            return
+        self._is_busy = True
+        try:
+            while self._events:
+                self.handle_now(self._events.popleft())
+        finally:
+            self._is_busy = False
 
     def _beat(self) -> None:
-        self._notice_return()
-        self._beat_at = self._now()
-        self._loop.call_later(BEAT, self._beat)
+        self.check_stall()
+        self._heartbeat_at = self._now()
+        self._loop.call_later(HEARTBEAT_INTERVAL_SECONDS, self._beat)
 
-    def _notice_return(self) -> None:
-        """Guards drained and lost servers against a router that stood still and has not read the news."""
-        now = self._now()
-        if now - self._beat_at > AWAY:
-            log.warning("stood_still", extra={"seconds": round(now - self._beat_at, 3)})
-            self._beat_at, self._catching_up = now, True
-            self._returned()
-            self._loop.call_later(CATCH_UP, self._caught_up)
-
-    def _caught_up(self) -> None:
-        self._catching_up = False
-        self._pump()
+    def _end_catch_up(self) -> None:
+        self.is_catching_up = False
+        self._drain_queue()
+
+
+def request_id_of(event: Event) -> str | None:
+    """Return the id of the request that an event is about, if it is about one."""
+    return event.request_id if isinstance(event, RequestEvent) else None
+
+
+def _without_time_left(event: Event) -> Event:
+    return replace(event, time_left=0.0) if isinstance(event, RequestReceived) else event
--- /dev/null
+++ b/ironrail/net/dispatch/request_summary.py
@@ -0,0 +1,48 @@
+"""Descriptions of a request in flight for the log, the metrics and the invariant guard."""
+
+from __future__ import annotations
+
+from ironrail.diagnostics.daemon import AttemptSummary, RequestSummary
+from ironrail.diagnostics.invariants import EarlierAttempt
+from ironrail.diagnostics.reasons import RefusalReason
+from ironrail.net.dispatch.pending_request import InFlightRequest, client_timeout
+
+
+def written_attempts(request: InFlightRequest, count: int) -> list[EarlierAttempt]:
+    """Return those of the first `count` attempts that were written to a connection."""
+    return [
+        EarlierAttempt(attempt.written_at, attempt.outcome, attempt in attempt.link.out)
+        for attempt in request.attempts[:count]
+        if attempt.link is not None
+    ]
+
+
+def refusal_reason(request: InFlightRequest, now: float, is_shutting_down: bool) -> RefusalReason:
+    """Return why a request was not served."""
+    if is_shutting_down:
+        return RefusalReason.SHUTDOWN
+    if now >= request.deadline:
+        return RefusalReason.TIME_UP
+    if request.attempts:
+        return RefusalReason.ATTEMPT_FAILED
+    return RefusalReason.NOT_SENT
+
+
+def summarize(request: InFlightRequest, now: float) -> RequestSummary:
+    """Summarize a request that got its response late or not at all."""
+    attempts = tuple(
+        AttemptSummary(
+            attempt.server,
+            attempt.sent_at - request.received_at,
+            attempt.outcome.value if attempt.outcome is not None else "open",
+        )
+        for attempt in request.attempts
+    )
+    return RequestSummary(
+        request.request_id,
+        request.command.fields["c"],
+        client_timeout(request.command),
+        request.read_delay,
+        now - request.received_at + request.read_delay,
+        attempts,
+    )
--- /dev/null
+++ b/ironrail/net/dispatch/value_streamer.py
@@ -0,0 +1,89 @@
+"""Forwards long values to clients while they arrive from a server."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+from ironrail.access_log.keep import RequestOutcome
+from ironrail.connections.downstream.memory_budget import MemoryBudget
+from ironrail.net.dispatch.open_attempts import OpenAttempts, id_of
+from ironrail.net.dispatch.pending_request import InFlightRequest, ResponseStream
+from ironrail.net.dispatch.response_tracker import ResponseTracker
+from ironrail.net.protocol import meta_codec
+from ironrail.net.upstream.connection import Attempt, Connection
+from ironrail.policy.events import AttemptStatus, Event, StreamingStarted
+
+STREAM_BUFFER_BYTES = 320 * 1024  # one read from the server, and what the client has not taken
+
+
+class ValueStreamer:
+    """Connects the server's end of a long value to the client's, within the memory budget."""
+
+    def __init__(
+        self,
+        memory_budget: MemoryBudget,
+        now: Callable[[], float],
+        requests: ResponseTracker,
+        attempts: OpenAttempts,
+        submit: Callable[[Event], None],
+    ) -> None:
+        self.memory_budget = memory_budget
+        self._now = now
+        self._requests = requests
+        self._attempts = attempts
+        self._submit = submit
+
+    def begin(self, attempt: Attempt, length: int, connection: Connection) -> None:
+        """Forward the value of `length` bytes that an attempt is answered with, or abandon it.
+
+        From now on the response of the request is this attempt's, whatever others bring.
+        """
+        request = self._requests.by_id.get(attempt.request)
+        stream = _free_stream(request)
+        if (
+            request is None
+            or stream is None
+            or not self.memory_budget.take(attempt, STREAM_BUFFER_BYTES)
+        ):
+            self._attempts.abandon(id_of(attempt), AttemptStatus.CANCELLED)
+            return
+        attempt.lent = True
+        request.streamed_attempt = attempt
+        request.streaming_since = self._now()
+        request.value_bytes = length
+        request.timer.cancel()
+        if attempt.timer is not None:
+            attempt.timer.cancel()
+        self._attempts.withdraw_unsent(request)
+        stream.begin(meta_codec.write_opening(request.command.request_id, length), connection.hold)
+        self._submit(StreamingStarted(attempt.request, attempt.number))
+
+    def forward(self, attempt: Attempt, data: bytes) -> None:
+        """Forward a part of a value."""
+        request = self._requests.by_id.get(attempt.request)
+        if request is None or request.stream is None:
+            return
+        if request.streamed_attempt is attempt:
+            request.stream.more(data)
+
+    def end(self, request: InFlightRequest, is_complete: bool) -> None:
+        """Complete a request whose value has been forwarded, or can't be forwarded to its end."""
+        assert request.stream is not None
+        if is_complete:
+            self._requests.complete(request, RequestOutcome.SERVED)
+            request.stream.finish()
+        else:
+            self._requests.complete(request, RequestOutcome.FAILED)
+            request.stream.cut()
+
+    def release(self, attempt: Attempt) -> None:
+        """Return the memory of an attempt that has ended."""
+        if attempt.lent:
+            self.memory_budget.give_back(attempt)
+
+
+def _free_stream(request: InFlightRequest | None) -> ResponseStream | None:
+    """Return the client's end of a request that no long value has been begun for."""
+    if request is None or request.streamed_attempt is not None:
+        return None
+    return request.stream
--- a/ironrail/net/downstream/client_connection.py
+++ b/ironrail/net/downstream/client_connection.py
@@ -8,7 +8,7 @@
 
 from ironrail.connections.downstream.session_manager import ClientSession, IdleVerdict, NextAction
 from ironrail.diagnostics.reasons import ClientCloseReason
-from ironrail.net.dispatch.pending_request import Reader
+from ironrail.net.dispatch.pending_request import ClientReader
 from ironrail.net.downstream.half_closed import HalfClosedConnection
 from ironrail.net.downstream.response_slots import ResponseSlot
 from ironrail.net.downstream.session_context import SessionContext
@@ -21,7 +21,7 @@
 
     transport: asyncio.Transport
     place: ClientSession
-    reader: Reader | None
+    reader: ClientReader | None
 
     def __init__(self, clients: SessionContext[ClientConnection]) -> None:
         self._clients = clients
@@ -71,7 +71,7 @@
 
     def _ask_room(self) -> None:
         """A long value is to come: it is read once there is room for all of it."""
-        size, room = self._parser.long, self._clients.host.room
+        size, room = self._parser.long, self._clients.host.memory_budget
         if size and not self.place.long:
             self.place.long = True
             self.place.since = self._clients.system.now()  # its head came in time
@@ -91,13 +91,13 @@
         good, fatal = True, False
         if self.place.long:  # its room is the slot's from now on
             self.place.long = False
-            self._clients.host.room.hand_on(self, slot)
+            self._clients.host.memory_budget.hand_on(self, slot)
             slot.has_room = True
         match item:
             case Command() if self._clients.over:
                 slot.answer = meta_codec.write_busy(None)
             case Command():
-                slot.request = self._clients.host.take(item, slot.give, slot)
+                slot.request = self._clients.host.accept(item, slot.give, slot)
                 good = slot.request is not None
             case Noop():
                 slot.answer = (
@@ -118,7 +118,7 @@
         if self.turn_of(slot):
             self._flush()
         if slot.has_room:
-            self._clients.host.room.give_back(slot)
+            self._clients.host.memory_budget.give_back(slot)
             self._clients.let_in()
 
     def left(self, waited: bool) -> bool:
@@ -252,8 +252,8 @@
         self.place.ending = True
         slots, self._slots = self._slots, deque()
         for slot in slots:
-            self._clients.host.room.give_back(slot)
+            self._clients.host.memory_budget.give_back(slot)
             if slot.request is not None and slot.answer is None:
-                self._clients.host.gone(slot.request)
-        self._clients.host.room.give_back(self)
+                self._clients.host.on_client_disconnected(slot.request)
+        self._clients.host.memory_budget.give_back(self)
         self._clients.let_in()
--- a/ironrail/net/downstream/client_listener.py
+++ b/ironrail/net/downstream/client_listener.py
@@ -16,7 +16,7 @@
 from ironrail.connections.downstream.session_manager import ClientSession, ClientSessionManager
 from ironrail.diagnostics.reasons import ClientCloseReason
 from ironrail.net.dispatch.dispatcher import RequestDispatcher
-from ironrail.net.dispatch.pending_request import Reader
+from ironrail.net.dispatch.pending_request import ClientReader
 from ironrail.net.downstream.client_connection import ClientConnection
 from ironrail.net.downstream.half_closed import HalfClosedConnection
 from ironrail.net.listener import Acceptor
@@ -72,7 +72,7 @@
         self._connections: dict[ClientSession, ClientConnection] = {}
         self._opening: set[asyncio.Task[None]] = set()
         # told apart where operators say so
-        self.reader: Callable[[asyncio.Transport], Reader] | None = None
+        self.reader: Callable[[asyncio.Transport], ClientReader] | None = None
         self._empty = asyncio.Event()
         self._empty.set()
 
@@ -101,7 +101,7 @@
 
     def let_in(self) -> None:
         """Go on with those whose long value there is room for now."""
-        while (owner := self.host.room.next_in()) is not None:
+        while (owner := self.host.memory_budget.next_in()) is not None:
             cast(ClientConnection, owner).let_in()
 
     def make_way(self) -> None:
@@ -128,7 +128,7 @@
         self._empty.clear()
         return place
 
-    def reader_of(self, transport: asyncio.Transport) -> Reader | None:
+    def reader_of(self, transport: asyncio.Transport) -> ClientReader | None:
         return self.reader(transport) if self.reader is not None else None
 
     def all(self) -> list[ClientConnection]:
@@ -173,7 +173,7 @@
     def end_all(self) -> None:
         """Time is up: all that is held has its answer now, and what is still read is refused at once."""
         self.over = True
-        self.host.end_all()
+        self.host.expire_all()
 
     async def drained(self) -> None:
         """Wait until the last has closed."""
--- a/ironrail/net/downstream/response_slots.py
+++ b/ironrail/net/downstream/response_slots.py
@@ -7,7 +7,7 @@
 from typing import Protocol
 
 from ironrail.connections.downstream.session_manager import ClientSession
-from ironrail.net.dispatch.pending_request import Reader
+from ironrail.net.dispatch.pending_request import ClientReader
 from ironrail.net.protocol import meta_codec
 
 WAITING = 64 * 1024  # bytes of a long value that may wait for the answers before it
@@ -18,7 +18,7 @@
 
     transport: asyncio.Transport
     place: ClientSession
-    reader: Reader | None
+    reader: ClientReader | None
     arrived_at: float | None
 
     def turn_of(self, slot: ResponseSlot) -> bool:
@@ -46,7 +46,7 @@
         self._waiting = 0  # bytes of them
 
     @property
-    def reader(self) -> Reader | None:
+    def reader(self) -> ClientReader | None:
         return self._connection.reader
 
     @property
--- a/ironrail/net/downstream/session_context.py
+++ b/ironrail/net/downstream/session_context.py
@@ -7,7 +7,7 @@
 
 from ironrail.connections.downstream.session_manager import ClientSession, ClientSessionManager
 from ironrail.net.dispatch.dispatcher import RequestDispatcher
-from ironrail.net.dispatch.pending_request import Reader
+from ironrail.net.dispatch.pending_request import ClientReader
 from ironrail.net.system import System
 
 Connection_contra = TypeVar("Connection_contra", contravariant=True)
@@ -33,7 +33,7 @@
     def remove(self, connection: Connection_contra) -> None:
         """A connection has ended."""
 
-    def reader_of(self, transport: asyncio.Transport) -> Reader | None:
+    def reader_of(self, transport: asyncio.Transport) -> ClientReader | None:
         """Whoever is at its other end, where regions of readers are told apart."""
 
     def let_in(self) -> None:
--- a/ironrail/net/lifecycle/node.py
+++ b/ironrail/net/lifecycle/node.py
@@ -110,8 +110,10 @@
         if operator.peers is not None:
             from ironrail.net.peers.runtime import PeerRuntime  # noqa: PLC0415 - a router alone does without it
 
-            self.together = PeerRuntime(config, operator, system, self._host.guide, store)
-            self._host.before = self.together.check
+            self.together = PeerRuntime(
+                config, operator, system, self._host.driver.apply_now, store
+            )
+            self._host.driver.before_event = self.together.check
             self.together.serve(self._clients)
         if config.known is not None:
             try:
@@ -166,7 +168,7 @@
         self._listen()
 
     def _told(self, news: EndpointListUpdate, addresses: dict[str, Address]) -> None:
-        self._host.servers(news, addresses)
+        self._host.update_endpoints(news, addresses)
         if self.together is not None:
             self.together.servers(news)
         if news.kind is EndpointListKind.FULL:
--- a/ironrail/rehearsal/virtual/ground.py
+++ b/ironrail/rehearsal/virtual/ground.py
@@ -134,7 +134,7 @@
                 self._config(), self._ground.operator, self._ground.system_of(self.name), self._config
             )
             host = self.node._host
-            host._router = Tap(host._router, self._ground.decided)  # type: ignore[assignment]
+            host.driver.router = Tap(host.driver.router, self._ground.decided)  # type: ignore[assignment]
             await self.node.serve()
         except Exception as e:
             process.write_log(f"{type(e).__name__}: {e}\n")
--- a/ironrail/rehearsal/virtual/invariants.py
+++ b/ironrail/rehearsal/virtual/invariants.py
@@ -34,15 +34,19 @@
 
 def _of_node(node: Node) -> Iterator[tuple[str, str]]:
     host, clients = node._host, node._clients
-    policy = host._router
+    policy = host.driver.router
     yield from _of_guard(host.diagnostics.guard)
-    if host._held:
-        yield "held", f"{len(host._held)} requests still held by the host: {list(host._held)[:3]}"
-    room = host.room
+    if host.requests.by_id:
+        yield (
+            "held",
+            f"{len(host.requests.by_id)} requests still held by the host: {list(host.requests.by_id)[:3]}",
+        )
+    room = host.memory_budget
     if room.free != room._total or room._queue:
         yield "room", f"{room._total - room.free} bytes lent out for long values, {len(room._queue)} wait"
-    if host._open:
-        yield "attempts", f"{len(host._open)} attempts without an outcome: {list(host._open)[:3]}"
+    if host.attempts:
+        of_requests = [entry.attempt.request for entry in host.attempts][:3]
+        yield "attempts", f"{len(host.attempts)} attempts without an outcome: {of_requests}"
     if policy.held:
         yield "held", f"{len(policy.held)} requests still held by the module: {list(policy.held)[:3]}"
     if out := policy.attempts.out:
@@ -52,7 +56,7 @@
             yield "load", f"the module believes {server.in_flight} at {name} where nothing is out"
     if load := policy.attempts.ring_load:
         yield "load", f"the module believes {load} on its ring where nothing is out"
-    for name, pool in host._pools.items():
+    for name, pool in host.pools.items():
         yield from _of_pool(name, pool)
     placed = set(clients.places)
     if lost := placed - clients._connections.keys():
@@ -92,7 +96,7 @@
     node = router.node
     host, clients = node._host, node._clients
     known = len(clients._connections) + len(clients._opening)
-    known += sum(len(pool._connections) + len(pool._dialling) for pool in host._pools.values())
+    known += sum(len(pool._connections) + len(pool._dialling) for pool in host.pools.values())
     there = len(router.process.sockets)
     slack = 4  # two listeners, and discovery, which may be between two connections
     if there > known + slack:
--- a/tests/diagnostics/test_invariants.py
+++ b/tests/diagnostics/test_invariants.py
@@ -160,7 +160,7 @@
     client.get("1")
     (await world.cache.next()).reply_value(b"v")  # its connection rests from now on
     assert await client.value("1") == b"v"
-    world.node._host._pools["c"].upstream.ready = False  # and the policy does not know
+    world.node._host.pools["c"].upstream.ready = False  # and the policy does not know
     client.get("2", wait=200)
     assert (await client.line()).startswith(b"SERVER_ERROR")
     assert world.node._host.diagnostics.guard.violations[Violation.SENT_TO_DRAINED] > 0
--- a/tests/mutants/answers_late.py
+++ b/tests/mutants/answers_late.py
@@ -5,7 +5,8 @@
 import asyncio
 import itertools
 
-from ironrail.net.dispatch.dispatcher import Answer, RequestDispatcher, ResponseStream
+from ironrail.net.dispatch.dispatcher import RequestDispatcher
+from ironrail.net.dispatch.pending_request import Respond, ResponseStream
 from ironrail.net.protocol.meta_codec import Command
 
 RULE = "rule one-answer"
@@ -13,19 +14,19 @@
 
 
 def break_it() -> None:
-    take = RequestDispatcher.take
+    accept = RequestDispatcher.accept
 
     def slow(
-        self: RequestDispatcher, command: Command, answer: Answer, passage: ResponseStream | None = None
+        self: RequestDispatcher, command: Command, respond: Respond, stream: ResponseStream | None = None
     ) -> str | None:
         if next(count) % 40:
-            return take(self, command, answer, passage)
+            return accept(self, command, respond, stream)
         wait = float(command.fields["d"]) / 1000 + 0.8
         loop = asyncio.get_running_loop()
 
         def later(data: bytes) -> None:
-            loop.call_later(wait, answer, data)
+            loop.call_later(wait, respond, data)
 
-        return take(self, command, later)
+        return accept(self, command, later)
 
-    RequestDispatcher.take = slow  # type: ignore[method-assign]
+    RequestDispatcher.accept = slow  # type: ignore[method-assign]
--- a/tests/mutants/answers_twice.py
+++ b/tests/mutants/answers_twice.py
@@ -4,18 +4,20 @@
 
 import itertools
 
-from ironrail.net.dispatch.dispatcher import InFlightRequest, RequestDispatcher
+from ironrail.access_log.keep import RequestOutcome
+from ironrail.net.dispatch.pending_request import InFlightRequest
+from ironrail.net.dispatch.response_tracker import ResponseTracker
 
 RULE = "rule one-answer"
 count = itertools.count(1)
 
 
 def break_it() -> None:
-    finish = RequestDispatcher._finish
+    respond = ResponseTracker.respond
 
     def talkative(
-        self: RequestDispatcher, held: InFlightRequest, answer: bytes, counts: dict[str, int]
+        self: ResponseTracker, request: InFlightRequest, outcome: RequestOutcome, response: bytes
     ) -> None:
-        finish(self, held, answer * 2 if next(count) % 40 == 0 else answer, counts)
+        respond(self, request, outcome, response * 2 if next(count) % 40 == 0 else response)
 
-    RequestDispatcher._finish = talkative  # type: ignore[method-assign, assignment]
+    ResponseTracker.respond = talkative  # type: ignore[method-assign]
--- a/tests/mutants/crashes.py
+++ b/tests/mutants/crashes.py
@@ -5,7 +5,8 @@
 import itertools
 import os
 
-from ironrail.net.dispatch.dispatcher import Answer, RequestDispatcher, ResponseStream
+from ironrail.net.dispatch.dispatcher import RequestDispatcher
+from ironrail.net.dispatch.pending_request import Respond, ResponseStream
 from ironrail.net.protocol.meta_codec import Command
 
 RULE = "routers crashed"
@@ -13,13 +14,13 @@
 
 
 def break_it() -> None:
-    take = RequestDispatcher.take
+    accept = RequestDispatcher.accept
 
     def fragile(
-        self: RequestDispatcher, command: Command, answer: Answer, passage: ResponseStream | None = None
+        self: RequestDispatcher, command: Command, respond: Respond, stream: ResponseStream | None = None
     ) -> str | None:
         if next(count) == 200:
             os._exit(3)
-        return take(self, command, answer, passage)
+        return accept(self, command, respond, stream)
 
-    RequestDispatcher.take = fragile  # type: ignore[method-assign]
+    RequestDispatcher.accept = fragile  # type: ignore[method-assign]
--- a/tests/mutants/drops_answer.py
+++ b/tests/mutants/drops_answer.py
@@ -4,20 +4,22 @@
 
 import itertools
 
-from ironrail.net.dispatch.dispatcher import InFlightRequest, RequestDispatcher
+from ironrail.access_log.keep import RequestOutcome
+from ironrail.net.dispatch.pending_request import InFlightRequest
+from ironrail.net.dispatch.response_tracker import ResponseTracker
 
 RULE = "rule one-answer"
 count = itertools.count(1)
 
 
 def break_it() -> None:
-    finish = RequestDispatcher._finish
+    respond = ResponseTracker.respond
 
     def forgetful(
-        self: RequestDispatcher, held: InFlightRequest, answer: bytes, counts: dict[str, int]
+        self: ResponseTracker, request: InFlightRequest, outcome: RequestOutcome, response: bytes
     ) -> None:
         if next(count) % 40 == 0:
-            held.answer = lambda answer: None
-        finish(self, held, answer, counts)
+            request.respond = lambda answer: None
+        respond(self, request, outcome, response)
 
-    RequestDispatcher._finish = forgetful  # type: ignore[method-assign, assignment]
+    ResponseTracker.respond = forgetful  # type: ignore[method-assign]
--- a/tests/mutants/drops_key.py
+++ b/tests/mutants/drops_key.py
@@ -5,19 +5,20 @@
 import dataclasses
 import re
 
-from ironrail.net.dispatch.dispatcher import Answer, RequestDispatcher, ResponseStream
+from ironrail.net.dispatch.dispatcher import RequestDispatcher
+from ironrail.net.dispatch.pending_request import Respond, ResponseStream
 from ironrail.net.protocol.meta_codec import Command
 
 RULE = "rule protocol"
 
 
 def break_it() -> None:
-    take = RequestDispatcher.take
+    accept = RequestDispatcher.accept
 
     def keyless(
-        self: RequestDispatcher, command: Command, answer: Answer, passage: ResponseStream | None = None
+        self: RequestDispatcher, command: Command, respond: Respond, stream: ResponseStream | None = None
     ) -> str | None:
         info = re.sub(rb",k=[^,]*", b"", command.info)
-        return take(self, dataclasses.replace(command, info=info), answer)
+        return accept(self, dataclasses.replace(command, info=info), respond)
 
-    RequestDispatcher.take = keyless  # type: ignore[method-assign]
+    RequestDispatcher.accept = keyless  # type: ignore[method-assign]
--- a/tests/mutants/floods_log.py
+++ b/tests/mutants/floods_log.py
@@ -4,19 +4,20 @@
 
 import sys
 
-from ironrail.net.dispatch.dispatcher import Answer, RequestDispatcher, ResponseStream
+from ironrail.net.dispatch.dispatcher import RequestDispatcher
+from ironrail.net.dispatch.pending_request import Respond, ResponseStream
 from ironrail.net.protocol.meta_codec import Command
 
 RULE = "log of a router"
 
 
 def break_it() -> None:
-    take = RequestDispatcher.take
+    accept = RequestDispatcher.accept
 
     def chatty(
-        self: RequestDispatcher, command: Command, answer: Answer, passage: ResponseStream | None = None
+        self: RequestDispatcher, command: Command, respond: Respond, stream: ResponseStream | None = None
     ) -> str | None:
         sys.stderr.write("x" * 100_000 + "\n")
-        return take(self, command, answer, passage)
+        return accept(self, command, respond, stream)
 
-    RequestDispatcher.take = chatty  # type: ignore[method-assign]
+    RequestDispatcher.accept = chatty  # type: ignore[method-assign]
--- a/tests/mutants/holds_back.py
+++ b/tests/mutants/holds_back.py
@@ -4,25 +4,29 @@
 
 import asyncio
 
-from ironrail.net.dispatch.dispatcher import InFlightRequest, RequestDispatcher
+from ironrail.access_log.keep import RequestOutcome
+from ironrail.net.dispatch.pending_request import InFlightRequest
+from ironrail.net.dispatch.response_tracker import ResponseTracker
 
 RULE = "answers kept back"
 
 
 def break_it() -> None:
-    finish = RequestDispatcher._finish
+    respond = ResponseTracker.respond
 
-    def sly(self: RequestDispatcher, held: InFlightRequest, answer: bytes, counts: dict[str, int]) -> None:
-        if not answer.startswith(b"SERVER_ERROR"):
-            finish(self, held, answer, counts)
+    def sly(
+        self: ResponseTracker, request: InFlightRequest, outcome: RequestOutcome, response: bytes
+    ) -> None:
+        if not response.startswith(b"SERVER_ERROR"):
+            respond(self, request, outcome, response)
             return
-        given, loop = held.answer, asyncio.get_running_loop()
-        wait = max(0.0, held.deadline - self._now() - 0.01)
+        given, loop = request.respond, asyncio.get_running_loop()
+        wait = max(0.0, request.deadline - self._now() - 0.01)
 
         def later(data: bytes) -> None:
             loop.call_later(wait, given, data)
 
-        held.answer = later
-        finish(self, held, answer, counts)
+        request.respond = later
+        respond(self, request, outcome, response)
 
-    RequestDispatcher._finish = sly  # type: ignore[method-assign, assignment]
+    ResponseTracker.respond = sly  # type: ignore[method-assign]
--- a/tests/mutants/leaks_descriptors.py
+++ b/tests/mutants/leaks_descriptors.py
@@ -4,7 +4,8 @@
 
 import os
 
-from ironrail.net.dispatch.dispatcher import Answer, RequestDispatcher, ResponseStream
+from ironrail.net.dispatch.dispatcher import RequestDispatcher
+from ironrail.net.dispatch.pending_request import Respond, ResponseStream
 from ironrail.net.protocol.meta_codec import Command
 
 RULE = "descriptors of a router"
@@ -12,12 +13,12 @@
 
 
 def break_it() -> None:
-    take = RequestDispatcher.take
+    accept = RequestDispatcher.accept
 
     def leaky(
-        self: RequestDispatcher, command: Command, answer: Answer, passage: ResponseStream | None = None
+        self: RequestDispatcher, command: Command, respond: Respond, stream: ResponseStream | None = None
     ) -> str | None:
         kept.append(os.open("/dev/null", os.O_RDONLY))
-        return take(self, command, answer, passage)
+        return accept(self, command, respond, stream)
 
-    RequestDispatcher.take = leaky  # type: ignore[method-assign]
+    RequestDispatcher.accept = leaky  # type: ignore[method-assign]
--- a/tests/mutants/sends_after_answer.py
+++ b/tests/mutants/sends_after_answer.py
@@ -4,8 +4,12 @@
 
 import asyncio
 import itertools
+from typing import Any
 
-from ironrail.net.dispatch.dispatcher import InFlightRequest, RequestDispatcher
+from ironrail.access_log.keep import RequestOutcome
+from ironrail.net.dispatch.dispatcher import RequestDispatcher
+from ironrail.net.dispatch.pending_request import InFlightRequest
+from ironrail.net.dispatch.response_tracker import ResponseTracker
 from ironrail.net.upstream.connection_pool import Attempt
 
 RULE = "rule one-answer"
@@ -13,18 +17,25 @@
 
 
 def break_it() -> None:
-    finish = RequestDispatcher._finish
+    init, respond = RequestDispatcher.__init__, ResponseTracker.respond
+    dispatchers: dict[ResponseTracker, RequestDispatcher] = {}
 
-    def again(self: RequestDispatcher, held: InFlightRequest) -> None:
+    def known(self: RequestDispatcher, *what: Any, **how: Any) -> None:
+        init(self, *what, **how)
+        dispatchers[self.requests] = self
+
+    def again(self: ResponseTracker, request: InFlightRequest) -> None:
         now = self._now()
-        attempt = Attempt(held.request, 9, now, now + 1.0, held.command, lambda *_: None)
-        next(pool for pool in self._pools.values() if pool.ready and pool.upstream.streams > 1).send(attempt)
+        attempt = Attempt(request.request_id, 9, now, now + 1.0, request.command, lambda *_: None)
+        pools = dispatchers[self].pools.values()
+        next(pool for pool in pools if pool.ready and pool.upstream.streams > 1).send(attempt)
 
     def restless(
-        self: RequestDispatcher, held: InFlightRequest, answer: bytes, counts: dict[str, int]
+        self: ResponseTracker, request: InFlightRequest, outcome: RequestOutcome, response: bytes
     ) -> None:
-        finish(self, held, answer, counts)
-        if not held.command.write and next(count) % 20 == 0:
-            asyncio.get_running_loop().call_later(0.4, again, self, held)
+        respond(self, request, outcome, response)
+        if not request.command.write and next(count) % 20 == 0:
+            asyncio.get_running_loop().call_later(0.4, again, self, request)
 
-    RequestDispatcher._finish = restless  # type: ignore[method-assign, assignment]
+    RequestDispatcher.__init__ = known  # type: ignore[method-assign]
+    ResponseTracker.respond = restless  # type: ignore[method-assign]
--- a/tests/mutants/serves_the_gone.py
+++ b/tests/mutants/serves_the_gone.py
@@ -9,5 +9,5 @@
 
 
 def break_it() -> None:
-    RequestDispatcher.gone = lambda self, name: None  # type: ignore[method-assign]
+    RequestDispatcher.on_client_disconnected = lambda self, request_id: None  # type: ignore[method-assign]
     ClientConnection.left = lambda self, waited: False  # type: ignore[method-assign]
--- a/tests/outcomes/bench.py
+++ b/tests/outcomes/bench.py
@@ -68,7 +68,9 @@
 
         self.answers: dict[str, list[bytes]] = {}
         self.host = RequestDispatcher(script, make, lambda: None, most)
-        self.host.servers(EndpointListUpdate(EndpointListKind.FULL, (Endpoint("s"),)), {"s": (LOCAL, port)})
+        self.host.update_endpoints(
+            EndpointListUpdate(EndpointListKind.FULL, (Endpoint("s"),)), {"s": (LOCAL, port)}
+        )
 
     def take(
         self,
@@ -81,7 +83,7 @@
         info = f"c={request_class},t=x,d={wait}".encode()
         command = Command(b"k", name.encode(), info, read_fields(info), value)
         answers = self.answers[name] = []
-        self.host.take(command, answers.append, passage)
+        self.host.accept(command, answers.append, passage)
 
 
 def told(script: Script, name: str) -> list[Event]:
--- a/tests/outcomes/test_breaks.py
+++ b/tests/outcomes/test_breaks.py
@@ -105,7 +105,7 @@
     assert second.writer is not first.writer and peer.opened == 2
     answer(second, b"w")
     assert (await script.outcome()).status is AttemptStatus.OK
-    assert len(bench.host._pools["s"].upstream) == 1
+    assert len(bench.host.pools["s"].upstream) == 1
 
 
 @pytest.mark.parametrize("end", ["close", "reset"])
@@ -163,10 +163,10 @@
             bench.take(str(n), wait=20 if n % 2 else 5000)  # some requests end before their dial
         for _ in range(8):
             assert (await script.outcome()).status is AttemptStatus.CONNECT_FAILED
-        pool = bench.host._pools["s"]
+        pool = bench.host.pools["s"]
         await until(lambda: not pool._dialling)
         await until(lambda: len(os.listdir("/proc/self/fd")) <= before)
-        assert not len(pool.upstream) and not bench.host._open
+        assert not len(pool.upstream) and not bench.host.attempts
         for filler in fillers:
             filler.close()
 
@@ -180,12 +180,12 @@
     got = await world.origin.next()
     client.close()
     host = world.node._host
-    await until(lambda: not host._held)
-    origin = host._router.servers["o"]
-    assert origin.in_flight == 1 and host._open  # it is still worked on
+    await until(lambda: not host.requests.by_id)
+    origin = host.driver.router.servers["o"]
+    assert origin.in_flight == 1 and host.attempts  # it is still worked on
     end(got, *([b"r"] if end is Message.respond else []))
-    await until(lambda: not host._open)
-    assert not origin.in_flight and not host._router.attempts.out
+    await until(lambda: not host.attempts)
+    assert not origin.in_flight and not host.driver.router.attempts.out
     other = await world.client()
     other.put("2", b"w")
     assert (await world.origin.next()).headers["request-id"] == "2"
--- a/tests/outcomes/test_ends.py
+++ b/tests/outcomes/test_ends.py
@@ -166,16 +166,16 @@
 
     host = RequestDispatcher(router, make, lambda: None, 8, system, lambda: asked.append("list"))
     news = EndpointListUpdate(EndpointListKind.FULL, (Endpoint("s"),))
-    host.servers(news, {"s": (LOCAL, peer.port)})
+    host.update_endpoints(news, {"s": (LOCAL, peer.port)})
     now[0] += 2.0  # as after SIGSTOP
     for name, wait in (("1", 20), ("2", 5000)):
         info = b"c=once,t=x,d=%d" % wait
         command = Command(b"k", name.encode(), info, read_fields(info), None)
-        host.take(command, answers.append)
+        host.accept(command, answers.append)
     assert asked == ["list"]
     await until(lambda: answers)
     assert answers[0].startswith(b"SERVER_ERROR busy") and not peer.opened
-    host.servers(news, {"s": (LOCAL, peer.port)})
+    host.update_endpoints(news, {"s": (LOCAL, peer.port)})
     (await peer.next()).reply(b"VA 1 O2 h1\r\nv\r\n")
     await until(lambda: len(answers) == 2)
     assert answers[1].startswith(b"VA 1 O2")
--- a/tests/outcomes/test_links.py
+++ b/tests/outcomes/test_links.py
@@ -128,13 +128,13 @@
 
 @scenario
 async def test_idle_connections_close_before_the_limit(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(dispatcher, "SWEEP", 0.01)
+    monkeypatch.setattr(dispatcher, "IDLE_CHECK_INTERVAL_SECONDS", 0.01)
     peer, script = await Peer().start(), Script()
     bench = Bench(script, peer.port, idle=1.0)
     bench.take("1")
     (await peer.next()).reply_value(b"v")
     await script.outcome()
-    decides = bench.host._pools["s"].upstream
+    decides = bench.host.pools["s"].upstream
     link, expire, looks = next(iter(decides._all)), decides.expire, list[tuple[float, bool]]()
 
     def look(now: float) -> list[pool_manager.Action]:
--- a/tests/outcomes/test_nobody_waits.py
+++ b/tests/outcomes/test_nobody_waits.py
@@ -63,13 +63,13 @@
     first = await peer.next()
     bench.take("2", b"v")  # a write: it waits for the connection
     if how == "left":
-        bench.host.gone("2")
+        bench.host.on_client_disconnected("2")
     bench.take("3", b"v")
     first.reply(b"HD O1 cr\r\n")
     assert (await peer.next()).flag == b"O3"
     ends = [e for e in told(script, "2") if isinstance(e, AttemptEnded)]
     assert [(e.status, e.request_ended) for e in ends] == [(AttemptStatus.NOT_SENT, True)]
-    assert not [key for key in bench.host._open if key[0] == "2"]
+    assert not [entry for entry in bench.host.attempts if entry.attempt.request == "2"]
 
 
 @scenario
@@ -77,12 +77,12 @@
     peer, script = await Peer().start(), Script()
     bench = Bench(script, peer.port)
     bench.take("1")
-    bench.host.gone("1")
+    bench.host.on_client_disconnected("1")
     await until(lambda: peer.opened)
     bench.take("2")
     assert (await peer.next()).flag == b"O2"
     assert peer.opened == 1  # the connection that came up late is used, and counted once
-    assert len(bench.host._pools["s"].upstream) == 1
+    assert len(bench.host.pools["s"].upstream) == 1
 
 
 @scenario
@@ -103,7 +103,7 @@
     assert [e.status for e in ends if isinstance(e, AttemptEnded)] == [AttemptStatus.NOT_SENT]
     bench.take("3", b"v")
     assert (await peer.next()).flag == b"O3"
-    bench.host.gone("2")  # as its connection ends
+    bench.host.on_client_disconnected("2")  # as its connection ends
     assert client.cuts == 1 and not told(script, "2")
 
 
@@ -130,7 +130,7 @@
     client.gone = True
     got.reply(b"EN O1\r\n")
     await until(lambda: client.cuts)
-    assert not bench.host._held and not bench.host._open
+    assert not bench.host.requests.by_id and not bench.host.attempts
     bench.take("2")
     assert (await peer.next()).flag == b"O2" and peer.messages.empty()
 
@@ -145,18 +145,18 @@
     (place,) = world.node._clients.places
     await until(lambda: not place.reading)
     sent = [await world.origin.next()]
-    origin = world.node._host._router.servers["o"]
+    origin = world.node._host.driver.router.servers["o"]
     await until(lambda: len(sent) + world.origin.messages.qsize() == origin.in_flight)
     out = origin.in_flight
-    assert len(world.node._host._held) == session_manager.MOST_PIPELINED > out
+    assert len(world.node._host.requests.by_id) == session_manager.MOST_PIPELINED > out
     (connection,) = world.node._clients.all()
     client.writer.write_eof()
     await until(connection.left, False)
     for _ in range(out):
         (sent.pop() if sent else await world.origin.next()).respond(b"r")
-    await until(lambda: not world.node._host._held and not origin.in_flight)
+    await until(lambda: not world.node._host.requests.by_id and not origin.in_flight)
     assert world.origin.messages.empty()
-    assert not world.node._host._open and not world.node._host._router.attempts.out
+    assert not world.node._host.attempts and not world.node._host.driver.router.attempts.out
     assert origin.consecutive_losses == 0
 
 
@@ -182,7 +182,7 @@
         with connection:
             connection.setblocking(False)
             got = len(await loop.sock_recv(connection, 1024))
-            bench.host.gone("1")
+            bench.host.on_client_disconnected("1")
             outcome = await script.outcome()
             assert (outcome.status, outcome.request_ended) == (AttemptStatus.NOT_SENT, True)
             try:
@@ -191,7 +191,7 @@
             except ConnectionError:
                 pass
             assert got < 8 * 1024**2
-        assert not len(bench.host._pools["s"].upstream)
+        assert not len(bench.host.pools["s"].upstream)
 
 
 @scenario
@@ -202,15 +202,15 @@
     client.get("1")
     got = await world.cache.next()
     host = world.node._host
-    held = host._held["1"]
-    pool = host._pools["o"]
-    late = Attempt("1", 1, REAL.now(), held.deadline, held.command, host._on_outcome)
+    held = host.requests.by_id["1"]
+    pool = host.pools["o"]
+    late = Attempt("1", 1, REAL.now(), held.deadline, held.command, host.sender._on_outcome)
     held.attempts.append(late)
-    host._open["1", 1] = late, pool
+    host.attempts.add(late, pool)
     pool.send(late)  # dials
     value = b"x" * (SHORT + 1)
     got.reply(b"VA %d O1 h1\r\n" % len(value))
-    await until(lambda: held.streaming)
+    await until(lambda: held.streamed_attempt)
     assert not late.open and late.link is None
     got.reply(value + b"\r\n")
     assert await client.value("1") == value
--- a/tests/outcomes/test_refused_dials.py
+++ b/tests/outcomes/test_refused_dials.py
@@ -31,7 +31,7 @@
     bench = Bench(script, peer.port, most=2, connect_timeout=5.0)
     bench.take("0")
     first = await peer.next()
-    pool = bench.host._pools["s"]
+    pool = bench.host.pools["s"]
     refused = pool._loop = Refused()  # type: ignore[assignment]
     bench.take("1", passage=client)  # how long a reply takes is not known yet: it dials
     bench.take("2")  # no more than two connections: behind the first
@@ -44,4 +44,4 @@
     second.reply(b"VA 1 O2 h1\r\nv\r\n")
     bench.take("3")
     assert (await peer.next()).flag == b"O3"
-    assert client.cuts == 1 and not [key for key in bench.host._open if key[0] == "1"]
+    assert client.cuts == 1 and not [entry for entry in bench.host.attempts if entry.attempt.request == "1"]
--- a/tests/outcomes/test_replies.py
+++ b/tests/outcomes/test_replies.py
@@ -64,7 +64,7 @@
     bench = Bench(script, peer.port)
     bench.take("1", wait=60)
     await peer.next()
-    bench.host.gone("1")
+    bench.host.on_client_disconnected("1")
     bench.take("1")
     assert bench.answers["1"] == [b"CLIENT_ERROR id in use\r\n"]  # its attempt is still out
     outcome = await script.outcome()
--- a/tests/outcomes/test_surplus.py
+++ b/tests/outcomes/test_surplus.py
@@ -68,7 +68,7 @@
 @scenario
 @pytest.mark.parametrize("half", [b"VA 9 O1 h1\r\nhalf", b"VA 9 O1", b"x" * 100])
 async def test_a_reply_that_stops_midway_is_given_up(half: bytes, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(dispatcher, "SWEEP", 0.01)
+    monkeypatch.setattr(dispatcher, "IDLE_CHECK_INTERVAL_SECONDS", 0.01)
     monkeypatch.setattr(pool_manager, "HALF_READ", 0.05)
     peer, script = await Peer().start(), Script()
     bench = Bench(script, peer.port, most=1)
@@ -90,7 +90,7 @@
     bench.take("1")
     first = await peer.next()
     first.reply(b"VA 9 O1 h1\r\nhalf")
-    connection = next(iter(bench.host._pools["s"]._connections.values()))
+    connection = next(iter(bench.host.pools["s"]._connections.values()))
     while not connection.link.half:
         await asyncio.sleep(0)
     bench.take("2")
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -162,7 +162,7 @@
     busy = [await world.client() for _ in range(kept + 2)]
     for n, client in enumerate(busy):
         client.put(str(n), b"v")  # which the module holds till the origin has answered
-    while len(world.node._host._held) < len(busy):
+    while len(world.node._host.requests.by_id) < len(busy):
         await asyncio.sleep(0)
     last = await world.client()
     for _ in "12":
--- a/tests/test_clients_ends.py
+++ b/tests/test_clients_ends.py
@@ -50,7 +50,7 @@
     async def answer() -> None:
         while True:
             message = await world.origin.next()
-            assert len(world.node._host._held) <= session_manager.MOST_PIPELINED
+            assert len(world.node._host.requests.by_id) <= session_manager.MOST_PIPELINED
             message.respond(b"r")
 
     task = asyncio.ensure_future(answer())
--- a/tests/test_clients_linger.py
+++ b/tests/test_clients_linger.py
@@ -58,9 +58,9 @@
         n += 1
     client.get("waits")
     await world.cache.next()
-    assert list(world.node._host._held) == ["waits"]
+    assert list(world.node._host.requests.by_id) == ["waits"]
     client.writer.write_eof()
-    await until(lambda: not world.node._host._held)  # at once: it has gone
+    await until(lambda: not world.node._host.requests.by_id)  # at once: it has gone
     await until(lambda: not world.node._clients._connections)
 
 
--- a/tests/test_clients_shut.py
+++ b/tests/test_clients_shut.py
@@ -188,7 +188,7 @@
     await world.cache.next()
     connection = next(c for c in world.node._clients.all() if c.place.open)
     connection.eof_received()
-    assert not world.node._host._held
+    assert not world.node._host.requests.by_id
     other.put("1", b"v")
     got = await world.origin.next()
     connection.transport.abort()
@@ -203,7 +203,7 @@
     client = await world.client()
     client.get("1")
     got = await world.cache.next()
-    links = [c for pool in world.node._host._pools.values() for c in pool._connections.values()]
+    links = [c for pool in world.node._host.pools.values() for c in pool._connections.values()]
     assert links
     for transport in (connection_of(world).transport, *(link.transport for link in links)):
         raw = transport.get_extra_info("socket")
--- a/tests/test_long_values.py
+++ b/tests/test_long_values.py
@@ -8,7 +8,7 @@
 import pytest
 from ironrail.connections.downstream.memory_budget import MemoryBudget
 from ironrail.connections.upstream import pool_manager
-from ironrail.net.dispatch.dispatcher import STREAM_ROOM
+from ironrail.net.dispatch.value_streamer import STREAM_BUFFER_BYTES
 from ironrail.net.protocol import meta_codec
 
 from tests.peers import Client, Message, World, scenario, until
@@ -34,7 +34,7 @@
     value = LONG[: 600 * 1024]
     whole = b"VA %d O1 h1\r\n" % len(value) + value + b"\r\n"
     got.reply(whole)
-    while world.node._host._held:  # the system and the router hold what is left
+    while world.node._host.requests.by_id:  # the system and the router hold what is left
         client.reader._transport.resume_reading()  # type: ignore[attr-defined]
         await asyncio.sleep(0.001)
     assert await client.value("1") == value
@@ -60,7 +60,7 @@
     assert again.writer is got.writer  # nothing is left on it
     again.reply_value(b"v")
     assert await client.value("2") == b"v"
-    assert world.node._host.room.free == world.node._host.room._total
+    assert world.node._host.memory_budget.free == world.node._host.memory_budget._total
 
 
 @scenario
@@ -93,7 +93,7 @@
     got.end()
     with pytest.raises((asyncio.IncompleteReadError, ConnectionResetError)):
         await client.reader.readexactly(len(LONG))
-    assert not world.node._host._held
+    assert not world.node._host.requests.by_id
 
 
 @scenario
@@ -107,8 +107,8 @@
     huge = bytes(meta_codec.MAX_VALUE)
     got.reply(b"VA %d O1 h1\r\n" % len(huge) + huge + b"\r\n")
     host = world.node._host
-    await until(lambda: host._held and next(iter(host._held.values())).streaming)
-    link = next(iter(host._open.values()))[0].link
+    await until(lambda: host.requests.by_id and next(iter(host.requests.by_id.values())).streamed_attempt)
+    link = next(iter(host.attempts)).attempt.link
     assert link is not None
     await until(lambda: link.full)
     other = await world.client()
@@ -127,14 +127,14 @@
     await client.line()
     client.close()
     assert await world.cache.ended.acquire()
-    room = world.node._host.room
-    assert room.free == room._total and not world.node._host._open
+    room = world.node._host.memory_budget
+    assert room.free == room._total and not world.node._host.attempts
 
 
 @scenario
 async def test_without_room_a_long_value_is_a_failed_attempt() -> None:
     world = await World().start()
-    room = world.node._host.room = MemoryBudget(STREAM_ROOM)
+    room = world.node._host.streamer.memory_budget = MemoryBudget(STREAM_BUFFER_BYTES)
     assert room.take("another", 1)
     client, got = await asked(world, wait=200)
     got.reply(HEAD + LONG + b"\r\n")
@@ -162,7 +162,7 @@
     client, got = await asked(world)
     for byte in b"VA 6 O1\r\nvalues\r\n":
         got.reply(bytes([byte]))
-        world.node._host._pools["c"].expire()
+        world.node._host.pools["c"].expire()
         await asyncio.sleep(0.08)  # longer in all than one may stand still
     assert await client.value("1") == b"values"
 
@@ -170,26 +170,26 @@
 @scenario
 async def test_long_writes_wait_for_room_and_are_read_in_turn() -> None:
     world = await World().start()
-    world.node._host.room = MemoryBudget(len(LONG) + 1000)
+    world.node._host.streamer.memory_budget = MemoryBudget(len(LONG) + 1000)
     first, second = await world.client(), await world.client()
     first.put("1", LONG)
     put = await world.origin.next()
     second.put("2", LONG)
     await asyncio.sleep(0.05)
-    assert "2" not in world.node._host._held  # not taken: its value is not read
+    assert "2" not in world.node._host.requests.by_id  # not taken: its value is not read
     put.respond(b"r1")
     assert await first.line() == b"HD O1 cr1\r\n"
     put = await world.origin.next()
     assert put.value == LONG
     put.respond(b"r2")
     assert await second.line() == b"HD O2 cr2\r\n"
-    assert world.node._host.room.free == len(LONG) + 1000
+    assert world.node._host.memory_budget.free == len(LONG) + 1000
 
 
 @scenario
 async def test_who_waits_for_room_and_leaves_holds_up_nobody() -> None:
     world = await World().start()
-    room = world.node._host.room = MemoryBudget(len(LONG))
+    room = world.node._host.streamer.memory_budget = MemoryBudget(len(LONG))
     assert room.take("another", len(LONG))
     leaver, stays = await world.client(), await world.client()
     leaver.send(b"ms k %d O1 Pc=once,t=x,d=5000\r\n" % len(LONG) + LONG[:-1000])
--- a/tests/test_node_lists.py
+++ b/tests/test_node_lists.py
@@ -171,7 +171,7 @@
     )
     monkeypatch.setattr(discovery_freshness, "SPREAD", 0.0)  # of the first call
     await world.start()
-    world.node._host._router.asking.spread = 600.0
+    world.node._host.driver.router.asking.spread = 600.0
     half = orjson.dumps({"version": 2, "full": True, "servers": world.rows()})[:-9]
     head = b"HTTP/1.1 200 X\r\nContent-Length: %d\r\n\r\n" % (len(half) + 9)
     if how in ("stops short", "breaks off"):
--- a/tests/test_readers.py
+++ b/tests/test_readers.py
@@ -147,7 +147,7 @@
     with socket.socket(fileno=os.dup(client.writer.get_extra_info("socket").fileno())) as raw:
         raw.send(b"mg k v O3 Pc=read,t=x,d=5000\r\n")  # it has come, and this loop has not read it
     host = world.node._host
-    host._lose(host._held["2"])
+    host.lifecycle.drop(host.requests.by_id["2"])
     assert not connection.transport.is_closing()
     assert await client.line() == b"SERVER_ERROR failed\r\n"
     (await world.cache.next()).reply_value(b"v")
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -73,7 +73,7 @@
     client.get("held", wait=400)
     await world.cache.next()
     client.send(b"".join(b"mg k v Or%d Pc=read,t=x,d=400\r\n" % n for n in range(300)))
-    end_all, late = world.node._host.end_all, 0
+    expire_all, late = world.node._host.expire_all, 0
 
     def end() -> None:
         nonlocal late
@@ -83,12 +83,12 @@
             late = 300
             writes = b"".join(b"ms k 1 Os%d Pc=once,t=x,d=400\r\nv\r\n" % n for n in range(late))
             client.writer.transport.write(writes)
-        end_all()
+        expire_all()
 
-    monkeypatch.setattr(world.node._host, "end_all", end)
+    monkeypatch.setattr(world.node._host, "expire_all", end)
     await world.node.stop()
     # here the process ends: all is answered, and said to be over
-    assert late and not world.node._host._held and not world.node._clients.all()
+    assert late and not world.node._host.requests.by_id and not world.node._clients.all()
     for _ in range(301 + late):
         assert (await client.line()).startswith(b"SERVER_ERROR ")
     assert await client.ended()
--- a/tests/test_silent_list.py
+++ b/tests/test_silent_list.py
@@ -54,7 +54,7 @@
         slow_start_duration=600.0,
         router_index=1,
     ).start()
-    world.node._host._router.asking.spread = 600.0
+    world.node._host.driver.router.asking.spread = 600.0
     over = time.monotonic() + 0.2
     assert (await world.discovery.next()).head == b"GET /api/targets"  # silent as well
     assert 0.4 < time.monotonic() - over < 0.95  # 1 s is the patience with a usual call
--- a/tests/test_told_of_changes.py
+++ b/tests/test_told_of_changes.py
@@ -151,7 +151,7 @@
 async def test_what_waits_for_a_slow_connect_goes_elsewhere_once_its_server_drains(gone: bool) -> None:
     world = await World(connect_timeout=5.0).start()
     other, client = await Peer().start(), await world.client()
-    pool = world.node._host._pools["c"]
+    pool = world.node._host.pools["c"]
     gate = pool._loop = Gate(pool._loop)  # type: ignore[assignment]
     for name in "12":
         client.get(name, key=f"k{name}")
