--- a/ironrail/net/dispatch/dispatcher.py
+++ b/ironrail/net/dispatch/dispatcher.py
@@ -177,7 +177,7 @@
         stream: ResponseStream | None,
         timeout: float,
     ) -> None:
-        """Track an accepted request until its deadline at the latest, and submit it to the policy."""
+        """Track an accepted request until its deadline, and submit it to the policy."""
         now = self._now()
         read_delay = _read_delay(stream, now)
         time_left = _time_left(stream, timeout - read_delay)
