--- /dev/null
+++ b/ironrail/connections/upstream/attempt_canceller.py
@@ -0,0 +1,85 @@
+"""How an attempt is given up before its reply, and what becomes of its connection."""
+
+from __future__ import annotations
+
+from ironrail.connections.upstream.attempt_writer import AttemptWriter, is_unsent
+from ironrail.connections.upstream.connection import Attempt, UpstreamConnection
+from ironrail.connections.upstream.connection_lifecycle import ConnectionLifecycle
+from ironrail.connections.upstream.pool_actions import AbortConnection, ActionQueue
+from ironrail.connections.upstream.pool_state import PoolState
+from ironrail.policy.events import AttemptStatus
+
+
+class AttemptCanceller:
+    """Gives up attempts: waiting, written in part, or in flight."""
+
+    def __init__(
+        self,
+        state: PoolState,
+        actions: ActionQueue,
+        writer: AttemptWriter,
+        lifecycle: ConnectionLifecycle,
+    ) -> None:
+        self._state = state
+        self._actions = actions
+        self._writer = writer
+        self._lifecycle = lifecycle
+
+    def abandon(self, now: float, attempt: Attempt, status: AttemptStatus) -> None:
+        """Stop waiting for an attempt; if written, its connection is busy until its reply."""
+        if attempt in self._state.waiting:
+            self._state.waiting.remove(attempt)
+            status = self._status_of_unserved()
+        connection = attempt.connection
+        was_open = attempt.is_open
+        if connection is not None and is_unsent(attempt):
+            # it never ran, and its remaining bytes would stay in memory
+            self._writer.end(attempt, AttemptStatus.CONNECT_FAILED)
+            fault = "it does not take what it is sent"
+            self._lifecycle.abort_with_attempts(now, connection, fault)
+        self._writer.end(attempt, status)
+        if connection is not None and was_open and _is_streamed(connection, attempt):
+            fault = "its client has left a long value"
+            self._lifecycle.abort_with_attempts(now, connection, fault)
+        if status is AttemptStatus.TIMEOUT and connection is not None:
+            self._lifecycle.abort_if_silent(now, connection, attempt)
+        if not self._state.is_ready:  # no later event would close what is left
+            self._lifecycle.close_abandoned(now)
+
+    def revoke(self, now: float, attempt: Attempt) -> None:
+        """Give up an attempt of a request that may not be in flight twice.
+
+        It is in flight as long as its connection, so that is aborted.
+        """
+        connection = attempt.connection
+        if connection is None or not attempt.is_open or is_unsent(attempt):
+            self.abandon(now, attempt, AttemptStatus.CANCELLED)
+            return
+        self._lifecycle.remove(now, connection)
+        # before the outcomes, each of which may cause another attempt at once
+        self._actions.add(AbortConnection(connection))
+        self._writer.end_all(connection, AttemptStatus.CANCELLED, AttemptStatus.CANCELLED)
+
+    def withdraw(self, now: float, attempt: Attempt) -> None:
+        """Take an attempt back if it is unsent, and else leave it to its server."""
+        if not is_unsent(attempt):
+            return
+        connection = attempt.connection
+        self._writer.end(attempt, AttemptStatus.NOT_SENT)
+        if connection is None:
+            self._state.waiting.remove(attempt)
+        else:  # its remaining bytes would still be sent
+            connection.in_flight.pop()  # the others have a fault, this one has its outcome
+            fault = "a command that is not wanted any more is half written"
+            self._lifecycle.abort_with_attempts(now, connection, fault)
+
+    def _status_of_unserved(self) -> AttemptStatus:
+        """Return the outcome of an attempt that got no connection in its time."""
+        if self._state.connecting:
+            return AttemptStatus.CONNECT_FAILED
+        return AttemptStatus.CANCELLED_BEFORE_SEND
+
+
+def _is_streamed(connection: UpstreamConnection, attempt: Attempt) -> bool:
+    in_flight = connection.in_flight
+    return connection.is_streaming and bool(in_flight) and in_flight[0] is attempt
--- a/ironrail/connections/upstream/connection.py
+++ b/ironrail/connections/upstream/connection.py
@@ -1,54 +1,78 @@
-"""One connection to a server and what is out on it, as those who decide about it know them."""
+"""A connection to a server, and the attempts in flight on it, as seen by the pool's decisions."""
 
 from __future__ import annotations
 
 from collections import deque
 from collections.abc import Hashable
 from dataclasses import dataclass, field
+from enum import Enum
+
+
+class ConnectionState(Enum):
+    """Where a connection is in its life."""
+
+    CONNECTING = "connecting"
+    OPEN = "open"
+    CLOSED = "closed"  # nothing is written to it any more; its end may not have been reported yet
+
+
+class ReplyState(Enum):
+    """What has arrived of the reply to the oldest attempt in flight."""
+
+    NONE = "none"
+    PARTIAL = "partial"
+    STREAMING = "streaming"  # a long value that its client receives while it arrives
+    PAUSED = "paused"  # the same, while the client is slow and nothing is read
 
 
 @dataclass(slots=True, eq=False)
 class Attempt:
-    """One attempt of a request; a host adds what it needs to carry it out."""
+    """One attempt of a request; a host adds what it needs to carry it out.
 
-    request: str
+    Times are seconds on the host's clock.
+    """
+
+    request_id: str
     number: int
-    sent_at: float  # when the host was told to send it
-    until: float  # when it stops waiting for it
-    alone: bool = field(
-        default=False, init=False
-    )  # may not be repeated: shares a connection with nothing
-    open: bool = field(default=True, init=False)  # it has no outcome yet
-    link: UpstreamConnection | None = field(default=None, init=False)  # that it was written to
+    sent_at: float  # when it was handed to the pool
+    deadline: float  # when the host stops waiting for it
+    is_exclusive: bool = field(default=False, init=False)  # shares its connection with nothing
+    is_open: bool = field(default=True, init=False)  # it has no outcome yet
+    connection: UpstreamConnection | None = field(default=None, init=False)  # once written
     written_at: float = field(default=0.0, init=False)
 
 
 @dataclass(slots=True, eq=False)
 class UpstreamConnection:
-    """One connection, from its dial to its end."""
+    """One connection, from its start to its end. Times are seconds on the host's clock."""
 
     address: Hashable
-    out: deque[Attempt] = field(
-        default_factory=deque
-    )  # written and not replied to, given up ones among them
-    dialled_at: float = 0.0
+    in_flight: deque[Attempt] = field(default_factory=deque)  # abandoned ones among them
+    connect_started_at: float = 0.0
     opened_at: float = 0.0
-    fresh: bool = True  # no reply has come on it
-    crowded: bool = False  # the server holds too many: it turns away all that comes on this one
-    used_at: float = 0.0
-    heard_at: float = 0.0
-    pause: float = 0.0  # for which it stood idle before what is out was written
-    half: bool = False  # a reply has begun of which a part is still to come
-    streaming: bool = False  # it is a long value, and its client is given it as it comes
-    full: bool = False  # that client takes no more for now, so nothing is read
-    held_back: bool = False  # the last bytes written are not yet with the system
-
-    def abandoned(self) -> bool:
-        """Whether nobody waits for anything on it."""
-        return not any(attempt.open for attempt in self.out)
-
-    def blocked(self) -> bool:
-        """Whether what is sent now would queue behind a reply that may never end, or that is to be alone."""
-        if self.half or self.crowded:
+    state: ConnectionState = ConnectionState.CONNECTING
+    reply_state: ReplyState = ReplyState.NONE
+    is_new: bool = True  # no reply has arrived on it
+    is_over_limit: bool = False  # the server holds too many and rejects whatever is sent on it
+    last_used_at: float = 0.0
+    last_read_at: float = 0.0
+    idle_before_write: float = 0.0  # seconds without use before the attempts in flight
+    has_unsent_bytes: bool = False  # the last bytes written are not yet with the kernel
+
+    @property
+    def is_streaming(self) -> bool:
+        """Whether a long value is being forwarded to its client."""
+        return self.reply_state in STREAMING_STATES
+
+    def is_abandoned(self) -> bool:
+        """Whether no attempt in flight awaits its reply."""
+        return not any(attempt.is_open for attempt in self.in_flight)
+
+    def is_blocked(self) -> bool:
+        """Whether another attempt would queue behind a reply that may never end."""
+        if self.reply_state is not ReplyState.NONE or self.is_over_limit:
             return True
-        return not all(attempt.open and not attempt.alone for attempt in self.out)
+        return not all(attempt.is_open and not attempt.is_exclusive for attempt in self.in_flight)
+
+
+STREAMING_STATES = (ReplyState.STREAMING, ReplyState.PAUSED)
--- a/ironrail/connections/upstream/connection_opener.py
+++ b/ironrail/connections/upstream/connection_opener.py
@@ -1,63 +1,68 @@
-"""When one more connection to a server is worth its cost. Pure; times are seconds on one clock.
+"""When one more connection to a server pays off. Times are seconds on one clock.
 
-Going behind others costs time each time and opening a connection costs the server once. As between renting
-and buying, attempts go behind others until the time lost so has come up to the cost of a connection, then one
-is opened: never more than twice the cost of the better choice, whatever comes.
+Queueing behind other attempts costs time on each use; opening a connection costs the server once.
+As in the ski rental problem, attempts queue until the time lost equals the cost of a connection,
+then one is opened: at most twice the cost of the best choice, whatever load follows.
 """
 
 from __future__ import annotations
 
 import math
 
-ROUGH = 10.0  # seconds after a break in which nothing goes behind another that may have a connection of its own
-FULL_FIRST = 0.1  # seconds in which none is opened once the server's places seem to be taken by other routers
-FULL_MOST = 10.0  # as that goes on, doubled each time: connects also fail alone, and all behind one is worse
-# seconds: what opening one takes, as time lost behind others would; 25 to 40 ms of work
-CONNECTION_COST = 0.03
-LEARNING = 0.1  # of the latest reply in the mean of what one takes
-BEHIND = 0.5  # of the time of a reply: waiting for one ahead, for both are begun at once, the later one sooner
+BREAK_COOLDOWN_SECONDS = (
+    10.0  # after a break, in which attempts share a connection only if they must
+)
+MIN_FULL_BACKOFF_SECONDS = 0.1  # without opening one while other routers hold the server's capacity
+MAX_FULL_BACKOFF_SECONDS = 10.0  # bounded, as connects also fail for other reasons
+CONNECTION_COST_SECONDS = 0.03  # the server's work for a new connection, as time lost in queues
+LATEST_REPLY_FRACTION = 0.1  # weight of the latest reply in the mean reply time
+QUEUE_DELAY_FRACTION = 0.5  # of a reply time, per attempt ahead: both are worked on at once
 
 
 class ConnectionOpener:
-    """What speaks for opening one, and what against."""
+    """Weighs the cost of queueing against that of a new connection.
+
+    Args:
+        cost: Seconds that a new connection costs.
+    """
 
     def __init__(self, cost: float) -> None:
-        self._cost = cost  # seconds, of a new connection
-        # seconds, smoothed, of what had a connection to itself; 0 is not known
-        self._reply_time = 0.0
-        self._waited = 0.0  # seconds behind others, by what was to be expected, since the last dial
-        self._full_until = -math.inf  # the server's places are taken
-        self._full_for = FULL_FIRST
-        self._rough_until = -math.inf
-
-    def bears_waiting(self, now: float, ahead: int) -> bool:
-        """Whether going behind so many is cheaper than one more connection, by what was lost so already."""
-        if now < self._rough_until or not self._reply_time:
+        self._cost = cost
+        self._reply_time = 0.0  # mean, of attempts alone on their connection; 0: not known
+        self._queueing_time = 0.0  # expected, since a connection was last opened
+        self._full_until = -math.inf
+        self._full_backoff = MIN_FULL_BACKOFF_SECONDS
+        self._cooldown_until = -math.inf
+
+    def prefers_queueing(self, now: float, ahead: int) -> bool:
+        """Whether queueing behind `ahead` attempts is cheaper than one more connection."""
+        if now < self._cooldown_until or not self._reply_time:
             return False
-        self._waited += BEHIND * self._reply_time * ahead
-        return self._waited < self._cost
+        self._queueing_time += QUEUE_DELAY_FRACTION * self._reply_time * ahead
+        return self._queueing_time < self._cost
 
-    def dialled(self) -> None:
-        """One more is being opened."""
-        self._waited = 0.0
+    def note_opened(self) -> None:
+        """Note that one more is being opened."""
+        self._queueing_time = 0.0
 
-    def learn(self, took: float) -> None:
-        """How long one reply takes, of an attempt that nothing was ahead of nor behind."""
-        self._reply_time += (LEARNING if self._reply_time else 1.0) * (took - self._reply_time)
+    def record_reply_time(self, seconds: float) -> None:
+        """Record the reply time of an attempt that had its connection to itself."""
+        weight = LATEST_REPLY_FRACTION if self._reply_time else 1.0
+        self._reply_time += weight * (seconds - self._reply_time)
 
-    def broke(self, now: float) -> None:
-        """One broke with something out on it."""
-        self._rough_until = now + ROUGH
+    def note_broken(self, now: float) -> None:
+        """Note that a connection broke with attempts in flight."""
+        self._cooldown_until = now + BREAK_COOLDOWN_SECONDS
 
-    def full(self, now: float) -> bool:
-        """Whether the server's places seem to be taken."""
+    def is_server_full(self, now: float) -> bool:
+        """Whether the server's capacity for connections seems to be in use."""
         return now < self._full_until
 
-    def note_full(self, now: float) -> None:
-        """Open none for a while; for longer each time, until one comes up that is served."""
-        self._full_until = now + self._full_for
-        self._full_for = min(FULL_MOST, 2 * self._full_for)
+    def note_server_full(self, now: float) -> None:
+        """Open none for a while, which doubles each time until a new connection is served."""
+        self._full_until = now + self._full_backoff
+        self._full_backoff = min(MAX_FULL_BACKOFF_SECONDS, 2 * self._full_backoff)
 
-    def served(self) -> None:
-        """One has come up that is served."""
-        self._full_for = FULL_FIRST
+    def note_served(self) -> None:
+        """Note that a new connection is served."""
+        self._full_backoff = MIN_FULL_BACKOFF_SECONDS
--- a/ironrail/connections/upstream/pool_actions.py
+++ b/ironrail/connections/upstream/pool_actions.py
@@ -1,4 +1,4 @@
-"""What a host is told to do about the connections to one server."""
+"""Actions: what a pool's decisions order its host to do."""
 
 from __future__ import annotations
 
@@ -9,53 +9,62 @@
 
 
 @dataclass(slots=True)
-class Dial:
-    """Open a connection; `up` or `down` tells of its end."""
+class OpenConnection:
+    """Open a connection. Emitted when attempts wait and one more may be opened.
 
-    link: UpstreamConnection
+    The host reports `on_connected` or `on_connect_failed`.
+    """
+
+    connection: UpstreamConnection
 
 
 @dataclass(slots=True)
-class Look:
-    """Tell with `looked` whether nothing has come on a connection since its last reply."""
+class CheckIdle:
+    """Check that nothing has arrived on an idle connection. Emitted before it is used again.
+
+    The host reports `on_idle_checked` at once, before it carries out any other action.
+    """
 
-    link: UpstreamConnection
-    attempt: Attempt | None  # that is to go there; None: whichever waits longest
+    connection: UpstreamConnection
+    attempt: Attempt | None  # to be written there; None: the one that waits longest
 
 
 @dataclass(slots=True)
-class Write:
-    """Write an attempt behind those that are out."""
+class WriteAttempt:
+    """Write an attempt behind those in flight. Emitted when a connection is chosen for it."""
 
-    link: UpstreamConnection
+    connection: UpstreamConnection
     attempt: Attempt
 
 
 @dataclass(slots=True)
-class Begin:
-    """Pass on to the client of an attempt what comes from now on."""
+class StreamResponse:
+    """Forward what arrives to the client of an attempt. Emitted when a long value begins."""
 
     attempt: Attempt
-    length: int
+    length: int  # bytes
 
 
 @dataclass(slots=True)
-class Close:
-    """End a connection that nobody waits on; what is still to be written goes out first."""
+class CloseConnection:
+    """Close a connection after its last write. Emitted when no attempt awaits a reply on it."""
 
-    link: UpstreamConnection
+    connection: UpstreamConnection
 
 
 @dataclass(slots=True)
-class Abort:
-    """End a connection at once. As with any other, `ended` tells when it has."""
+class AbortConnection:
+    """End a connection at once. Emitted when its replies can't be matched or are overdue.
 
-    link: UpstreamConnection
+    The host reports `on_closed`, as at any other end.
+    """
+
+    connection: UpstreamConnection
 
 
 @dataclass(slots=True)
-class End:
-    """Report the one outcome of an attempt."""
+class EndAttempt:
+    """Report the outcome of an attempt. Emitted once for each attempt."""
 
     attempt: Attempt
     status: AttemptStatus
@@ -63,10 +72,36 @@
 
 
 @dataclass(slots=True)
-class Warn:
-    """Say in the log why a connection was given up."""
+class LogConnectionFault:
+    """Log why a connection is aborted. Emitted before its `AbortConnection`."""
 
     fault: object
 
 
-Action = Dial | Look | Write | Begin | Close | Abort | End | Warn
+PoolAction = (
+    OpenConnection
+    | CheckIdle
+    | WriteAttempt
+    | StreamResponse
+    | CloseConnection
+    | AbortConnection
+    | EndAttempt
+    | LogConnectionFault
+)
+
+
+class ActionQueue:
+    """The actions that one event has caused so far, in order."""
+
+    def __init__(self) -> None:
+        self._actions: list[PoolAction] = []
+
+    def add(self, action: PoolAction) -> None:
+        """Append an action."""
+        self._actions.append(action)
+
+    def take(self) -> list[PoolAction]:
+        """Return the actions and forget them."""
+        actions = self._actions
+        self._actions = []
+        return actions
--- a/ironrail/connections/upstream/pool_manager.py
+++ b/ironrail/connections/upstream/pool_manager.py
@@ -1,289 +1,224 @@
-"""The connections to one server: how many, which takes an attempt, which is given up, what becomes of
-what was on it. Pure: told of what happens and when, answers with what to do, in order.
+"""Decides for the connections to one server: takes events, returns actions; no I/O, no clock.
 
-A host carries out the actions one after another, and tells of nothing else before the last is done; only
-`Look` wants an answer at once, with `looked`, and what that brings about comes before the actions that are
-left. Times are seconds on one clock that only advances.
+A host carries out the actions one after another, and reports no other event before the last is
+done; only `CheckIdle` is answered at once, and what the answer causes precedes the remaining
+actions. Times are seconds on one clock that only advances.
 """
 
 from __future__ import annotations
 
-from collections.abc import Hashable
+from collections.abc import Hashable, Sequence
 
-from ironrail.connections.upstream.connection import Attempt, UpstreamConnection
-from ironrail.connections.upstream.connection_opener import (
-    CONNECTION_COST,
-    FULL_FIRST,
-    FULL_MOST,
-    ROUGH,
-)
+from ironrail.connections.upstream.attempt_canceller import AttemptCanceller
+from ironrail.connections.upstream.attempt_writer import AttemptWriter
+from ironrail.connections.upstream.connection import Attempt, ReplyState, UpstreamConnection
+from ironrail.connections.upstream.connection_lifecycle import ConnectionLifecycle
+from ironrail.connections.upstream.connection_opener import ConnectionOpener
+from ironrail.connections.upstream.idle_timeout import IdleTimeout
 from ironrail.connections.upstream.pool_actions import (
-    Abort,
-    Action,
-    Begin,
-    Close,
-    Dial,
-    End,
-    Look,
-    Warn,
-    Write,
+    AbortConnection,
+    ActionQueue,
+    CheckIdle,
+    PoolAction,
 )
-from ironrail.connections.upstream.stream_scheduler import OVERTAKEN, StreamScheduler
+from ironrail.connections.upstream.pool_settings import PoolSettings
+from ironrail.connections.upstream.pool_state import PoolState
+from ironrail.connections.upstream.reply_handler import Reply, ReplyHandler
+from ironrail.connections.upstream.stream_scheduler import StreamScheduler
 from ironrail.policy.events import AttemptStatus
 
-__all__ = [
-    "CONNECTION_COST",
-    "FULL_FIRST",
-    "FULL_MOST",
-    "OVERTAKEN",
-    "ROUGH",
-    "Abort",
-    "Action",
-    "Attempt",
-    "Begin",
-    "Close",
-    "Dial",
-    "End",
-    "UpstreamConnection",
-    "Look",
-    "Reply",
-    "UpstreamPoolManager",
-    "Warn",
-    "Write",
-]
-
-# seconds without a byte of a reply that has begun: until then all behind it wait in vain
-HALF_READ = 1.2
-# the same of a long value that its client is given as it comes: nobody waits in vain
-STREAM_STILL = 5.0
-LEAST_IDLE = 0.5  # seconds; what breaks after a shorter pause tells nothing of idle connections
-IDLE_REGAIN = 1.03  # by each look at them: doubles in half a minute
-
-Reply = tuple[AttemptStatus, bytes]
-
-
-class UpstreamPoolManager(StreamScheduler):
-    """The connections to one server, told of each thing that happens; answers with what to do."""
-
-    # Attempts
-
-    def want(self, now: float, attempt: Attempt) -> list[Action]:
-        """An attempt is to be sent: to an idle connection, a new one, behind others, or not at all."""
-        if self.ready:
-            self._seek(now, attempt)
-        else:  # guards against an attempt in the queue of a server that has just gone
-            self._end(attempt, AttemptStatus.CONNECT_FAILED)
-        return self._take()
-
-    def looked(self, now: float, look: Look, quiet: bool) -> list[Action]:
-        """The answer to a `Look`: a second copy that has come unasked would pass for the next reply."""
-        link, attempt = look.link, look.attempt
-        if attempt is None:
-            self._fill(now, link, quiet)
-        elif quiet:
-            self._write(now, link, attempt)
+# without a byte of a reply that has begun; the attempts behind it get no reply meanwhile
+PARTIAL_REPLY_TIMEOUT_SECONDS = 1.2
+STREAM_TIMEOUT_SECONDS = 5.0  # the same of a long value, which its client already receives
+
+
+class UpstreamPoolManager:
+    """Decides how many connections there are, which carries an attempt, and which ends.
+
+    Args:
+        address: Of the server.
+        settings: Limits and costs.
+    """
+
+    def __init__(self, address: Hashable, settings: PoolSettings) -> None:
+        self.state = PoolState(address, settings)
+        self.idle_timeout = IdleTimeout(settings.server_idle_timeout)
+        self.actions = ActionQueue()
+        self.writer = AttemptWriter(self.actions)
+        self._opener = ConnectionOpener(settings.connection_cost)
+        state = self.state
+        actions = self.actions
+        opener = self._opener
+        writer = self.writer
+        lifecycle = ConnectionLifecycle(state, actions, opener, writer)
+        scheduler = StreamScheduler(state, actions, opener, writer, lifecycle, self.idle_timeout)
+        self._lifecycle = lifecycle
+        self._scheduler = scheduler
+        self._replies = ReplyHandler(state, actions, opener, writer, lifecycle, scheduler)
+        self._canceller = AttemptCanceller(state, actions, writer, lifecycle)
+
+    def assign(self, now: float, attempt: Attempt) -> list[PoolAction]:
+        """Send an attempt on an idle, a new or a busy connection, or end it at once."""
+        if self.state.is_ready:
+            self._scheduler.assign(now, attempt)
+        else:  # the server went while the attempt was queued for it
+            self.writer.end(attempt, AttemptStatus.CONNECT_FAILED)
+        return self.actions.take()
+
+    def on_idle_checked(self, now: float, check: CheckIdle, is_quiet: bool) -> list[PoolAction]:
+        """Use a connection if nothing has arrived on it: that would be taken for the next reply."""
+        if check.attempt is None:
+            self._scheduler.assign_waiting(now, check.connection, is_quiet)
+        elif is_quiet:
+            self.writer.write(now, check.connection, check.attempt)
         else:
-            self._drop(now, link)
-            self._seek(now, attempt)
-        return self._take()
-
-    def abandon(self, now: float, attempt: Attempt, status: AttemptStatus) -> list[Action]:
-        """Stop waiting for an attempt; if written, its connection is in use until the reply has come."""
-        if attempt in self._waiting:
-            self._waiting.remove(attempt)
-            # of a connection that never came up, or never was free
-            status = (
-                AttemptStatus.CONNECT_FAILED
-                if self._dialling
-                else AttemptStatus.CANCELLED_BEFORE_SEND
-            )
-        link, was_open = attempt.link, attempt.open
-        if link is not None and self.unsent(attempt):
-            # never whole, so it never ran; and what is still to be written would stay in memory
-            self._end(attempt, AttemptStatus.CONNECT_FAILED)
-            self._broken(now, link, "it does not take what it is sent")
-        self._end(attempt, status)
-        if link is not None and was_open and link.streaming and link.out and link.out[0] is attempt:
-            self._broken(now, link, "its client has left a long value")
-        if status is AttemptStatus.TIMEOUT and attempt.link is not None:
-            self._silent(now, attempt.link, attempt)
-        if not self.ready:  # guards against leaks: nobody would ever close it
-            self._close_idle(now)
-        return self._take()
-
-    def revoke(self, now: float, attempt: Attempt) -> list[Action]:
-        """Give up an attempt whose request may be out once only: it is out while its connection is open."""
-        link = attempt.link
-        if link is None or not attempt.open or self.unsent(attempt):
-            return self.abandon(now, attempt, AttemptStatus.CANCELLED)
-        self._lost(now, link)
-        self._do(Abort(link))  # first: a further attempt may follow each of these at once
-        self._end_all(link, AttemptStatus.CANCELLED, AttemptStatus.CANCELLED)
-        return self._take()
-
-    def withdraw(self, now: float, attempt: Attempt) -> list[Action]:
-        """An attempt is not to begin any more: it is taken back if unsent, and else left to its server."""
-        if self.unsent(attempt):
-            link = attempt.link
-            self._end(attempt, AttemptStatus.NOT_SENT)
-            if link is None:
-                self._waiting.remove(attempt)
-            else:  # what is still here would go out by and by
-                link.out.pop()  # no fault of the server's
-                self._broken(now, link, "a command that is not wanted any more is half written")
-        return self._take()
-
-    # Connections
-
-    def up(self, now: float, link: UpstreamConnection, closing: bool) -> list[Action]:
-        """A dial has succeeded, unless the connection is `closing` already."""
-        link.opened_at = link.used_at = link.heard_at = now
-        # guards against keeping one that has ended already, or that leads to where the server was
-        if closing or link.address != self.address:
-            self._do(Abort(link))
-            return self.down(now, link)
-        del self._dialling[link]
-        self._all[link] = None
-        self._freed(now, link)
-        return self._take()
-
-    def down(self, now: float, link: UpstreamConnection) -> list[Action]:
-        """A dial has failed: the server is lost or, where others work, its places are taken."""
-        del self._dialling[link]
-        # where nothing goes behind others there is nothing to be won by waiting
-        works = self.streams > 1 and any(other.heard_at > link.dialled_at for other in self._all)
-        if works:
-            self._opening.note_full(now)
-        for _ in range(max(0, len(self._waiting) - len(self._dialling))):
-            attempt = self._waiting.popleft()
-            if works:
-                self._place(now, attempt)
+            self._lifecycle.close(now, check.connection)
+            self._scheduler.assign(now, check.attempt)
+        return self.actions.take()
+
+    def on_write_refused(self, now: float, attempt: Attempt) -> list[PoolAction]:
+        """Undo a write that the host did not carry out."""
+        connection = attempt.connection
+        assert connection is not None
+        attempt.connection = None
+        connection.in_flight.remove(attempt)
+        self.writer.end(attempt, AttemptStatus.NOT_SENT)
+        if not connection.in_flight:
+            self._lifecycle.release(now, connection)
+        return self.actions.take()
+
+    def abandon(self, now: float, attempt: Attempt, status: AttemptStatus) -> list[PoolAction]:
+        """Stop waiting for an attempt."""
+        self._canceller.abandon(now, attempt, status)
+        return self.actions.take()
+
+    def revoke(self, now: float, attempt: Attempt) -> list[PoolAction]:
+        """Stop waiting for an attempt, such that it is not in flight any more."""
+        self._canceller.revoke(now, attempt)
+        return self.actions.take()
+
+    def withdraw(self, now: float, attempt: Attempt) -> list[PoolAction]:
+        """Take an attempt back if it is unsent."""
+        self._canceller.withdraw(now, attempt)
+        return self.actions.take()
+
+    def on_connected(
+        self, now: float, connection: UpstreamConnection, is_closing: bool
+    ) -> list[PoolAction]:
+        """Use a new connection, unless it is closing already or the server has moved."""
+        connection.opened_at = now
+        connection.last_used_at = now
+        connection.last_read_at = now
+        if is_closing or connection.address != self.state.address:
+            self.actions.add(AbortConnection(connection))
+            return self.on_connect_failed(now, connection)
+        self.state.mark_connected(connection)
+        self._lifecycle.release(now, connection)
+        return self.actions.take()
+
+    def on_connect_failed(self, now: float, connection: UpstreamConnection) -> list[PoolAction]:
+        """End the attempts that waited, or queue them elsewhere if other connections work."""
+        state = self.state
+        state.remove_failed(connection)
+        others_work = state.max_streams > 1 and any(
+            other.last_read_at > connection.connect_started_at for other in state.connected
+        )
+        if others_work:
+            self._opener.note_server_full(now)
+        for _ in range(max(0, state.unserved_count)):
+            attempt = state.waiting.popleft()
+            if others_work:
+                self._scheduler.assign_without_idle(now, attempt)
             else:
-                self._end(attempt, AttemptStatus.CONNECT_FAILED)
-        return self._take()
+                self.writer.end(attempt, AttemptStatus.CONNECT_FAILED)
+        return self.actions.take()
 
-    def read(
+    def on_read(
         self,
         now: float,
-        link: UpstreamConnection,
-        replies: list[Reply],
-        part: bool,
+        connection: UpstreamConnection,
+        replies: Sequence[Reply],
+        is_partial: bool,
         fault: object = None,
-    ) -> list[Action]:
-        """One read brought whole replies to the oldest attempts, a part of another, or what is none."""
-        if replies and len(link.out) == 1 and not link.fresh and not link.streaming:
-            self._opening.learn(now - link.out[0].written_at)
-        if replies and link.fresh:
-            link.fresh = False
-            self._note_crowd(now, link, replies[0][0])
-        ended = [link.out.popleft() for _ in replies]
-        if ended:
-            link.streaming = False
-        link.used_at = link.heard_at = now
-        link.pause = 0.0
-        if fault is None and part and not link.out:
-            fault = "more than belongs to the reply"
-        if fault is not None:
-            self._give_up(now, link, fault)
-        else:
-            link.half = part
-        if not link.out and fault is None:
-            self._freed(now, link)
-        for attempt, (status, body) in zip(ended, replies, strict=True):
-            self._end(attempt, status, body)
-        if (
-            fault is not None
-        ):  # the oldest is answered, though nobody can read it; those behind never will be
-            self._end_all(link, AttemptStatus.ERROR, AttemptStatus.CANCELLED)
-        elif ended:
-            self._replied = max(self._replied, ended[-1].written_at)
-        return self._take()
-
-    def began(self, now: float, link: UpstreamConnection, length: int) -> list[Action]:
-        """The oldest attempt is answered with a long value: it is passed on, if anybody still waits."""
-        link.used_at = link.heard_at = now
-        link.half = True
-        if link.out[0].open:
-            link.streaming = True
-            self._do(Begin(link.out[0], length))
-        else:  # reading all of it for nobody would cost more than a new connection
-            self._broken(now, link, "a long value that nobody waits for")
-        return self._take()
-
-    def taken(self, now: float, link: UpstreamConnection, full: bool) -> list[Action]:
-        """The client of a long value takes no more for now, or again.
-
-        Guards those behind it, whose replies nobody reads meanwhile: they are to be sent elsewhere.
-        """
-        link.full = full
-        link.heard_at = now
-        if full and self.copies:  # they are out as long as the connection is
-            for attempt in list(link.out)[1:]:
-                self._end(attempt, AttemptStatus.CANCELLED)
-        return self._take()
-
-    def _note_crowd(self, now: float, link: UpstreamConnection, first: AttemptStatus) -> None:
-        """Guards the server's places, which all routers share: one too many is turned away whole."""
-        if first is AttemptStatus.BUSY and self.streams > 1 and len(self._all) > 1:
-            link.crowded = True
-            self._opening.note_full(now)
-        elif first in (AttemptStatus.OK, AttemptStatus.MISS):
-            self._opening.served()
-
-    def retire(self, now: float, link: UpstreamConnection) -> None:
-        """The server is going to end a connection, or has sent more than belongs to its reply."""
-        self._lost(now, link)
-
-    def ended(self, now: float, link: UpstreamConnection) -> list[Action]:
-        """A connection has ended by itself."""
-        self._lost(now, link)
-        if link.out:
-            self._note_pause(link.pause)
-        self._end_all(link, AttemptStatus.RESET, AttemptStatus.RESET)
-        return self._take()
-
-    def _note_pause(self, pause: float) -> None:
-        """Guards against a server that ends idle connections sooner than it says, and does not tell."""
-        if pause > LEAST_IDLE:
-            self.idle_limit = max(LEAST_IDLE, min(self.idle_limit, pause / 2))
-
-    # The server
-
-    def close_idle(self, now: float) -> list[Action]:
-        """Close what nobody waits on."""
-        self._close_idle(now)
-        return self._take()
-
-    def expire(self, now: float) -> list[Action]:
-        """Close what has stood idle for nearly as long as the server allows, and what stopped midway."""
-        for link in [link for link in self._all if link.half and not link.full]:
-            patience = STREAM_STILL if link.streaming else HALF_READ
-            if now - link.heard_at >= patience:
-                self._broken(now, link, "a reply that does not end")
-        self.idle_limit = min(self._idle_limit, self.idle_limit * IDLE_REGAIN)
-        oldest = now - self.idle_limit
-        for link in [link for link in self._all if link.used_at <= oldest and link.abandoned()]:
-            self._drop(now, link)
-        return self._take()
-
-    def stop(self, now: float) -> list[Action]:
-        """The server drains or is gone: nothing new goes out, what is out may end."""
-        self.ready = False
-        while self._waiting:
-            self._end(self._waiting.popleft(), AttemptStatus.CONNECT_FAILED)
-        self._close_idle(now)
-        return self._take()
-
-    def restart(self, now: float, started_at: float) -> list[Action]:
-        """The server is a new process since then: older connections lead nowhere."""
-        for link in [link for link in self._all if link.opened_at < started_at]:
-            self._lost(now, link)
-            self._do(Abort(link))
-        return self._take()
-
-    def move(self, now: float, address: Hashable) -> list[Action]:
-        """Connections opened from now on go to another address."""
-        self.address = address
-        for link in list(self._idle):
-            self._drop(now, link)
-        return self._take()
+    ) -> list[PoolAction]:
+        """Handle one read: complete replies, then a part of another or a fault."""
+        self._replies.on_read(now, connection, replies, is_partial, fault)
+        return self.actions.take()
+
+    def on_stream_started(
+        self, now: float, connection: UpstreamConnection, length: int
+    ) -> list[PoolAction]:
+        """Handle the begin of a long value in reply to the oldest attempt."""
+        self._replies.on_stream_started(now, connection, length)
+        return self.actions.take()
+
+    def on_client_paused(
+        self, now: float, connection: UpstreamConnection, is_paused: bool
+    ) -> list[PoolAction]:
+        """Handle that the client of a long value is too slow, or has caught up."""
+        self._replies.on_client_paused(now, connection, is_paused)
+        return self.actions.take()
+
+    def retire(self, now: float, connection: UpstreamConnection) -> None:
+        """Stop using a connection that the server is about to close."""
+        self._lifecycle.remove(now, connection)
+
+    def on_closed(self, now: float, connection: UpstreamConnection) -> list[PoolAction]:
+        """Handle the end of a connection."""
+        self._lifecycle.remove(now, connection)
+        if connection.in_flight:
+            self.idle_timeout.record_break(connection.idle_before_write)
+        self.writer.end_all(connection, AttemptStatus.RESET, AttemptStatus.RESET)
+        return self.actions.take()
+
+    def close_idle(self, now: float) -> list[PoolAction]:
+        """Close the connections on which no reply is awaited."""
+        self._lifecycle.close_abandoned(now)
+        return self.actions.take()
+
+    def expire(self, now: float) -> list[PoolAction]:
+        """Close what has been idle for long, and abort where a reply has stopped midway."""
+        for connection in [c for c in self.state.connected if _is_reply_overdue(now, c)]:
+            self._lifecycle.abort_with_attempts(now, connection, "a reply that does not end")
+        self.idle_timeout.recover()
+        idle_since = now - self.idle_timeout.seconds
+        for connection in list(self.state.connected):
+            if connection.last_used_at <= idle_since and connection.is_abandoned():
+                self._lifecycle.close(now, connection)
+        return self.actions.take()
+
+    def resume(self) -> None:
+        """Send to the server again."""
+        self.state.is_ready = True
+
+    def stop(self, now: float) -> list[PoolAction]:
+        """Send nothing new to a server that is draining or gone; what is in flight may end."""
+        self.state.is_ready = False
+        while self.state.waiting:
+            self.writer.end(self.state.waiting.popleft(), AttemptStatus.CONNECT_FAILED)
+        self._lifecycle.close_abandoned(now)
+        return self.actions.take()
+
+    def on_server_restarted(self, now: float, started_at: float) -> list[PoolAction]:
+        """Abort the connections to the process before, which lead nowhere."""
+        for connection in [c for c in self.state.connected if c.opened_at < started_at]:
+            self._lifecycle.remove(now, connection)
+            self.actions.add(AbortConnection(connection))
+        return self.actions.take()
+
+    def move_to(self, now: float, address: Hashable) -> list[PoolAction]:
+        """Open connections to another address from now on."""
+        self.state.address = address
+        for connection in list(self.state.idle):
+            self._lifecycle.close(now, connection)
+        return self.actions.take()
+
+
+def _is_reply_overdue(now: float, connection: UpstreamConnection) -> bool:
+    """Whether a reply has begun and stopped; a paused one waits for its client."""
+    silent_for = now - connection.last_read_at
+    if connection.reply_state is ReplyState.PARTIAL:
+        return silent_for >= PARTIAL_REPLY_TIMEOUT_SECONDS
+    if connection.reply_state is ReplyState.STREAMING:
+        return silent_for >= STREAM_TIMEOUT_SECONDS
+    return False
--- a/ironrail/connections/upstream/socket_budget.py
+++ b/ironrail/connections/upstream/socket_budget.py
@@ -1,52 +1,58 @@
-"""How connections are shared out: a cache's places among all routers, a router's descriptors among pools.
+"""Shares of a cache's connections among routers, and of a router's descriptors among pools.
 
-Pure functions. A cache accepts so many connections from all routers together, which no message tells; each
-costs it work when it comes up and room while it stays. A router has so many descriptors for all its servers.
+A cache accepts a fixed number of connections from all routers together, which no message
+announces; each costs it work when opened and memory while open. A router has a fixed number of
+descriptors for all servers.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-USE = 0.4  # of a cache's places, for the routers take as many again while connections break and are replaced
-# connections to a cache, however many routers there are: one that breaks must not be all
-LEAST_EACH = 2
-MOST_EACH = 16  # beyond that nothing was gained on any day that was measured
+# of a cache's capacity; the rest serves connections that replace broken ones
+USABLE_CAPACITY_FRACTION = 0.4
+MIN_CONNECTIONS_PER_SERVER = 2  # so that a broken one is not the last
+MAX_CONNECTIONS_PER_SERVER = 16
 
 
 @dataclass(frozen=True, slots=True)
-class Demand:
-    """What one pool asks for, in connections."""
+class SocketDemand:
+    """The connections that one pool asks for."""
 
-    least: int  # below that it serves badly; not refused while there is any descriptor
+    minimum: int  # granted as far as there are descriptors; fewer impair its service
     wanted: int
 
 
-def places_each(places: int, routers: int) -> int:
-    """Connections from one router to one cache, where `routers` share its `places`."""
-    return max(LEAST_EACH, min(MOST_EACH, int(places * USE / max(1, routers))))
+def connections_per_router(capacity: int, routers: int) -> int:
+    """Return the connections from one of `routers` to a cache that accepts `capacity`."""
+    share = int(capacity * USABLE_CAPACITY_FRACTION / max(1, routers))
+    return max(MIN_CONNECTIONS_PER_SERVER, min(MAX_CONNECTIONS_PER_SERVER, share))
 
 
-def share_out(total: int, demands: list[Demand]) -> list[int]:
-    """Deal `total` descriptors out: the least of each first, the rest evenly up to what each wants.
+def share_sockets(total: int, demands: list[SocketDemand]) -> list[int]:
+    """Return each pool's share of `total` descriptors: its minimum, then an equal part of the rest.
 
-    Each pool gets one at the least, as a server without any connection could not be reached: more pools than
-    descriptors go over the total by that. Earlier pools get what is left over by rounding.
+    Each pool gets one at least, for a server without a connection can't be reached, so that more
+    pools than descriptors exceed the total. Earlier pools get what rounding leaves over.
     """
     if not demands:
         return []
-    least = sum(demand.least for demand in demands)
-    if least >= total:
-        return [max(1, demand.least * total // least) for demand in demands]
-    shares = [demand.least for demand in demands]
-    left = total - least
-    while left > 0:
-        hungry = [i for i, demand in enumerate(demands) if shares[i] < demand.wanted]
-        if not hungry:
-            break
-        each = max(1, left // len(hungry))
-        for i in hungry:
-            more = min(each, demands[i].wanted - shares[i], left)
-            shares[i] += more
-            left -= more
+    minimum = sum(demand.minimum for demand in demands)
+    if minimum >= total:
+        return [max(1, demand.minimum * total // minimum) for demand in demands]
+    shares = [demand.minimum for demand in demands]
+    _share_rest(total - minimum, demands, shares)
     return shares
+
+
+def _share_rest(rest: int, demands: list[SocketDemand], shares: list[int]) -> None:
+    """Raise the shares evenly up to what each pool wants."""
+    while rest > 0:
+        unsatisfied = [i for i, demand in enumerate(demands) if shares[i] < demand.wanted]
+        if not unsatisfied:
+            return
+        each = max(1, rest // len(unsatisfied))
+        for i in unsatisfied:
+            grant = min(each, demands[i].wanted - shares[i], rest)
+            shares[i] += grant
+            rest -= grant
--- a/ironrail/connections/upstream/stream_scheduler.py
+++ b/ironrail/connections/upstream/stream_scheduler.py
@@ -1,103 +1,128 @@
-"""Which connection takes an attempt: an idle one, a new one, one behind others, or none. Pure."""
+"""Which connection carries an attempt: an idle one, a new one, a busy one, or none."""
 
 from __future__ import annotations
 
+import math
+
+from ironrail.connections.upstream.attempt_writer import AttemptWriter
 from ironrail.connections.upstream.connection import Attempt, UpstreamConnection
-from ironrail.connections.upstream.pool_actions import Action, Look
+from ironrail.connections.upstream.connection_lifecycle import ConnectionLifecycle
+from ironrail.connections.upstream.connection_opener import ConnectionOpener
+from ironrail.connections.upstream.idle_timeout import IdleTimeout
+from ironrail.connections.upstream.pool_actions import ActionQueue, CheckIdle
 from ironrail.connections.upstream.pool_state import PoolState
 from ironrail.policy.events import AttemptStatus
 
-# of the time for an attempt: one written so much later on another connection has its reply
-OVERTAKEN = 0.4
-
-
-class StreamScheduler(PoolState):
-    """Finds the place of an attempt; the latest used connection is reused first."""
-
-    def refused(self, now: float, attempt: Attempt) -> list[Action]:
-        """The host did not write an attempt: nothing of it is out, and its connection takes another."""
-        link = attempt.link
-        assert link is not None
-        attempt.link = None
-        link.out.remove(attempt)
-        self._end(attempt, AttemptStatus.NOT_SENT)
-        if not link.out:
-            self._freed(now, link)
-        return self._take()
-
-    def _seek(self, now: float, attempt: Attempt) -> None:
-        while self._idle:
-            link = self._idle.pop()
-            if now - link.used_at < self.idle_limit:
-                self._do(Look(link, attempt))
-                return
-            self._drop(now, link)
-        self._place(now, attempt)
-
-    def _place(self, now: float, attempt: Attempt) -> None:
-        """No connection is idle."""
-        behind = None if attempt.alone else self._shared()
-        if behind is not None and self._opening.bears_waiting(now, len(behind.out)):
-            self._write(now, behind, attempt)
-        elif self._room(now):
-            self._waiting.append(attempt)
-            if len(self._dialling) < len(self._waiting):
-                self._dial(now)
-        elif behind is not None and behind in self._all:  # it may just have made room
-            self._write(now, behind, attempt)
-        elif self._dialling or attempt.alone and len(self._waiting) < self.most:
-            self._waiting.append(attempt)
-        else:  # no fault of the server's
-            self._end(
-                attempt,
-                AttemptStatus.BUSY if self.streams == 1 else AttemptStatus.CANCELLED_BEFORE_SEND,
-            )
-
-    def _room(self, now: float) -> bool:
-        """Whether one more connection may be opened."""
-        if self._all and self._opening.full(now):
-            return False
-        if len(self) >= self.most:
-            self._make_room(now)
-        return len(self) < self.most
-
-    def _make_room(self, now: float) -> None:
-        """Guards against given up attempts keeping every connection: close the one given up longest."""
-        for link in self._all:
-            if link.out and link.abandoned():
-                self._drop(now, link)
+# of an attempt's time: the lead of a reply elsewhere after which its connection is suspect
+OVERTAKEN_FRACTION = 0.4
+
+
+class StreamScheduler:
+    """Assigns attempts to connections; the most recently used one is reused first."""
+
+    def __init__(
+        self,
+        state: PoolState,
+        actions: ActionQueue,
+        opener: ConnectionOpener,
+        writer: AttemptWriter,
+        lifecycle: ConnectionLifecycle,
+        idle_timeout: IdleTimeout,
+    ) -> None:
+        self._state = state
+        self._actions = actions
+        self._opener = opener
+        self._writer = writer
+        self._lifecycle = lifecycle
+        self._idle_timeout = idle_timeout
+        self._latest_answered_write = -math.inf  # when the latest answered attempt was written
+
+    def record_reply(self, attempt: Attempt) -> None:
+        """Record that an attempt has its reply, for comparison with other connections."""
+        self._latest_answered_write = max(self._latest_answered_write, attempt.written_at)
+
+    def assign(self, now: float, attempt: Attempt) -> None:
+        """Assign an attempt to an idle connection, or else as `assign_without_idle` does."""
+        idle = self._state.idle
+        while idle:
+            connection = idle.pop()
+            if now - connection.last_used_at < self._idle_timeout.seconds:
+                self._actions.add(CheckIdle(connection, attempt))
                 return
+            self._lifecycle.close(now, connection)
+        self.assign_without_idle(now, attempt)
 
-    def _shared(self) -> UpstreamConnection | None:
-        """The connection with the fewest out behind which one more may queue, for replies come in order."""
-        usable = [
-            link
-            for link in self._all
-            if 0 < len(link.out) < self.streams and not link.blocked() and not self._doubted(link)
-        ]
-        kept = len(self._waiting) - len(self._dialling)  # for those that wait for one of their own
-        if kept > 0:
-            usable = sorted(usable, key=lambda link: len(link.out))[kept:]
-        return min(usable, key=lambda link: len(link.out), default=None)
-
-    def _doubted(self, link: UpstreamConnection) -> bool:
-        """Guards against a connection that fell silent beside others that work, and swallows what is sent.
-
-        It may as well be slow, and what is out on it may yet come: it ends when an attempt on it has waited
-        for all of its time. Until then nothing goes behind.
-        """
-        oldest = link.out[0]
-        patience = OVERTAKEN * (oldest.until - oldest.written_at)
-        return link.heard_at <= oldest.written_at and self._replied - oldest.written_at > patience
+    def assign_without_idle(self, now: float, attempt: Attempt) -> None:
+        """Have an attempt queue on a busy connection, or wait for a new one, or end it."""
+        state = self._state
+        shared = None if attempt.is_exclusive else self._find_shared()
+        if shared is not None and self._opener.prefers_queueing(now, len(shared.in_flight)):
+            self._writer.write(now, shared, attempt)
+        elif self._may_open(now):
+            state.waiting.append(attempt)
+            if len(state.connecting) < len(state.waiting):
+                self._lifecycle.open(now)
+        elif shared is not None and shared in state.connected:  # `_may_open` may close one
+            self._writer.write(now, shared, attempt)
+        elif state.connecting or self._may_wait_exclusively(attempt):
+            state.waiting.append(attempt)
+        else:
+            is_single = state.max_streams == 1
+            # neither counts as a fault of the server
+            status = AttemptStatus.BUSY if is_single else AttemptStatus.CANCELLED_BEFORE_SEND
+            self._writer.end(attempt, status)
 
-    def _fill(self, now: float, link: UpstreamConnection, quiet: bool) -> None:
-        if not (quiet and self._waiting):
-            self._idle.append(link)
+    def assign_waiting(self, now: float, connection: UpstreamConnection, is_quiet: bool) -> None:
+        """Write waiting attempts to a connection that has been checked, or keep it idle."""
+        state = self._state
+        if not is_quiet or not state.waiting:
+            state.idle.append(connection)
             return
-        first = self._waiting.popleft()
-        self._write(now, link, first)
-        # no dial is under way for the rest
-        while len(self._dialling) < len(self._waiting) and len(link.out) < self.streams:
-            if first.alone or self._waiting[0].alone:
+        first = state.waiting.popleft()
+        self._writer.write(now, connection, first)
+        while state.unserved_count > 0 and len(connection.in_flight) < state.max_streams:
+            if first.is_exclusive or state.waiting[0].is_exclusive:
+                return
+            self._writer.write(now, connection, state.waiting.popleft())
+
+    def _may_wait_exclusively(self, attempt: Attempt) -> bool:
+        return attempt.is_exclusive and len(self._state.waiting) < self._state.max_connections
+
+    def _may_open(self, now: float) -> bool:
+        """Whether one more connection may be opened, if need be in place of an abandoned one."""
+        state = self._state
+        if state.connected and self._opener.is_server_full(now):
+            return False
+        if not state.has_capacity():
+            self._close_longest_abandoned(now)
+        return state.has_capacity()
+
+    def _close_longest_abandoned(self, now: float) -> None:
+        """Close the oldest connection that is busy with abandoned attempts alone."""
+        for connection in self._state.connected:
+            if connection.in_flight and connection.is_abandoned():
+                self._lifecycle.close(now, connection)
                 return
-            self._write(now, link, self._waiting.popleft())
+
+    def _find_shared(self) -> UpstreamConnection | None:
+        """Return the connection with the fewest attempts in flight that one more may queue on."""
+        usable = [c for c in self._state.connected if self._may_share(c)]
+        reserved = self._state.unserved_count  # for the attempts that wait for one of their own
+        if reserved > 0:
+            usable = sorted(usable, key=lambda c: len(c.in_flight))[reserved:]
+        return min(usable, key=lambda c: len(c.in_flight), default=None)
+
+    def _may_share(self, connection: UpstreamConnection) -> bool:
+        if not 0 < len(connection.in_flight) < self._state.max_streams:
+            return False
+        return not connection.is_blocked() and not self._is_suspect(connection)
+
+    def _is_suspect(self, connection: UpstreamConnection) -> bool:
+        """Whether a connection has been silent while later attempts were answered on others.
+
+        It may as well be slow, so it is not closed until an attempt on it times out.
+        """
+        oldest = connection.in_flight[0]
+        patience = OVERTAKEN_FRACTION * (oldest.deadline - oldest.written_at)
+        is_silent = connection.last_read_at <= oldest.written_at
+        return is_silent and self._latest_answered_write - oldest.written_at > patience
--- a/ironrail/net/dispatch/attempt_sender.py
+++ b/ironrail/net/dispatch/attempt_sender.py
@@ -60,13 +60,13 @@
             return
         attempt = self._make_attempt(request, action, now)
         if request.attempts:
-            self._diagnostics.retries.add(retry_reason(request.attempts[-1].outcome))
+            self._diagnostics.retries.add(retry_reason(request.attempts[-1].status))
         request.attempts.append(attempt)
         if pool is not None:
             self._hand_to_pool(attempt, pool, action, now)
         else:
             status = AttemptStatus.CONNECT_FAILED
-            self._driver.submit(AttemptEnded(attempt.request, attempt.number, status))
+            self._driver.submit(AttemptEnded(attempt.request_id, attempt.number, status))
 
     def _hand_to_pool(
         self, attempt: Attempt, pool: ConnectionPool, action: SendAttempt, now: float
@@ -75,10 +75,10 @@
         # also for an attempt that outlives its request: without an outcome the policy would count
         # it as load for good
         attempt.timer = self._loop.call_later(
-            attempt.until - now, self._attempts.abandon, attempt_id, AttemptStatus.TIMEOUT
+            attempt.deadline - now, self._attempts.abandon, attempt_id, AttemptStatus.TIMEOUT
         )
         if action.send_within is not None:
-            attempt.begin_by = now + action.send_within
+            attempt.send_by = now + action.send_within
             self._loop.call_later(action.send_within, pool.withdraw, attempt)
         pool.send(attempt)
 
@@ -102,24 +102,26 @@
             request.command,
             self._on_outcome,
         )
-        attempt.begun = self._streamer.begin
-        attempt.piece = self._streamer.forward
-        attempt.wanted = self._is_still_wanted
-        attempt.may_send = self._may_write
-        attempt.alone = request.command.write  # a write is not exposed to the faults of others
+        attempt.on_stream_started = self._streamer.begin
+        attempt.on_stream_data = self._streamer.forward
+        attempt.is_still_wanted = self._is_still_wanted
+        attempt.may_write = self._may_write
+        attempt.is_exclusive = (
+            request.command.write
+        )  # a write is not exposed to the faults of others
         attempt.server = action.server
         return attempt
 
     def _is_still_wanted(self, attempt: Attempt) -> bool:
         """Whether an attempt that waited for a connection is still to be sent."""
-        request = self._requests.by_id.get(attempt.request)
-        if request is None or self._now() >= min(request.deadline, attempt.begin_by):
+        request = self._requests.by_id.get(attempt.request_id)
+        if request is None or self._now() >= min(request.deadline, attempt.send_by):
             return False
         return not self._lifecycle.end_if_disconnected(request, True)
 
     def _may_write(self, attempt: Attempt, server_ready: bool) -> bool:
         """Check the invariants of a request right before an attempt is written."""
-        request = self._requests.by_id.get(attempt.request)
+        request = self._requests.by_id.get(attempt.request_id)
         guard = self._diagnostics.guard
         violations_before = guard.violations.total()
         may_write = guard.may_send(self._describe_write(attempt, request, server_ready))
@@ -133,12 +135,12 @@
         request_class = self._settings.classes[attempt.command.fields["c"]]
         return Sending(
             self._now(),
-            attempt.request,
+            attempt.request_id,
             attempt.server,
             server_ready,
             request is not None,
-            attempt.until,
-            attempt.begin_by,
+            attempt.deadline,
+            attempt.send_by,
             request_class.idempotency,
             request_class.idempotency_window,
             self._settings.hedging_allowed,
@@ -148,9 +150,9 @@
     def _on_outcome(self, attempt: Attempt, status: AttemptStatus, body: bytes) -> None:
         """Respond with what an attempt brought, or leave the next step to the policy."""
         self._attempts.remove(attempt)
-        attempt.outcome = status
+        attempt.status = status
         self._streamer.release(attempt)
-        request = self._requests.by_id.get(attempt.request)
+        request = self._requests.by_id.get(attempt.request_id)
         latency = self._now() - attempt.sent_at
         if request is not None and request.streamed_attempt is attempt:
             # from then on the client's own speed counts
@@ -160,7 +162,7 @@
         elif request is not None and _is_response(request, status):
             self._requests.serve(request, body)
             request = None
-        event = AttemptEnded(attempt.request, attempt.number, status, request is None, latency)
+        event = AttemptEnded(attempt.request_id, attempt.number, status, request is None, latency)
         self._driver.submit(event)
 
 
--- a/ironrail/net/dispatch/open_attempts.py
+++ b/ironrail/net/dispatch/open_attempts.py
@@ -77,4 +77,4 @@
 
 def id_of(attempt: Attempt) -> AttemptId:
     """Return the id of an attempt."""
-    return AttemptId(attempt.request, attempt.number)
+    return AttemptId(attempt.request_id, attempt.number)
--- a/ironrail/net/dispatch/request_summary.py
+++ b/ironrail/net/dispatch/request_summary.py
@@ -11,9 +11,9 @@
 def written_attempts(request: InFlightRequest, count: int) -> list[EarlierAttempt]:
     """Return those of the first `count` attempts that were written to a connection."""
     return [
-        EarlierAttempt(attempt.written_at, attempt.outcome, attempt in attempt.link.out)
+        EarlierAttempt(attempt.written_at, attempt.status, attempt in attempt.connection.in_flight)
         for attempt in request.attempts[:count]
-        if attempt.link is not None
+        if attempt.connection is not None
     ]
 
 
@@ -34,7 +34,7 @@
         AttemptSummary(
             attempt.server,
             attempt.sent_at - request.received_at,
-            attempt.outcome.value if attempt.outcome is not None else "open",
+            attempt.status.value if attempt.status is not None else "open",
         )
         for attempt in request.attempts
     )
--- a/ironrail/net/dispatch/value_streamer.py
+++ b/ironrail/net/dispatch/value_streamer.py
@@ -38,7 +38,7 @@
 
         From now on the response of the request is this attempt's, whatever others bring.
         """
-        request = self._requests.by_id.get(attempt.request)
+        request = self._requests.by_id.get(attempt.request_id)
         stream = _free_stream(request)
         if (
             request is None
@@ -47,7 +47,7 @@
         ):
             self._attempts.abandon(id_of(attempt), AttemptStatus.CANCELLED)
             return
-        attempt.lent = True
+        attempt.holds_stream_memory = True
         request.streamed_attempt = attempt
         request.streaming_since = self._now()
         request.value_bytes = length
@@ -55,12 +55,14 @@
         if attempt.timer is not None:
             attempt.timer.cancel()
         self._attempts.withdraw_unsent(request)
-        stream.begin(meta_codec.write_opening(request.command.request_id, length), connection.hold)
-        self._submit(StreamingStarted(attempt.request, attempt.number))
+        stream.begin(
+            meta_codec.write_opening(request.command.request_id, length), connection.set_paused
+        )
+        self._submit(StreamingStarted(attempt.request_id, attempt.number))
 
     def forward(self, attempt: Attempt, data: bytes) -> None:
         """Forward a part of a value."""
-        request = self._requests.by_id.get(attempt.request)
+        request = self._requests.by_id.get(attempt.request_id)
         if request is None or request.stream is None:
             return
         if request.streamed_attempt is attempt:
@@ -78,7 +80,7 @@
 
     def release(self, attempt: Attempt) -> None:
         """Return the memory of an attempt that has ended."""
-        if attempt.lent:
+        if attempt.holds_stream_memory:
             self.memory_budget.give_back(attempt)
 
 
--- a/ironrail/net/upstream/cache_connection.py
+++ b/ironrail/net/upstream/cache_connection.py
@@ -1,15 +1,15 @@
-"""Connections to cache servers."""
+"""Connections to cache servers, over the memcache meta protocol."""
 
 from __future__ import annotations
 
-from ironrail.connections.upstream import pool_manager
-from ironrail.connections.upstream.pool_manager import UpstreamConnection
+from ironrail.connections.upstream import reply_handler
+from ironrail.connections.upstream.connection import UpstreamConnection
 from ironrail.net.protocol import meta_codec
-from ironrail.net.protocol.meta_codec import Opening, Reply, ReplyKind
+from ironrail.net.protocol.meta_codec import Opening, Piece, Reply, ReplyKind
 from ironrail.net.upstream.connection import Attempt, Connection, ConnectionObserver
 from ironrail.policy.events import AttemptStatus
 
-OUTCOMES = {
+STATUS_OF_REPLY = {
     ReplyKind.MISS: AttemptStatus.MISS,
     ReplyKind.BUSY: AttemptStatus.BUSY,
     ReplyKind.ERROR: AttemptStatus.ERROR,
@@ -19,58 +19,65 @@
 
 
 class CacheConnection(Connection):
-    """Speaks the meta commands; replies come in the order of the commands."""
+    """Writes meta commands; their replies arrive in the order of the commands."""
 
-    def __init__(self, pool: ConnectionObserver, link: UpstreamConnection) -> None:
-        super().__init__(pool, link)
+    def __init__(self, pool: ConnectionObserver, upstream: UpstreamConnection) -> None:
+        super().__init__(pool, upstream)
         self._parser = meta_codec.ReplyParser()
 
     def encode(self, attempt: Attempt) -> list[bytes]:
-        return [meta_codec.write_command(attempt.command, self.wait_ms(attempt))]
+        """Return the command of an attempt as it is written now."""
+        return [meta_codec.write_command(attempt.command, self.remaining_milliseconds(attempt))]
 
     def data_received(self, data: bytes) -> None:
-        replies: list[pool_manager.Reply] = []
+        """Report what one read holds."""
+        replies: list[reply_handler.Reply] = []
         fault = None
         try:
-            for reply in self._parser.feed(data):
-                if isinstance(reply, Reply):
-                    replies.append(self._match(reply, len(replies)))
+            for item in self._parser.feed(data):
+                if isinstance(item, Reply):
+                    replies.append(self._match(item, len(replies)))
                     continue
-                if replies:  # what comes now belongs to the next attempt
-                    self.settle(replies, True)
+                if replies:  # what follows belongs to the next attempt
+                    self.report_read(replies, True)
                     replies = []
-                if isinstance(reply, Opening):
-                    self._open(reply)
-                    if self.transport.is_closing():  # nobody waits for it
+                if isinstance(item, Opening):
+                    self._start_stream(item)
+                    if self.transport.is_closing():
                         return
-                elif reply.last:
-                    replies.append((AttemptStatus.OK, b""))
                 else:
-                    self.pool.piece(self.link, reply.data)
+                    replies += self._read_piece(item)
         except meta_codec.FramingError as e:
             fault = e
-        self.settle(replies, self._parser.begun, fault)
+        self.report_read(replies, self._parser.begun, fault)
 
-    def _open(self, opening: Opening) -> None:
-        self._check(opening.request_id, 0)
-        if opening.request_id is None or self.attempts[0].command.write:
+    def _read_piece(self, piece: Piece) -> list[reply_handler.Reply]:
+        """Forward a part of a long value; returns its outcome once it is complete."""
+        if piece.last:
+            return [(AttemptStatus.OK, b"")]
+        self.pool.on_stream_data(self.upstream, piece.data)
+        return []
+
+    def _start_stream(self, opening: Opening) -> None:
+        self._check_id(opening.request_id, 0)
+        if opening.request_id is None or self.in_flight[0].command.write:
             raise meta_codec.FramingError("a long value does not fit the command")
-        self.pool.began(self.link, opening.length)
+        self.pool.on_stream_started(self.upstream, opening.length)
 
-    def _check(self, request_id: bytes | None, before: int) -> None:
-        """Guards against answering a client with what was meant for another request."""
-        if len(self.attempts) <= before:
+    def _check_id(self, request_id: bytes | None, position: int) -> None:
+        """Check that a reply is for the attempt at a position among those in flight."""
+        if len(self.in_flight) <= position:
             raise meta_codec.FramingError("a reply to nothing")
-        if request_id is not None and request_id != self.attempts[before].command.request_id:
+        if request_id is not None and request_id != self.in_flight[position].command.request_id:
             raise meta_codec.FramingError("a reply to another request")
 
-    def _match(self, reply: Reply, before: int) -> pool_manager.Reply:
-        """What a reply says of the attempt that it is for: those before it in the same read are answered."""
-        self._check(reply.request_id, before)
-        command = self.attempts[before].command
+    def _match(self, reply: Reply, position: int) -> reply_handler.Reply:
+        """Return the outcome that a reply means for the attempt at a position in flight."""
+        self._check_id(reply.request_id, position)
+        command = self.in_flight[position].command
         if reply.kind not in (ReplyKind.BUSY, ReplyKind.ERROR):
-            unfit = ReplyKind.VALUE if command.write else ReplyKind.STORED
-            bare = reply.kind is ReplyKind.STORED and not reply.body
-            if reply.request_id is None or reply.kind is unfit or bare:
+            misfit = ReplyKind.VALUE if command.write else ReplyKind.STORED
+            lacks_receipt = reply.kind is ReplyKind.STORED and not reply.body
+            if reply.request_id is None or reply.kind is misfit or lacks_receipt:
                 raise meta_codec.FramingError(f"{reply.kind.value} does not fit the command")
-        return OUTCOMES[reply.kind], reply.body
+        return STATUS_OF_REPLY[reply.kind], reply.body
--- a/ironrail/net/upstream/connection.py
+++ b/ironrail/net/upstream/connection.py
@@ -1,4 +1,4 @@
-"""One connection to a server, and an attempt on it. Nothing here knows a protocol."""
+"""A connection to a server and an attempt on it, whatever the protocol."""
 
 from __future__ import annotations
 
@@ -8,138 +8,154 @@
 from dataclasses import dataclass, replace
 from typing import Protocol, cast
 
-from ironrail.connections.upstream import pool_manager
-from ironrail.connections.upstream.pool_manager import Reply, UpstreamConnection
+from ironrail.connections.upstream import connection as upstream_connection
+from ironrail.connections.upstream.connection import UpstreamConnection
+from ironrail.connections.upstream.reply_handler import Reply
 from ironrail.net.protocol.meta_codec import SHORT, Command
 from ironrail.net.system import Address, System
 from ironrail.policy.events import AttemptStatus
 
+MILLISECONDS_PER_SECOND = 1000
+
 
 class ConnectionObserver(Protocol):
-    """Who is told of what happens on a connection: the pool that it belongs to."""
+    """The pool of a connection, to which it reports."""
 
     system: System
     address: Address
 
-    def read(
-        self, link: UpstreamConnection, replies: list[Reply], part: bool, fault: object
+    def on_read(
+        self,
+        connection: UpstreamConnection,
+        replies: list[Reply],
+        is_partial: bool,
+        fault: object,
     ) -> None:
-        """One read brought whole replies in order, a part of another, or what is none."""
+        """Handle one read: complete replies, then a part of another or a fault."""
 
-    def began(self, link: UpstreamConnection, length: int) -> None:
-        """A long value comes as the reply to the oldest attempt."""
+    def on_stream_started(self, connection: UpstreamConnection, length: int) -> None:
+        """Handle the begin of a long value, of `length` bytes, in reply to the oldest attempt."""
 
-    def piece(self, link: UpstreamConnection, data: bytes) -> None:
-        """Some of it has come."""
+    def on_stream_data(self, connection: UpstreamConnection, data: bytes) -> None:
+        """Forward a part of a long value."""
 
-    def taken(self, link: UpstreamConnection, full: bool) -> None:
-        """The client of a long value takes no more for now, or again."""
+    def on_client_paused(self, connection: UpstreamConnection, is_paused: bool) -> None:
+        """Handle that the client of a long value is too slow, or has caught up."""
 
-    def retire(self, link: UpstreamConnection) -> None:
-        """The server is going to end it."""
+    def retire(self, connection: UpstreamConnection) -> None:
+        """Stop using a connection that the server is about to close."""
 
-    def ended(self, link: UpstreamConnection) -> None:
-        """It has ended."""
+    def on_closed(self, connection: UpstreamConnection) -> None:
+        """Handle the end of a connection."""
 
 
 class LinkObserver(Protocol):
-    """Who is told of the way to a server."""
+    """Collects evidence of the network link to a server's zone."""
 
     def connected(self, seconds: float) -> None:
-        """A connection came up, or was refused at once: somebody answered."""
+        """Record that a connect was answered, be it by a refusal."""
 
     def unconnected(self) -> None:
-        """Nothing answered a connect."""
+        """Record that a connect timed out."""
 
     def heard(self) -> None:
-        """A reply."""
+        """Record a reply."""
 
     def silent(self, seconds: float) -> None:
-        """An attempt was given up, and for so long not a byte had come on its connection."""
+        """Record an attempt that was given up, and for how long nothing had been read."""
 
 
 @dataclass(slots=True, eq=False)
-class Attempt(pool_manager.Attempt):
+class Attempt(upstream_connection.Attempt):
     """One attempt of a request, from its send to its one outcome."""
 
     command: Command
-    report: Callable[[Attempt, AttemptStatus, bytes], None] | None
-    begun: Callable[[Attempt, int, Connection], None] | None = None  # a long value comes in pieces
-    piece: Callable[[Attempt, bytes], None] | None = None
-    # asked before it is written, where it had to wait
-    wanted: Callable[[Attempt], bool] | None = None
-    # asked as it is written; whether its server is ready
-    may_send: Callable[[Attempt, bool], bool] | None = None
-    begin_by: float = math.inf  # on the host's clock; after that nothing of it may be sent
+    on_ended: Callable[[Attempt, AttemptStatus, bytes], None] | None
+    on_stream_started: Callable[[Attempt, int, Connection], None] | None = None
+    on_stream_data: Callable[[Attempt, bytes], None] | None = None
+    # called before the write if it had to wait
+    is_still_wanted: Callable[[Attempt], bool] | None = None
+    # called right before the write, with whether the server is ready
+    may_write: Callable[[Attempt, bool], bool] | None = None
+    send_by: float = math.inf  # nothing of it is sent after that
     timer: asyncio.TimerHandle | None = None
-    lent: bool = False  # it has room for a long value
+    holds_stream_memory: bool = False
     server: str = ""
-    outcome: AttemptStatus | None = None  # once it has one
+    status: AttemptStatus | None = None  # its outcome
 
-    def end(self, status: AttemptStatus, body: bytes) -> None:
-        """Report the outcome; whatever comes later has nobody left to hear it."""
-        report, self.report = self.report, None
+    def finish(self, status: AttemptStatus, body: bytes) -> None:
+        """Report the outcome; later ones are ignored."""
+        on_ended = self.on_ended
+        self.on_ended = None
         if self.timer is not None:
             self.timer.cancel()
-        if report is not None:
-            report(self, status, body)
-        if (
-            self.command.value and len(self.command.value) > SHORT
-        ):  # guards memory: it waits for its reply
+        if on_ended is not None:
+            on_ended(self, status, body)
+        if self.command.value and len(self.command.value) > SHORT:
+            # an abandoned attempt is kept until its reply, which does not take its value
             self.command = replace(self.command, value=b"")
 
 
 class Connection(asyncio.Protocol):
-    """One connection: attempts in the order written. Subclasses write and parse."""
+    """One connection, with its attempts in the order written; a subclass knows the protocol."""
 
     transport: asyncio.Transport
 
-    def __init__(self, pool: ConnectionObserver, link: UpstreamConnection) -> None:
-        self.pool, self.link = pool, link
-        self._unread: Callable[[], bool] = lambda: False
-        self._held = False  # nothing is read for now
+    def __init__(self, pool: ConnectionObserver, upstream: UpstreamConnection) -> None:
+        self.pool = pool
+        self.upstream = upstream
+        self._has_unread_bytes: Callable[[], bool] = lambda: False
+        self._is_paused = False
 
     @property
-    def attempts(self) -> Sequence[Attempt]:
-        """Written and not replied to, given up ones among them; the oldest is first."""
-        return cast(Sequence[Attempt], self.link.out)
+    def in_flight(self) -> Sequence[Attempt]:
+        """Attempts without a complete reply, abandoned ones among them; the oldest is first."""
+        return cast(Sequence[Attempt], self.upstream.in_flight)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Set up a new transport."""
         self.transport = cast(asyncio.Transport, transport)  # uvloop's is no subclass
-        self._unread = self.pool.system.unread(self.transport)
-        # high water at 0 tells at once whether the last byte is out: until then the attempt never ran
+        self._has_unread_bytes = self.pool.system.unread(self.transport)
+        # with a high-water mark of 0 writing is paused until the kernel has the last byte: so long
+        # the latest attempt has not run
         self.transport.set_write_buffer_limits(high=0)
 
     def pause_writing(self) -> None:
-        self.link.held_back = True
+        """Note that the kernel has not taken all bytes."""
+        self.upstream.has_unsent_bytes = True
 
     def resume_writing(self) -> None:
-        self.link.held_back = False
+        """Note that the kernel has taken all bytes."""
+        self.upstream.has_unsent_bytes = False
+
+    def connection_lost(self, exc: Exception | None) -> None:
+        """Report the end of the connection."""
+        self.pool.on_closed(self.upstream)
 
-    def quiet(self) -> bool:
-        """Whether nothing has come since the last reply: a second copy would pass for the next one."""
-        return not self.transport.is_closing() and not self._unread()
+    def is_quiet(self) -> bool:
+        """Whether nothing has arrived since the last reply, such as a duplicate of it."""
+        return not self.transport.is_closing() and not self._has_unread_bytes()
 
     def encode(self, attempt: Attempt) -> list[bytes]:
+        """Return the bytes of an attempt as it is written now."""
         raise NotImplementedError
 
-    def wait_ms(self, attempt: Attempt) -> int:
-        """What its server is told of the time that is left as it is written: never more than that."""
-        return max(1, int((attempt.until - self.pool.system.now()) * 1000))
-
-    def hold(self, full: bool) -> None:
-        """The client of a long value takes no more for now, or again: what it does not take is not read."""
-        if self._held is not full and not self.transport.is_closing():
-            self._held = full
-            self.pool.taken(self.link, full)
-            if full:
-                self.transport.pause_reading()
-            else:
-                self.transport.resume_reading()
-
-    def settle(self, replies: list[Reply], part: bool, fault: object = None) -> None:
-        """Tell what one read brought: whole replies in order, a part of another, or what is none."""
-        self.pool.read(self.link, replies, part, fault)
-
-    def connection_lost(self, exc: Exception | None) -> None:
-        self.pool.ended(self.link)
+    def remaining_milliseconds(self, attempt: Attempt) -> int:
+        """Return how long the router will wait for the reply, for the server; at least 1."""
+        seconds = attempt.deadline - self.pool.system.now()
+        return max(1, int(seconds * MILLISECONDS_PER_SECOND))
+
+    def set_paused(self, is_paused: bool) -> None:
+        """Stop reading a long value while its client is slow, or go on."""
+        if self._is_paused is is_paused or self.transport.is_closing():
+            return
+        self._is_paused = is_paused
+        self.pool.on_client_paused(self.upstream, is_paused)
+        if is_paused:
+            self.transport.pause_reading()
+        else:
+            self.transport.resume_reading()
+
+    def report_read(self, replies: list[Reply], is_partial: bool, fault: object = None) -> None:
+        """Report one read: complete replies, then a part of another or a fault."""
+        self.pool.on_read(self.upstream, replies, is_partial, fault)
--- /dev/null
+++ b/ironrail/net/upstream/event_queue.py
@@ -0,0 +1,40 @@
+"""Hands events to the decisions of a pool one by one, and carries out each before the next."""
+
+from __future__ import annotations
+
+from collections import deque
+from collections.abc import Callable
+from typing import Any
+
+from ironrail.connections.upstream.pool_actions import PoolAction
+
+EventHandler = Callable[..., list[PoolAction]]
+
+
+class EventQueue:
+    """Events that wait until the actions of the event before them are carried out.
+
+    Between a decision and its execution a connection that is about to take an attempt would seem
+    idle, so an event that an action causes must wait.
+    """
+
+    def __init__(
+        self, now: Callable[[], float], carry_out: Callable[[list[PoolAction]], None]
+    ) -> None:
+        self._now = now
+        self._carry_out = carry_out
+        self._events: deque[tuple[EventHandler, tuple[Any, ...]]] = deque()
+        self._is_busy = False
+
+    def submit(self, handler: EventHandler, *arguments: Any) -> None:
+        """Call a handler with the time and the arguments, and carry out the actions it returns."""
+        self._events.append((handler, arguments))
+        if self._is_busy:
+            return
+        self._is_busy = True
+        try:
+            while self._events:
+                handler, arguments = self._events.popleft()
+                self._carry_out(handler(self._now(), *arguments))
+        finally:
+            self._is_busy = False
--- a/ironrail/net/upstream/origin_connection.py
+++ b/ironrail/net/upstream/origin_connection.py
@@ -3,125 +3,139 @@
 from __future__ import annotations
 
 import contextlib
+from http import HTTPStatus
 from urllib.parse import quote_from_bytes
 
 import h11
 
-from ironrail.connections.upstream.pool_manager import Reply, UpstreamConnection
+from ironrail.connections.upstream.connection import UpstreamConnection
+from ironrail.connections.upstream.reply_handler import Reply
 from ironrail.net.protocol.meta_codec import MAX_VALUE, SHORT, Command, info_with, is_printable
 from ironrail.net.upstream.connection import Attempt, Connection, ConnectionObserver
 from ironrail.policy.events import AttemptStatus
 
-SAFE_IN_PATH = "/:@!$&'()*+,;=-._~"  # of a key: as it is, all else is percent-encoded
-MAX_RECEIPT = 1024
+SAFE_IN_PATH = "/:@!$&'()*+,;=-._~"  # of a key; other bytes are percent-encoded
+MAX_RECEIPT_BYTES = 1024
+OVERLOADED = (HTTPStatus.SERVICE_UNAVAILABLE, HTTPStatus.GATEWAY_TIMEOUT)
 
 
 class OriginConnection(Connection):
     """Carries one request at a time."""
 
-    def __init__(self, pool: ConnectionObserver, link: UpstreamConnection) -> None:
-        super().__init__(pool, link)
+    def __init__(self, pool: ConnectionObserver, upstream: UpstreamConnection) -> None:
+        super().__init__(pool, upstream)
         self._http = h11.Connection(h11.CLIENT)
         self._response: h11.Response | None = None
         self._body = bytearray()
-        self._long = False  # the value is passed on in pieces
-        self._closing = False
+        self._is_streaming = False
+        self._is_last_response = False
 
     def encode(self, attempt: Attempt) -> list[bytes]:
+        """Return the request of an attempt as it is written now."""
         command = attempt.command
         body = command.value or b""
         http = self._http
-        info = info_with(command, self.wait_ms(attempt))
-        head = (
-            http.send(_request_of(command, info, "{}:{}".format(*self.pool.address), len(body)))
-            or b""
-        )
+        info = info_with(command, self.remaining_milliseconds(attempt))
+        host = "{}:{}".format(*self.pool.address)
+        head = http.send(_request_of(command, info, host, len(body))) or b""
         if body:
             http.send_with_data_passthrough(h11.Data(body))
-        http.send(h11.EndOfMessage())  # nothing on the wire behind a body of stated length
+        http.send(h11.EndOfMessage())  # adds no bytes after a body with a length
         return [head, body] if body else [head]
 
     def data_received(self, data: bytes) -> None:
-        ended: list[Reply] = []
+        """Report what one read holds."""
+        replies: list[Reply] = []
         fault = None
         try:
-            if not self.attempts:
-                raise h11.RemoteProtocolError("a response to nothing")
+            self._check_expected()
             self._http.receive_data(data)
             if self._read_response():
-                ended = [self._match()]
-            elif self.transport.is_closing():  # nobody waits for what has begun
+                replies = [self._match()]
+            elif self.transport.is_closing():  # the long value has been abandoned
                 return
         except h11.RemoteProtocolError as e:
             fault = e
-        self.settle(ended, len(self.attempts) > len(ended) and self._begun(), fault)
-        if ended and fault is None and self._closing:  # the origin will close it: not to be reused
+        is_partial = len(self.in_flight) > len(replies) and self._has_begun()
+        self.report_read(replies, is_partial, fault)
+        if replies and fault is None and self._is_last_response:
             self.transport.close()
 
-    def _begun(self) -> bool:
-        return self._response is not None or bool(self._http.trailing_data[0])
-
     def eof_received(self) -> None:
-        """A response without a length ends here; any other is broken off."""
-        if self.attempts and self._response is not None:
+        """Complete a response without a length; any other is incomplete."""
+        if self.in_flight and self._response is not None:
             with contextlib.suppress(h11.RemoteProtocolError):
                 self._http.receive_data(b"")
                 if self._read_response():
-                    self.settle([self._match()], False)
+                    self.report_read([self._match()], False)
+
+    def _check_expected(self) -> None:
+        if not self.in_flight:
+            raise h11.RemoteProtocolError("a response to nothing")
+
+    def _has_begun(self) -> bool:
+        return self._response is not None or bool(self._http.trailing_data[0])
 
     def _read_response(self) -> bool:
-        """Whether the response is whole."""
+        """Read what has arrived; returns whether the response is complete."""
         while True:
             event = self._http.next_event()
             if isinstance(event, h11.Response):
                 self._response = event
-                self._begin_long(event)
+                self._start_stream_if_long(event)
                 if self.transport.is_closing():
                     return False
             elif isinstance(event, h11.Data):
-                if self._long:
-                    self.pool.piece(self.link, bytes(event.data))
-                    continue
-                self._body += event.data
-                if len(self._body) > MAX_VALUE:  # guards memory against an endless body
-                    raise h11.RemoteProtocolError("value too large")
+                self._read_body(event)
             elif isinstance(event, h11.EndOfMessage):
                 return True
             elif not isinstance(event, h11.InformationalResponse):
                 return False  # needs more data, or the connection has ended
 
-    def _begin_long(self, response: h11.Response) -> None:
-        """Pass a long value on as it comes. What tells no length is kept whole, up to the bound."""
-        told = next((value for name, value in response.headers if name == b"content-length"), b"0")
-        length = int(told)
+    def _read_body(self, event: h11.Data) -> None:
+        if self._is_streaming:
+            self.pool.on_stream_data(self.upstream, bytes(event.data))
+            return
+        self._body += event.data
+        if len(self._body) > MAX_VALUE:  # a body without a length may be endless
+            raise h11.RemoteProtocolError("value too large")
+
+    def _start_stream_if_long(self, response: h11.Response) -> None:
+        """Forward a long value while it arrives; one without a length is buffered."""
+        length = int(_header(response, b"content-length") or b"0")
         if length > MAX_VALUE:
             raise h11.RemoteProtocolError("value too large")
-        read = not self.attempts[0].command.write and status_of(response) is AttemptStatus.OK
-        if length > SHORT and read:
-            self._long = True
-            self.pool.began(self.link, length)
+        is_value = status_of(response) is AttemptStatus.OK and not self.in_flight[0].command.write
+        if length > SHORT and is_value:
+            self._is_streaming = True
+            self.pool.on_stream_started(self.upstream, length)
 
     def _match(self) -> Reply:
-        """What the response says. It carries no id: guards the attempt against whatever else came."""
-        response, body = self._response, bytes(self._body)
+        """Return the outcome that the response means; it carries no id, so its form is checked."""
+        response = self._response
+        body = bytes(self._body)
         if response is None:
             raise h11.RemoteProtocolError("a response to nothing")
         status = status_of(response)
-        if (
-            status is AttemptStatus.OK
-            and self.attempts[0].command.write
-            and not is_printable(body, MAX_RECEIPT)
-        ):
+        is_receipt = status is AttemptStatus.OK and self.in_flight[0].command.write
+        if is_receipt and not is_printable(body, MAX_RECEIPT_BYTES):
             raise h11.RemoteProtocolError("a receipt that fits no line")
-        self._response, self._body, self._long = None, bytearray(), False
-        surplus, _ = self._http.trailing_data
-        if not surplus and self._http.our_state is h11.DONE and self._http.their_state is h11.DONE:
-            self._http.start_next_cycle()
-        else:  # the origin will close it, or has sent more than belongs to the response
-            self.pool.retire(self.link)
-            self._closing = True
+        self._response = None
+        self._body = bytearray()
+        self._is_streaming = False
+        self._prepare_next()
         return status, body
 
+    def _prepare_next(self) -> None:
+        """Reuse the connection, unless the origin closes it or has sent surplus bytes."""
+        http = self._http
+        surplus, _ = http.trailing_data
+        if not surplus and http.our_state is h11.DONE and http.their_state is h11.DONE:
+            http.start_next_cycle()
+        else:
+            self.pool.retire(self.upstream)
+            self._is_last_response = True
+
 
 def _request_of(command: Command, info: bytes, host: str, length: int) -> h11.Request:
     headers = [
@@ -135,14 +149,16 @@
     return h11.Request(method="PUT" if command.write else "GET", target=target, headers=headers)
 
 
+def _header(response: h11.Response, wanted: bytes) -> bytes | None:
+    return next((value for name, value in response.headers if name == wanted), None)
+
+
 def status_of(response: h11.Response) -> AttemptStatus:
-    """What the origin's answer says of the attempt."""
-    if response.status_code == 200:
+    """Return the outcome that a response means for its attempt."""
+    if response.status_code == HTTPStatus.OK:
         return AttemptStatus.OK
-    # only this header proves that it never ran: a bare 503 or 504 may come from anything on the way
+    # a proxy on the way may answer 503 or 504 as well; only this header proves that it never ran
     never_ran = any(name == b"not-started" and value == b"1" for name, value in response.headers)
-    return (
-        AttemptStatus.BUSY
-        if response.status_code in (503, 504) and never_ran
-        else AttemptStatus.ERROR
-    )
+    if response.status_code in OVERLOADED and never_ran:
+        return AttemptStatus.BUSY
+    return AttemptStatus.ERROR
--- a/ironrail/net/upstream/pool_factory.py
+++ b/ironrail/net/upstream/pool_factory.py
@@ -1,9 +1,10 @@
-"""Makes the connection pool of one server, by the settings and the operator's file."""
+"""Makes the connection pool of one server by the settings and the operator's file."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
 
+from ironrail.connections.upstream.pool_settings import PoolSettings
 from ironrail.net.config import Config
 from ironrail.net.system import Address, System
 from ironrail.net.upstream.cache_connection import CacheConnection
@@ -13,48 +14,59 @@
 from ironrail.operator_file import Operator
 from ironrail.policy.endpoints import Endpoint
 
-ORIGIN_CONNECTIONS = 32
+MAX_ORIGIN_CONNECTIONS = 32
+MILLISECONDS_PER_SECOND = 1000
 
 
 class PoolFactory:
-    """Knows what all pools of a router have in common."""
+    """Knows what all pools of a router have in common.
+
+    Args:
+        config: Of the router.
+        operator: The operator's file.
+        system: Gives the clock and the sockets.
+        on_written: Called for each attempt written.
+        link_observer_of: Returns the observer of the link to a zone.
+    """
 
     def __init__(
         self,
         config: Config,
         operator: Operator,
         system: System,
-        wrote: Callable[[], None],
-        watch: Callable[[str], LinkObserver | None],
+        on_written: Callable[[], None],
+        link_observer_of: Callable[[str], LinkObserver | None],
     ) -> None:
-        """`wrote` is called for each attempt written; `watch` gives the observer of the way to a zone."""
         self._config = config
         self._operator = operator
         self._system = system
-        self._wrote = wrote
-        self._watch = watch
+        self._on_written = on_written
+        self._link_observer_of = link_observer_of
 
-    def make(self, entry: Endpoint, address: Address) -> ConnectionPool:
-        """The pool of a server that discovery has told of."""
+    def make(self, endpoint: Endpoint, address: Address) -> ConnectionPool:
+        """Make the pool of a listed server."""
         settings = self._config.settings
-        connections = self._operator.connections
-        is_origin = settings.cache_aside and entry.kind == settings.origin_kind
+        limits = self._operator.connections
+        is_origin = settings.cache_aside and endpoint.kind == settings.origin_kind
         if is_origin:
-            most, streams = ORIGIN_CONNECTIONS, 1
+            max_connections = MAX_ORIGIN_CONNECTIONS
+            max_streams = 1
         else:
-            most = connections.each(settings.router_count)
-            streams = min(self._config.streams, connections.depth or self._config.streams)
+            max_connections = limits.each(settings.router_count)
+            max_streams = min(self._config.streams, limits.depth or self._config.streams)
         return ConnectionPool(
-            entry.name,
+            endpoint.name,
             address,
             OriginConnection if is_origin else CacheConnection,
-            most=most,
-            streams=streams,
+            PoolSettings(
+                max_connections,
+                max_streams,
+                settings.connection_idle_timeout,
+                limits.cost_ms / MILLISECONDS_PER_SECOND,
+                settings.hedging_allowed,
+            ),
             connect_timeout=settings.connect_timeout,
-            idle=settings.connection_idle_timeout,
-            cost=connections.cost_ms / 1000,
-            copies=settings.hedging_allowed,
             system=self._system,
-            wrote=self._wrote,
-            watch=self._watch(entry.zone),
+            on_written=self._on_written,
+            link_observer=self._link_observer_of(endpoint.zone),
         )
--- a/ironrail/net/upstream/pool_registry.py
+++ b/ironrail/net/upstream/pool_registry.py
@@ -1,10 +1,14 @@
-"""The pools of connections to all servers, as the list of servers has them."""
+"""The connection pools of all servers in the endpoint list."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
 
-from ironrail.connections.upstream.socket_budget import LEAST_EACH, Demand, share_out
+from ironrail.connections.upstream.socket_budget import (
+    MIN_CONNECTIONS_PER_SERVER,
+    SocketDemand,
+    share_sockets,
+)
 from ironrail.net.system import Address
 from ironrail.net.upstream.connection_pool import ConnectionPool
 from ironrail.policy.endpoints import Endpoint, EndpointListKind, EndpointState
@@ -12,49 +16,59 @@
 
 
 class PoolRegistry:
-    """One pool for each server that is listed."""
+    """One pool for each listed server, and their shares of the router's descriptors.
+
+    Args:
+        make_pool: Makes the pool of a server.
+        max_connections: To all servers together.
+    """
 
     def __init__(
-        self, make: Callable[[Endpoint, Address], ConnectionPool], most_connections: int
+        self, make_pool: Callable[[Endpoint, Address], ConnectionPool], max_connections: int
     ) -> None:
-        """`most_connections`: to all servers together."""
         self.by_name: dict[str, ConnectionPool] = {}
-        self._make_pool = make
-        self._most_connections = most_connections
-        self._since: dict[str, float] = {}
-
-    def update(self, news: EndpointListUpdate, addresses: dict[str, Address]) -> None:
-        """Discovery has told something of the list of servers."""
-        listed = {e.name for e in news.endpoints if e.state is not EndpointState.REMOVED}
-        removed = {e.name for e in news.endpoints} - listed
-        if news.kind in (EndpointListKind.FULL, EndpointListKind.CACHED):
+        self._make_pool = make_pool
+        self._max_connections = max_connections
+        self._started_at: dict[str, float] = {}
+
+    def update(self, update: EndpointListUpdate, addresses: dict[str, Address]) -> None:
+        """Create, update and stop pools after an update of the endpoint list."""
+        listed = {e.name for e in update.endpoints if e.state is not EndpointState.REMOVED}
+        removed = {e.name for e in update.endpoints} - listed
+        if update.kind in (EndpointListKind.FULL, EndpointListKind.CACHED):
             removed |= self.by_name.keys() - listed
-        for name in sorted(
-            removed & self.by_name.keys()
-        ):  # in one order, whatever the hashes of names
+        # in an order that does not depend on hashes
+        for name in sorted(removed & self.by_name.keys()):
             self.by_name.pop(name).stop()
-            self._since.pop(name)
-        for entry in news.endpoints:
-            if entry.name in listed:
-                self._update_pool(entry, addresses[entry.name])
-        # guards the limit on descriptors: all pools share them
-        links = [pool.upstream for pool in self.by_name.values()]
-        demands = [
-            Demand(link.wanted if link.streams == 1 else LEAST_EACH, link.wanted) for link in links
-        ]
-        for link, share in zip(links, share_out(self._most_connections, demands), strict=True):
-            link.most = share
-
-    def _update_pool(self, entry: Endpoint, address: Address) -> None:
-        pool = self.by_name.get(entry.name)
+            self._started_at.pop(name)
+        for endpoint in update.endpoints:
+            if endpoint.name in listed:
+                self._update_pool(endpoint, addresses[endpoint.name])
+        self._share_sockets()
+
+    def _update_pool(self, endpoint: Endpoint, address: Address) -> None:
+        name = endpoint.name
+        pool = self.by_name.get(name)
         if pool is None:
-            pool = self.by_name[entry.name] = self._make_pool(entry, address)
-        elif entry.started_at > self._since[entry.name]:
-            pool.restart(entry.started_at)
-        self._since[entry.name] = entry.started_at
+            pool = self._make_pool(endpoint, address)
+            self.by_name[name] = pool
+        elif endpoint.started_at > self._started_at[name]:
+            pool.on_server_restarted(endpoint.started_at)
+        self._started_at[name] = endpoint.started_at
         if pool.address != address:
-            pool.move(address)
-        if entry.state is EndpointState.READY:
+            pool.move_to(address)
+        if endpoint.state is EndpointState.READY:
             pool.resume()
         else:
             pool.stop()
+
+    def _share_sockets(self) -> None:
+        states = [pool.manager.state for pool in self.by_name.values()]
+        demands = []
+        for state in states:
+            is_single = state.max_streams == 1  # with fewer connections it carries fewer requests
+            minimum = state.wanted_connections if is_single else MIN_CONNECTIONS_PER_SERVER
+            demands.append(SocketDemand(minimum, state.wanted_connections))
+        shares = share_sockets(self._max_connections, demands)
+        for state, share in zip(states, shares, strict=True):
+            state.max_connections = share
--- a/ironrail/operator_file.py
+++ b/ironrail/operator_file.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 
 from ironrail.access_log.names import LEAST_SECRET, MOST_SECRET
-from ironrail.connections.upstream.socket_budget import places_each
+from ironrail.connections.upstream.socket_budget import connections_per_router
 from ironrail.errors import InputError
 
 
@@ -29,7 +29,11 @@
 
     def each(self, routers: int) -> int:
         """Connections of one router to one cache at once."""
-        return self.per_cache if self.per_cache is not None else places_each(self.places, routers)
+        return (
+            self.per_cache
+            if self.per_cache is not None
+            else connections_per_router(self.places, routers)
+        )
 
 
 @dataclass(frozen=True, slots=True)
--- a/ironrail/rehearsal/virtual/cuts.py
+++ b/ironrail/rehearsal/virtual/cuts.py
@@ -14,7 +14,7 @@
 
 from ironrail.net import io_timeout
 from ironrail.net.discovery.watcher import EndpointWatcher
-from ironrail.net.upstream.connection_pool import ConnectionPool
+from ironrail.net.upstream.connector import Connector
 from ironrail.rehearsal.scenario.faults import Cut, CutKind
 from ironrail.rehearsal.virtual.ground import VirtualGround, VirtualRouter
 from ironrail.rehearsal.virtual.loop import PROCESS, VirtualLoop
@@ -23,7 +23,7 @@
 # tasks that scenarios name, and drawn worlds as well: a name stays, whatever the code calls its coroutine
 TASKS: dict[str, Callable[..., Work]] = {
     "Discovery._run": EndpointWatcher._run,
-    "Pool._open": ConnectionPool._open,
+    "Pool._open": Connector._connect,
 }
 
 
--- a/ironrail/rehearsal/virtual/invariants.py
+++ b/ironrail/rehearsal/virtual/invariants.py
@@ -12,6 +12,7 @@
 
 from ironrail.diagnostics.invariants import InvariantGuard
 from ironrail.net.lifecycle.node import Node
+from ironrail.net.upstream.connection_pool import ConnectionPool
 
 
 @dataclass(frozen=True, slots=True)
@@ -45,7 +46,7 @@
     if room.free != room._total or room._queue:
         yield "room", f"{room._total - room.free} bytes lent out for long values, {len(room._queue)} wait"
     if host.attempts:
-        of_requests = [entry.attempt.request for entry in host.attempts][:3]
+        of_requests = [entry.attempt.request_id for entry in host.attempts][:3]
         yield "attempts", f"{len(host.attempts)} attempts without an outcome: {of_requests}"
     if policy.held:
         yield "held", f"{len(policy.held)} requests still held by the module: {list(policy.held)[:3]}"
@@ -75,20 +76,23 @@
             yield "invariant", f"{violation}: {count}"
 
 
-def _of_pool(name: str, pool: Any) -> Iterator[tuple[str, str]]:
-    upstream = pool.upstream
-    if upstream._waiting:
-        yield "attempts", f"{len(upstream._waiting)} attempts wait for {name}"
-    out = sum(attempt.open for link in upstream._all for attempt in link.out)
+def _of_pool(name: str, pool: ConnectionPool) -> Iterator[tuple[str, str]]:
+    state = pool.manager.state
+    if state.waiting:
+        yield "attempts", f"{len(state.waiting)} attempts wait for {name}"
+    out = sum(attempt.is_open for link in state.connected for attempt in link.in_flight)
     if out:
         yield "attempts", f"{out} attempts out at {name}"
     known = set(pool._connections)
-    if lost := [link for link in upstream._all if link not in known]:
+    if lost := [link for link in state.connected if link not in known]:
         yield "connections", f"{len(lost)} connections to {name} that are none"
-    if len(upstream._dialling) != len(pool._dialling):
-        yield "connections", f"{len(upstream._dialling)} dials to {name} decided, {len(pool._dialling)} made"
-    if len(upstream) > max(upstream.most, upstream.wanted):
-        yield "connections", f"{len(upstream)} connections to {name}, {upstream.most} allowed"
+    if len(state.connecting) != len(pool.connector.tasks):
+        yield (
+            "connections",
+            f"{len(state.connecting)} dials to {name} decided, {len(pool.connector.tasks)} made",
+        )
+    if len(state) > max(state.max_connections, state.wanted_connections):
+        yield "connections", f"{len(state)} connections to {name}, {state.max_connections} allowed"
 
 
 def _descriptors(router: Any) -> Iterator[tuple[str, str]]:
@@ -96,7 +100,7 @@
     node = router.node
     host, clients = node._host, node._clients
     known = len(clients._connections) + len(clients._opening)
-    known += sum(len(pool._connections) + len(pool._dialling) for pool in host.pools.values())
+    known += sum(len(pool._connections) + len(pool.connector.tasks) for pool in host.pools.values())
     there = len(router.process.sockets)
     slack = 4  # two listeners, and discovery, which may be between two connections
     if there > known + slack:
--- a/tests/connections/test_sharing.py
+++ b/tests/connections/test_sharing.py
@@ -5,15 +5,20 @@
 import pytest
 from hypothesis import given
 from hypothesis import strategies as st
-from ironrail.connections.upstream.socket_budget import LEAST_EACH, Demand, places_each, share_out
+from ironrail.connections.upstream.socket_budget import (
+    MIN_CONNECTIONS_PER_SERVER,
+    SocketDemand,
+    connections_per_router,
+    share_sockets,
+)
 
-CACHE = Demand(LEAST_EACH, 12)
-ORIGIN = Demand(32, 32)
+CACHE = SocketDemand(MIN_CONNECTIONS_PER_SERVER, 12)
+ORIGIN = SocketDemand(32, 32)
 
 
 @pytest.mark.parametrize(("places", "routers", "each"), [(90, 3, 12), (90, 4, 9), (90, 1, 16), (90, 100, 2)])
 def test_a_cache_s_places_are_shared_by_all_routers(places: int, routers: int, each: int) -> None:
-    assert places_each(places, routers) == each
+    assert connections_per_router(places, routers) == each
 
 
 @pytest.mark.parametrize(
@@ -23,20 +28,22 @@
 def test_the_origin_keeps_its_places_and_caches_share_the_rest(
     total: int, caches: int, each: int, origin: int
 ) -> None:
-    *shares, last = share_out(total, [CACHE] * caches + [ORIGIN])
+    *shares, last = share_sockets(total, [CACHE] * caches + [ORIGIN])
     assert last == origin
     assert set(shares) <= {each, each + 1} and each in shares  # the remainder goes to the first
 
 
 @given(
     st.integers(1, 400),
-    st.lists(st.tuples(st.integers(1, 40), st.integers(0, 40)).map(lambda p: Demand(p[0], p[0] + p[1]))),
+    st.lists(
+        st.tuples(st.integers(1, 40), st.integers(0, 40)).map(lambda p: SocketDemand(p[0], p[0] + p[1]))
+    ),
 )
-def test_shares_keep_the_total_and_every_pool_has_one(total: int, demands: list[Demand]) -> None:
-    shares = share_out(total, demands)
+def test_shares_keep_the_total_and_every_pool_has_one(total: int, demands: list[SocketDemand]) -> None:
+    shares = share_sockets(total, demands)
     assert all(1 <= share <= demand.wanted for share, demand in zip(shares, demands, strict=True))
     assert sum(shares) <= total + len(shares)
-    least = sum(demand.least for demand in demands)
+    least = sum(demand.minimum for demand in demands)
     if least < total:
-        assert all(share >= demand.least for share, demand in zip(shares, demands, strict=True))
+        assert all(share >= demand.minimum for share, demand in zip(shares, demands, strict=True))
         assert sum(shares) == min(total, sum(demand.wanted for demand in demands))
--- a/tests/connections/test_upstream.py
+++ b/tests/connections/test_upstream.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 import pytest
-from ironrail.connections.upstream.pool_manager import STREAM_STILL
+from ironrail.connections.upstream.pool_manager import STREAM_TIMEOUT_SECONDS
 from ironrail.policy.events import AttemptStatus
 
 from tests.connections.upstream_host import Host
@@ -36,16 +36,16 @@
     host = Host(most=1)
     first, second = host.want(), host.want()
     link = host.up()
-    host.do(host.upstream.began(host.now, link, 100_000))
+    host.do(host.upstream.on_stream_started(host.now, link, 100_000))
     assert host.status(first, second) == [None, None]
-    host.do(host.upstream.taken(host.now, link, True))
+    host.do(host.upstream.on_client_paused(host.now, link, True))
     assert host.status(first, second) == [None, AttemptStatus.CANCELLED]
     host.now += 60.0
     host.do(host.upstream.expire(host.now))  # it is not the server that stands still
-    host.do(host.upstream.taken(host.now, link, False))
+    host.do(host.upstream.on_client_paused(host.now, link, False))
     host.read(link, AttemptStatus.OK)
     assert host.status(first) == [AttemptStatus.OK]
-    host.now += STREAM_STILL + 1.0
+    host.now += STREAM_TIMEOUT_SECONDS + 1.0
     host.read(link, part=True)
     assert link in host.links
 
@@ -54,14 +54,14 @@
     host = Host(most=1)
     first = host.want()
     link = host.up()
-    host.do(host.upstream.began(host.now, link, 100_000))
-    host.now += STREAM_STILL
+    host.do(host.upstream.on_stream_started(host.now, link, 100_000))
+    host.now += STREAM_TIMEOUT_SECONDS
     host.do(host.upstream.expire(host.now))
     assert host.status(first) == [AttemptStatus.ERROR] and link not in host.links
     second = host.want()
     link = host.up()
     host.abandon(second, AttemptStatus.CANCELLED)
-    host.do(host.upstream.began(host.now, link, 100_000))
+    host.do(host.upstream.on_stream_started(host.now, link, 100_000))
     assert link not in host.links
 
 
@@ -69,7 +69,7 @@
     host = Host(most=1)
     write = host.want(alone=True)
     link = host.up()
-    link.held_back = True
+    link.has_unsent_bytes = True
     host.abandon(write)
     assert host.status(write) == [AttemptStatus.CONNECT_FAILED] and link not in host.links
 
@@ -98,7 +98,7 @@
     first = host.want()
     link = host.up()
     second = host.want()
-    link.held_back = True
+    link.has_unsent_bytes = True
     host.lose(link)
     assert host.status(first, second) == [AttemptStatus.RESET, AttemptStatus.CONNECT_FAILED]
 
@@ -170,10 +170,10 @@
     host.now += 4.0
     host.want()
     host.lose(link)
-    assert host.upstream.idle_limit == 2.0
+    assert host.upstream.idle_timeout.seconds == 2.0
     for _ in range(60):
         host.do(host.upstream.expire(host.now))
-    assert host.upstream.idle_limit == 6.0
+    assert host.upstream.idle_timeout.seconds == 6.0
 
 
 def test_a_second_copy_that_came_unasked_costs_the_connection_not_the_next_request() -> None:
--- a/tests/connections/test_upstream_choice.py
+++ b/tests/connections/test_upstream_choice.py
@@ -4,13 +4,14 @@
 
 import itertools
 
-from ironrail.connections.upstream.pool_manager import (
-    CONNECTION_COST,
-    FULL_FIRST,
-    FULL_MOST,
-    OVERTAKEN,
-    ROUGH,
+from ironrail.connections.upstream.connection import ReplyState
+from ironrail.connections.upstream.connection_opener import (
+    BREAK_COOLDOWN_SECONDS,
+    CONNECTION_COST_SECONDS,
+    MAX_FULL_BACKOFF_SECONDS,
+    MIN_FULL_BACKOFF_SECONDS,
 )
+from ironrail.connections.upstream.stream_scheduler import OVERTAKEN_FRACTION
 from ironrail.policy.events import AttemptStatus
 
 from tests.connections.upstream_host import Host
@@ -21,7 +22,7 @@
     host.want()
     link = host.up()
     host.read(link, AttemptStatus.OK)  # with the handshake: tells nothing of what a reply takes
-    took = CONNECTION_COST / 2
+    took = CONNECTION_COST_SECONDS / 2
     host.want()
     host.now += took
     host.read(link, AttemptStatus.OK)
@@ -63,7 +64,7 @@
     host.want()
     host.want()
     assert len(host.dialling) == 1
-    host.now += ROUGH
+    host.now += BREAK_COOLDOWN_SECONDS
     assert host.written[host.want()] is again
 
 
@@ -71,7 +72,7 @@
     host = Host(most=2)
     slow = host.want(patience=1.0)
     link = host.up()
-    host.now += OVERTAKEN + 0.01
+    host.now += OVERTAKEN_FRACTION + 0.01
     host.want()
     other = host.up()
     host.read(other, AttemptStatus.OK)
@@ -103,11 +104,11 @@
         host.want()
     first, second = host.up(), host.up()
     write = host.want(alone=True)
-    kept = min((first, second), key=lambda link: len(link.out))
+    kept = min((first, second), key=lambda link: len(link.in_flight))
     for _ in range(4):
         host.want()
-    assert all(attempt.link is not kept for attempt in host.attempts[5:])
-    host.read(kept, *[AttemptStatus.OK] * len(kept.out))
+    assert all(attempt.connection is not kept for attempt in host.attempts[5:])
+    host.read(kept, *[AttemptStatus.OK] * len(kept.in_flight))
     assert host.written[write] is kept
 
 
@@ -140,7 +141,7 @@
     assert other in host.leaving
     assert host.written[host.want()] is link  # behind, for the places are taken
     assert not host.dialling
-    host.now += FULL_FIRST
+    host.now += MIN_FULL_BACKOFF_SECONDS
     host.want()
     assert len(host.dialling) == 1
 
@@ -153,16 +154,16 @@
     for _ in range(9):
         while not host.dialling:
             host.now += 0.05
-            host.read(link, *[AttemptStatus.OK] * len(link.out))
+            host.read(link, *[AttemptStatus.OK] * len(link.in_flight))
             host.want()
             host.want()  # behind, or for one of its own
         host.now += 0.05
-        host.read(link, *[AttemptStatus.OK] * len(link.out))  # it works
+        host.read(link, *[AttemptStatus.OK] * len(link.in_flight))  # it works
         host.down()
         ended.append(host.now)
     pauses = [after - before for before, after in itertools.pairwise(ended[1:])]
     assert all(later > 1.5 * sooner for sooner, later in itertools.pairwise(pauses[:6]))
-    assert FULL_MOST < pauses[-1] < FULL_MOST + 0.3
+    assert MAX_FULL_BACKOFF_SECONDS < pauses[-1] < MAX_FULL_BACKOFF_SECONDS + 0.3
 
 
 def test_a_first_reply_of_a_full_queue_keeps_the_only_connection() -> None:
@@ -184,7 +185,7 @@
     late = host.want()
     host.now += 0.05
     host.read(link, part=True)  # it works, though nothing is whole
-    link.half = False
+    link.reply_state = ReplyState.NONE
     host.down()  # of the dial that the first of the two began
     assert host.written[late] is link
     assert host.status(late) == [None]
--- a/tests/connections/upstream_host.py
+++ b/tests/connections/upstream_host.py
@@ -4,18 +4,18 @@
 
 from collections import deque
 
-from ironrail.connections.upstream.pool_manager import (
-    Abort,
-    Action,
-    Attempt,
-    Close,
-    Dial,
-    End,
-    Look,
-    UpstreamConnection,
-    UpstreamPoolManager,
-    Write,
+from ironrail.connections.upstream.connection import Attempt, UpstreamConnection
+from ironrail.connections.upstream.pool_actions import (
+    AbortConnection,
+    CheckIdle,
+    CloseConnection,
+    EndAttempt,
+    OpenConnection,
+    PoolAction,
+    WriteAttempt,
 )
+from ironrail.connections.upstream.pool_manager import UpstreamPoolManager
+from ironrail.connections.upstream.pool_settings import PoolSettings
 from ironrail.policy.events import AttemptStatus
 
 ADDRESS = ("a", 1)
@@ -25,7 +25,7 @@
     """Carries actions out on connections that are none, and keeps the books of what was done."""
 
     def __init__(self, most: int = 2, streams: int = 100, idle: float = 8.0) -> None:
-        self.upstream = UpstreamPoolManager(ADDRESS, most=most, streams=streams, idle=idle)
+        self.upstream = UpstreamPoolManager(ADDRESS, PoolSettings(most, streams, idle))
         self.now = 0.0
         self.dialling: list[UpstreamConnection] = []
         self.links: list[UpstreamConnection] = []  # up, and not told to end
@@ -35,51 +35,51 @@
         self.outcomes: dict[Attempt, AttemptStatus] = {}
         self.attempts: list[Attempt] = []
 
-    def do(self, actions: list[Action]) -> None:
+    def do(self, actions: list[PoolAction]) -> None:
         todo = deque(actions)
         while todo:
             match todo.popleft():
-                case Look(link) as look:
+                case CheckIdle(link) as look:
                     quiet = link in self.links and link not in self.noisy
-                    todo.extendleft(reversed(self.upstream.looked(self.now, look, quiet)))
-                case Write(link, attempt):
+                    todo.extendleft(reversed(self.upstream.on_idle_checked(self.now, look, quiet)))
+                case WriteAttempt(link, attempt):
                     assert link in self.links and attempt not in self.written, "written twice, or nowhere"
                     assert attempt not in self.outcomes
                     self.written[attempt] = link
-                case End(attempt, status):
+                case EndAttempt(attempt, status):
                     assert attempt not in self.outcomes, "a second outcome"
                     self.outcomes[attempt] = status
-                case Dial(link):
+                case OpenConnection(link):
                     self.dialling.append(link)
-                case Close(link) | Abort(link):
+                case CloseConnection(link) | AbortConnection(link):
                     if link in self.links:
                         self.links.remove(link)
                         self.leaving.append(link)
 
     def want(self, patience: float = 5.0, alone: bool = False) -> Attempt:
         attempt = Attempt(f"r{len(self.attempts)}", 0, self.now, self.now + patience)
-        attempt.alone = alone
+        attempt.is_exclusive = alone
         self.attempts.append(attempt)
-        self.do(self.upstream.want(self.now, attempt))
+        self.do(self.upstream.assign(self.now, attempt))
         return attempt
 
     def up(self, closing: bool = False) -> UpstreamConnection:
         link = self.dialling.pop(0)
         self.links.append(link)
-        self.do(self.upstream.up(self.now, link, closing))
+        self.do(self.upstream.on_connected(self.now, link, closing))
         return link
 
     def down(self) -> None:
-        self.do(self.upstream.down(self.now, self.dialling.pop(0)))
+        self.do(self.upstream.on_connect_failed(self.now, self.dialling.pop(0)))
 
     def read(
         self, link: UpstreamConnection, *replies: AttemptStatus, part: bool = False, fault: object = None
     ) -> None:
-        self.do(self.upstream.read(self.now, link, [(status, b"") for status in replies], part, fault))
+        self.do(self.upstream.on_read(self.now, link, [(status, b"") for status in replies], part, fault))
 
     def lose(self, link: UpstreamConnection) -> None:
         (self.links if link in self.links else self.leaving).remove(link)
-        self.do(self.upstream.ended(self.now, link))
+        self.do(self.upstream.on_closed(self.now, link))
 
     def abandon(self, attempt: Attempt, status: AttemptStatus = AttemptStatus.TIMEOUT) -> None:
         self.do(self.upstream.abandon(self.now, attempt, status))
--- a/tests/diagnostics/test_invariants.py
+++ b/tests/diagnostics/test_invariants.py
@@ -6,7 +6,9 @@
 from typing import Any
 
 import pytest
-from ironrail.connections.upstream.pool_manager import Action, Attempt, UpstreamPoolManager
+from ironrail.connections.upstream.connection import Attempt
+from ironrail.connections.upstream.pool_actions import PoolAction
+from ironrail.connections.upstream.pool_manager import UpstreamPoolManager
 from ironrail.diagnostics.invariants import HOLD_UP_SECONDS, EarlierAttempt, InvariantGuard, Sending
 from ironrail.diagnostics.reasons import Violation
 from ironrail.policy.events import AttemptStatus
@@ -150,17 +152,17 @@
 
 @scenario
 async def test_a_pool_that_sends_to_a_drained_server_is_found_out(monkeypatch: pytest.MonkeyPatch) -> None:
-    def want(self: UpstreamPoolManager, now: float, attempt: Attempt) -> list[Action]:
-        self._seek(now, attempt)
-        return self._take()
+    def assign(self: UpstreamPoolManager, now: float, attempt: Attempt) -> list[PoolAction]:
+        self._scheduler.assign(now, attempt)
+        return self.actions.take()
 
-    monkeypatch.setattr(UpstreamPoolManager, "want", want)
+    monkeypatch.setattr(UpstreamPoolManager, "assign", assign)
     world = await World().start()
     client = await world.client()
     client.get("1")
     (await world.cache.next()).reply_value(b"v")  # its connection rests from now on
     assert await client.value("1") == b"v"
-    world.node._host.pools["c"].upstream.ready = False  # and the policy does not know
+    world.node._host.pools["c"].manager.state.is_ready = False  # and the policy does not know
     client.get("2", wait=200)
     assert (await client.line()).startswith(b"SERVER_ERROR")
     assert world.node._host.diagnostics.guard.violations[Violation.SENT_TO_DRAINED] > 0
--- a/tests/mutants/hands_on_second.py
+++ b/tests/mutants/hands_on_second.py
@@ -9,8 +9,8 @@
 
 
 def break_it() -> None:
-    def trusting(self: CacheConnection, request_id: bytes | None, before: int) -> None:
-        if len(self.attempts) <= before:
+    def trusting(self: CacheConnection, request_id: bytes | None, position: int) -> None:
+        if len(self.in_flight) <= position:
             raise FramingError("a reply to nothing")
 
-    CacheConnection._check = trusting  # type: ignore[method-assign]
+    CacheConnection._check_id = trusting  # type: ignore[method-assign]
--- a/tests/mutants/writes_late.py
+++ b/tests/mutants/writes_late.py
@@ -4,7 +4,9 @@
 
 from typing import Any
 
-from ironrail.connections.upstream.pool_manager import Action, Attempt, UpstreamPoolManager
+from ironrail.connections.upstream.connection import Attempt
+from ironrail.connections.upstream.pool_actions import PoolAction
+from ironrail.connections.upstream.pool_manager import UpstreamPoolManager
 from ironrail.net.upstream.connection_pool import ConnectionPool
 from ironrail.policy.events import AttemptStatus
 
@@ -23,17 +25,17 @@
 
     def forgetful(
         self: UpstreamPoolManager, now: float, attempt: Attempt, status: AttemptStatus
-    ) -> list[Action]:
-        if attempt not in self._waiting:
+    ) -> list[PoolAction]:
+        if attempt not in self.state.waiting:
             return abandon(self, now, attempt, status)
-        self._end(attempt, AttemptStatus.CONNECT_FAILED)
-        return self._take()
+        self.writer.end(attempt, AttemptStatus.CONNECT_FAILED)
+        return self.actions.take()
 
-    def unheeding(self: UpstreamPoolManager, now: float, attempt: Attempt) -> list[Action]:
-        if attempt not in self._waiting:
+    def unheeding(self: UpstreamPoolManager, now: float, attempt: Attempt) -> list[PoolAction]:
+        if attempt not in self.state.waiting:
             return withdraw(self, now, attempt)
-        self._end(attempt, AttemptStatus.NOT_SENT)
-        return self._take()
+        self.writer.end(attempt, AttemptStatus.NOT_SENT)
+        return self.actions.take()
 
     ConnectionPool.__init__ = patient  # type: ignore[method-assign]
     UpstreamPoolManager.abandon = forgetful  # type: ignore[method-assign]
--- a/tests/outcomes/bench.py
+++ b/tests/outcomes/bench.py
@@ -6,7 +6,8 @@
 from collections.abc import Callable
 from typing import Any
 
-from ironrail.connections.upstream.pool_manager import UpstreamConnection
+from ironrail.connections.upstream.connection import UpstreamConnection
+from ironrail.connections.upstream.pool_settings import PoolSettings
 from ironrail.net.dispatch.dispatcher import RequestDispatcher
 from ironrail.net.dispatch.pending_request import ResponseStream
 from ironrail.net.protocol.meta_codec import Command, read_fields
@@ -63,7 +64,7 @@
     ) -> None:
         def make(entry: Endpoint, address: tuple[str, int]) -> ConnectionPool:
             return ConnectionPool(
-                "s", address, kind, most=most, streams=streams, connect_timeout=connect_timeout, idle=idle
+                "s", address, kind, PoolSettings(most, streams, idle), connect_timeout=connect_timeout
             )
 
         self.answers: dict[str, list[bytes]] = {}
--- a/tests/outcomes/test_breaks.py
+++ b/tests/outcomes/test_breaks.py
@@ -105,7 +105,7 @@
     assert second.writer is not first.writer and peer.opened == 2
     answer(second, b"w")
     assert (await script.outcome()).status is AttemptStatus.OK
-    assert len(bench.host.pools["s"].upstream) == 1
+    assert len(bench.host.pools["s"].manager.state) == 1
 
 
 @pytest.mark.parametrize("end", ["close", "reset"])
@@ -164,9 +164,9 @@
         for _ in range(8):
             assert (await script.outcome()).status is AttemptStatus.CONNECT_FAILED
         pool = bench.host.pools["s"]
-        await until(lambda: not pool._dialling)
+        await until(lambda: not pool.connector.tasks)
         await until(lambda: len(os.listdir("/proc/self/fd")) <= before)
-        assert not len(pool.upstream) and not bench.host.attempts
+        assert not len(pool.manager.state) and not bench.host.attempts
         for filler in fillers:
             filler.close()
 
--- a/tests/outcomes/test_ends.py
+++ b/tests/outcomes/test_ends.py
@@ -6,6 +6,7 @@
 from dataclasses import replace
 
 import pytest
+from ironrail.connections.upstream.pool_settings import PoolSettings
 from ironrail.net.dispatch.dispatcher import RequestDispatcher
 from ironrail.net.protocol.meta_codec import Command, read_fields
 from ironrail.net.system import RealSystem
@@ -154,14 +155,7 @@
 
     def make(entry: Endpoint, address: tuple[str, int]) -> ConnectionPool:
         return ConnectionPool(
-            entry.name,
-            address,
-            CacheConnection,
-            most=2,
-            streams=9,
-            connect_timeout=1.0,
-            idle=60.0,
-            system=system,
+            entry.name, address, CacheConnection, PoolSettings(2, 9, 60.0), connect_timeout=1.0, system=system
         )
 
     host = RequestDispatcher(router, make, lambda: None, 8, system, lambda: asked.append("list"))
--- a/tests/outcomes/test_links.py
+++ b/tests/outcomes/test_links.py
@@ -7,8 +7,9 @@
 import time
 
 import pytest
-from ironrail.connections.upstream import pool_manager
-from ironrail.connections.upstream.pool_manager import UpstreamConnection
+from ironrail.connections.upstream import idle_timeout
+from ironrail.connections.upstream.connection import UpstreamConnection
+from ironrail.connections.upstream.pool_actions import PoolAction
 from ironrail.net.dispatch import dispatcher
 from ironrail.net.protocol.meta_codec import Command
 from ironrail.net.system import RealSystem
@@ -134,12 +135,12 @@
     bench.take("1")
     (await peer.next()).reply_value(b"v")
     await script.outcome()
-    decides = bench.host.pools["s"].upstream
-    link, expire, looks = next(iter(decides._all)), decides.expire, list[tuple[float, bool]]()
+    decides = bench.host.pools["s"].manager
+    link, expire, looks = next(iter(decides.state.connected)), decides.expire, list[tuple[float, bool]]()
 
-    def look(now: float) -> list[pool_manager.Action]:
+    def look(now: float) -> list[PoolAction]:
         actions = expire(now)
-        looks.append((now - link.used_at, link in decides._all))
+        looks.append((now - link.last_used_at, link in decides.state.connected))
         return actions
 
     monkeypatch.setattr(decides, "expire", look)
@@ -180,7 +181,7 @@
 
 @scenario
 async def test_pauses_after_which_connections_break_are_learned(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(pool_manager, "LEAST_IDLE", 0.05)
+    monkeypatch.setattr(idle_timeout, "MIN_IDLE_TIMEOUT_SECONDS", 0.05)
     peer, script = await Peer().start(), Script()
     bench = Bench(script, peer.port, most=1)
     writers = []
@@ -243,4 +244,4 @@
     connection = CacheConnection(Told(), UpstreamConnection("a"))
     command = Command(b"k", b"1", b"c=read", {}, None)
     for left, told in ((0.0999, 99), (0.1004, 100), (0.0002, 1)):  # none is told that nothing is left
-        assert connection.wait_ms(Attempt("1", 0, 99.0, 100.0 + left, command, None)) == told
+        assert connection.remaining_milliseconds(Attempt("1", 0, 99.0, 100.0 + left, command, None)) == told
--- a/tests/outcomes/test_nobody_waits.py
+++ b/tests/outcomes/test_nobody_waits.py
@@ -69,7 +69,7 @@
     assert (await peer.next()).flag == b"O3"
     ends = [e for e in told(script, "2") if isinstance(e, AttemptEnded)]
     assert [(e.status, e.request_ended) for e in ends] == [(AttemptStatus.NOT_SENT, True)]
-    assert not [entry for entry in bench.host.attempts if entry.attempt.request == "2"]
+    assert not [entry for entry in bench.host.attempts if entry.attempt.request_id == "2"]
 
 
 @scenario
@@ -82,7 +82,7 @@
     bench.take("2")
     assert (await peer.next()).flag == b"O2"
     assert peer.opened == 1  # the connection that came up late is used, and counted once
-    assert len(bench.host.pools["s"].upstream) == 1
+    assert len(bench.host.pools["s"].manager.state) == 1
 
 
 @scenario
@@ -191,7 +191,7 @@
             except ConnectionError:
                 pass
             assert got < 8 * 1024**2
-        assert not len(bench.host.pools["s"].upstream)
+        assert not len(bench.host.pools["s"].manager.state)
 
 
 @scenario
@@ -211,7 +211,7 @@
     value = b"x" * (SHORT + 1)
     got.reply(b"VA %d O1 h1\r\n" % len(value))
     await until(lambda: held.streamed_attempt)
-    assert not late.open and late.link is None
+    assert not late.is_open and late.connection is None
     got.reply(value + b"\r\n")
     assert await client.value("1") == value
     await until(lambda: world.origin.opened)
--- a/tests/outcomes/test_once_at_a_time.py
+++ b/tests/outcomes/test_once_at_a_time.py
@@ -39,7 +39,7 @@
     host.read(link, AttemptStatus.OK)
     assert host.written[second] is host.written[first] is link
     told = host.upstream.revoke(host.now, first)
-    assert [type(action).__name__ for action in told] == ["Abort", "End", "End"]
+    assert [type(action).__name__ for action in told] == ["AbortConnection", "EndAttempt", "EndAttempt"]
     host.do(told)
     assert host.status(first, second) == [AttemptStatus.CANCELLED, AttemptStatus.CANCELLED]
     assert link in host.leaving
--- a/tests/outcomes/test_refused_dials.py
+++ b/tests/outcomes/test_refused_dials.py
@@ -32,7 +32,7 @@
     bench.take("0")
     first = await peer.next()
     pool = bench.host.pools["s"]
-    refused = pool._loop = Refused()  # type: ignore[assignment]
+    refused = pool.connector._loop = Refused()  # type: ignore[assignment]
     bench.take("1", passage=client)  # how long a reply takes is not known yet: it dials
     bench.take("2")  # no more than two connections: behind the first
     second = await peer.next()
@@ -40,8 +40,10 @@
     assert (await script.outcome()).request_id == "0"
     client.gone = True
     refused.refuse.set()
-    await until(lambda: not pool._dialling)
+    await until(lambda: not pool.connector.tasks)
     second.reply(b"VA 1 O2 h1\r\nv\r\n")
     bench.take("3")
     assert (await peer.next()).flag == b"O3"
-    assert client.cuts == 1 and not [entry for entry in bench.host.attempts if entry.attempt.request == "1"]
+    assert client.cuts == 1 and not [
+        entry for entry in bench.host.attempts if entry.attempt.request_id == "1"
+    ]
--- a/tests/outcomes/test_surplus.py
+++ b/tests/outcomes/test_surplus.py
@@ -8,6 +8,7 @@
 
 import pytest
 from ironrail.connections.upstream import pool_manager
+from ironrail.connections.upstream.connection import ReplyState
 from ironrail.net.dispatch import dispatcher
 from ironrail.net.upstream.cache_connection import CacheConnection
 from ironrail.net.upstream.origin_connection import OriginConnection
@@ -69,7 +70,7 @@
 @pytest.mark.parametrize("half", [b"VA 9 O1 h1\r\nhalf", b"VA 9 O1", b"x" * 100])
 async def test_a_reply_that_stops_midway_is_given_up(half: bytes, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(dispatcher, "IDLE_CHECK_INTERVAL_SECONDS", 0.01)
-    monkeypatch.setattr(pool_manager, "HALF_READ", 0.05)
+    monkeypatch.setattr(pool_manager, "PARTIAL_REPLY_TIMEOUT_SECONDS", 0.05)
     peer, script = await Peer().start(), Script()
     bench = Bench(script, peer.port, most=1)
     bench.take("1")
@@ -91,7 +92,7 @@
     first = await peer.next()
     first.reply(b"VA 9 O1 h1\r\nhalf")
     connection = next(iter(bench.host.pools["s"]._connections.values()))
-    while not connection.link.half:
+    while connection.upstream.reply_state is not ReplyState.PARTIAL:
         await asyncio.sleep(0)
     bench.take("2")
     second = await peer.next()
--- a/tests/outcomes/test_too_late.py
+++ b/tests/outcomes/test_too_late.py
@@ -47,7 +47,7 @@
     bench.take("1", b"v")
     first = await peer.next()
     bench.take("2", b"v")
-    read = bench.host.pools["s"].read
+    read = bench.host.pools["s"].on_read
     ended = asyncio.Event()
 
     def late(*what: object) -> None:
@@ -55,7 +55,7 @@
         read(*what)  # type: ignore[arg-type]
         ended.set()
 
-    bench.host.pools["s"].read = late  # type: ignore[assignment]
+    bench.host.pools["s"].on_read = late  # type: ignore[assignment]
     first.reply(b"HD O1 cr\r\n")
     await ended.wait()
     ends = [e for e in told(script, "2") if isinstance(e, AttemptEnded)]
--- a/tests/rehearsal/fleet/test_days.py
+++ b/tests/rehearsal/fleet/test_days.py
@@ -55,10 +55,10 @@
 def test_a_router_that_takes_any_reply_for_its_own_fails_where_caches_answer_twice(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    def trusting(self: CacheConnection, request_id: bytes | None, before: int) -> None:
-        if len(self.attempts) <= before:
+    def trusting(self: CacheConnection, request_id: bytes | None, position: int) -> None:
+        if len(self.in_flight) <= position:
             raise FramingError("a reply to nothing")
 
-    monkeypatch.setattr(CacheConnection, "_check", trusting)
+    monkeypatch.setattr(CacheConnection, "_check_id", trusting)
     # a second answer has to meet a further command on its connection, which one such day in four brings about
     assert any("rule own-value" in failed(world("join", seed)) for seed in (3, 1, 2, 4))
--- a/tests/rehearsal/test_pipelines.py
+++ b/tests/rehearsal/test_pipelines.py
@@ -7,7 +7,7 @@
 
 import pytest
 from click.testing import CliRunner
-from ironrail.connections.upstream.socket_budget import places_each
+from ironrail.connections.upstream.socket_budget import connections_per_router
 from ironrail.operator_file import Connections, Operator
 from ironrail.operator_reader import read_operator
 from ironrail.rehearsal.account.record import Ended, Record
@@ -57,7 +57,7 @@
     report = json.loads(told.read_bytes())
     assert (report["format"], report["version"]) == ("ironrail-pipelines", 1)
     assert [line["depth"] for line in report["lines"]] == ["1", "as it is"]
-    assert [line["allowed"] for line in report["lines"]] == [16, places_each(90, 1)]
+    assert [line["allowed"] for line in report["lines"]] == [16, connections_per_router(90, 1)]
     for line in report["lines"]:
         assert line["attempts"] > 0 and line["broken"] == 0
         assert set(line["latencies"]) == {"0.5", "0.9", "0.99", "0.999"}
--- a/tests/rehearsal/virtual/test_cuts.py
+++ b/tests/rehearsal/virtual/test_cuts.py
@@ -81,6 +81,6 @@
     """One that takes a dial whose time is up for a connection that will still come."""
     from ironrail.connections.upstream.pool_manager import UpstreamPoolManager  # noqa: PLC0415
 
-    monkeypatch.setattr(UpstreamPoolManager, "down", lambda self, now, link: [])
+    monkeypatch.setattr(UpstreamPoolManager, "on_connect_failed", lambda self, now, link: [])
     found = look_at(cut("Pool._open", 1, CutKind.TIME_UP), 1)[0].findings
     assert {f.kind for f in found} & {"connections", "attempts", "held"}
--- a/tests/test_halls.py
+++ b/tests/test_halls.py
@@ -9,6 +9,7 @@
 
 import orjson
 import pytest
+from ironrail.connections.upstream.pool_settings import PoolSettings
 from ironrail.net.peers.node_identity import NodeIdentity
 from ironrail.net.peers.transport import Peering, Tier
 from ironrail.net.peers.zone_latency import HallsMap
@@ -96,7 +97,7 @@
     """One read there, given up after so many seconds."""
     loop = asyncio.get_running_loop()
     pool = ConnectionPool(
-        "s", (LOCAL, port), CacheConnection, most=1, streams=1, connect_timeout=0.1, idle=9.0, watch=noted
+        "s", (LOCAL, port), CacheConnection, PoolSettings(1, 1, 9.0), connect_timeout=0.1, link_observer=noted
     )
     ended: asyncio.Future[AttemptStatus] = loop.create_future()
     info = b"c=read,t=x,d=900"
--- a/tests/test_long_values.py
+++ b/tests/test_long_values.py
@@ -8,6 +8,7 @@
 import pytest
 from ironrail.connections.downstream.memory_budget import MemoryBudget
 from ironrail.connections.upstream import pool_manager
+from ironrail.connections.upstream.connection import ReplyState
 from ironrail.net.dispatch.value_streamer import STREAM_BUFFER_BYTES
 from ironrail.net.protocol import meta_codec
 
@@ -108,9 +109,9 @@
     got.reply(b"VA %d O1 h1\r\n" % len(huge) + huge + b"\r\n")
     host = world.node._host
     await until(lambda: host.requests.by_id and next(iter(host.requests.by_id.values())).streamed_attempt)
-    link = next(iter(host.attempts)).attempt.link
+    link = next(iter(host.attempts)).attempt.connection
     assert link is not None
-    await until(lambda: link.full)
+    await until(lambda: link.reply_state is ReplyState.PAUSED)
     other = await world.client()
     other.get("2")
     (await world.cache.next()).reply_value(b"v")
@@ -157,7 +158,7 @@
 
 @scenario
 async def test_a_reply_in_slow_pieces_is_no_broken_one(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(pool_manager, "HALF_READ", 1.0)
+    monkeypatch.setattr(pool_manager, "PARTIAL_REPLY_TIMEOUT_SECONDS", 1.0)
     world = await World().start()
     client, got = await asked(world)
     for byte in b"VA 6 O1\r\nvalues\r\n":
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -90,10 +90,10 @@
 @scenario
 async def test_connections_and_their_depth_follow_the_file() -> None:
     node = Node(World().config(), Operator(Connections(per_cache=5, depth=3)))
-    cache = node._pools.make(Endpoint("c", kind="std"), ("127.0.0.1", 1)).upstream
-    origin = node._pools.make(Endpoint("o", kind="origin"), ("127.0.0.1", 1)).upstream
-    assert (cache.wanted, cache.streams) == (5, 3)
-    assert (origin.wanted, origin.streams) == (32, 1)  # which bears one request at a time
+    cache = node._pools.make(Endpoint("c", kind="std"), ("127.0.0.1", 1)).manager.state
+    origin = node._pools.make(Endpoint("o", kind="origin"), ("127.0.0.1", 1)).manager.state
+    assert (cache.wanted_connections, cache.max_streams) == (5, 3)
+    assert (origin.wanted_connections, origin.max_streams) == (32, 1)  # which bears one request at a time
 
 
 @scenario
@@ -101,4 +101,9 @@
     settings = World().config().settings
     for routers, each in ((3, 12), (4, 9)):
         config = replace(World().config(), settings=replace(settings, router_count=routers))
-        assert Node(config)._pools.make(Endpoint("c", kind="std"), ("127.0.0.1", 1)).upstream.wanted == each
+        assert (
+            Node(config)
+            ._pools.make(Endpoint("c", kind="std"), ("127.0.0.1", 1))
+            .manager.state.wanted_connections
+            == each
+        )
--- a/tests/test_told_of_changes.py
+++ b/tests/test_told_of_changes.py
@@ -152,7 +152,7 @@
     world = await World(connect_timeout=5.0).start()
     other, client = await Peer().start(), await world.client()
     pool = world.node._host.pools["c"]
-    gate = pool._loop = Gate(pool._loop)  # type: ignore[assignment]
+    gate = pool.connector._loop = Gate(pool.connector._loop)  # type: ignore[assignment]
     for name in "12":
         client.get(name, key=f"k{name}")
     await until(lambda: gate.waits)
