--- a/tests/connections/test_sharing.py
+++ b/tests/connections/upstream/test_socket_budget.py
@@ -17,7 +17,7 @@
 
 
 @pytest.mark.parametrize(("places", "routers", "each"), [(90, 3, 12), (90, 4, 9), (90, 1, 16), (90, 100, 2)])
-def test_a_cache_s_places_are_shared_by_all_routers(places: int, routers: int, each: int) -> None:
+def test_a_cache_s_capacity_is_shared_by_all_routers(places: int, routers: int, each: int) -> None:
     assert connections_per_router(places, routers) == each
 
 
@@ -25,7 +25,7 @@
     ("total", "caches", "each", "origin"),
     [(120, 9, 9, 32), (120, 14, 6, 32), (77, 9, 5, 32), (77, 14, 3, 32), (333, 14, 12, 32)],
 )
-def test_the_origin_keeps_its_places_and_caches_share_the_rest(
+def test_the_origin_keeps_its_connections_and_caches_share_the_rest(
     total: int, caches: int, each: int, origin: int
 ) -> None:
     *shares, last = share_sockets(total, [CACHE] * caches + [ORIGIN])
@@ -39,7 +39,7 @@
         st.tuples(st.integers(1, 40), st.integers(0, 40)).map(lambda p: SocketDemand(p[0], p[0] + p[1]))
     ),
 )
-def test_shares_keep_the_total_and_every_pool_has_one(total: int, demands: list[SocketDemand]) -> None:
+def test_shares_keep_the_total_and_each_pool_has_one(total: int, demands: list[SocketDemand]) -> None:
     shares = share_sockets(total, demands)
     assert all(1 <= share <= demand.wanted for share, demand in zip(shares, demands, strict=True))
     assert sum(shares) <= total + len(shares)
--- a/tests/outcomes/bench.py
+++ b/tests/net/dispatch/harness.py
@@ -1,4 +1,4 @@
-"""A host with one server that a test plays, and a module that decides nothing."""
+"""A dispatcher with one server that a test plays, and a scripted policy."""
 
 from __future__ import annotations
 
@@ -21,18 +21,18 @@
 from tests.peers import LOCAL, SETTINGS, Message, Peer
 
 
-class Script(Router):
-    """Takes no decisions of its own: sends each request once and notes what it is told."""
+class ScriptedPolicy(Router):
+    """Sends each request once, and records the events it receives."""
 
-    after: Callable[[], None] | None = None  # done once, at the first outcome
+    after: Callable[[], None] | None = None  # called once, at the first outcome
 
     def __init__(self, *more: Action) -> None:
         super().__init__(SETTINGS, 1, 0.0)
-        self.more = list(more)  # answers to what comes after the first request
-        self.told: asyncio.Queue[Event] = asyncio.Queue()
+        self.more = list(more)  # the actions at each later outcome
+        self.received: asyncio.Queue[Event] = asyncio.Queue()
 
     def handle(self, now: float, event: Event) -> list[Action]:
-        self.told.put_nowait(event)
+        self.received.put_nowait(event)
         if isinstance(event, RequestReceived):
             return [SendAttempt(event.request_id, "s")]
         if isinstance(event, AttemptEnded) and self.after is not None:
@@ -43,17 +43,17 @@
         return []
 
     async def outcome(self) -> AttemptEnded:
-        while not isinstance(event := await self.told.get(), AttemptEnded):
+        while not isinstance(event := await self.received.get(), AttemptEnded):
             pass
         return event
 
 
-class Bench:
-    """A host with one server, whose client keeps all answers it gets."""
+class DispatchHarness:
+    """A dispatcher with one server, whose client records all responses."""
 
     def __init__(
         self,
-        script: Router,
+        policy: Router,
         port: int,
         kind: Callable[[ConnectionPool, UpstreamConnection], Connection] = CacheConnection,
         *,
@@ -68,7 +68,7 @@
             )
 
         self.answers: dict[str, list[bytes]] = {}
-        self.host = RequestDispatcher(script, make, lambda: None, most)
+        self.host = RequestDispatcher(policy, make, lambda: None, most)
         self.host.update_endpoints(
             EndpointListUpdate(EndpointListKind.FULL, (Endpoint("s"),)), {"s": (LOCAL, port)}
         )
@@ -78,27 +78,27 @@
         name: str,
         value: bytes | None = None,
         wait: int = 5000,
-        passage: ResponseStream | None = None,
+        stream: ResponseStream | None = None,
         request_class: str = "once",
     ) -> None:
         info = f"c={request_class},t=x,d={wait}".encode()
         command = Command(b"k", name.encode(), info, read_fields(info), value)
         answers = self.answers[name] = []
-        self.host.accept(command, answers.append, passage)
+        self.host.accept(command, answers.append, stream)
 
 
-def told(script: Script, name: str) -> list[Event]:
-    """What the module has been told of one request, after its coming."""
-    events = [script.told.get_nowait() for _ in range(script.told.qsize())]
+def events_of(policy: ScriptedPolicy, name: str) -> list[Event]:
+    """Return the events that the policy received of one request, without its arrival."""
+    events = [policy.received.get_nowait() for _ in range(policy.received.qsize())]
     return [e for e in events if getattr(e, "request_id", "") == name and not isinstance(e, RequestReceived)]
 
 
-async def quick_replies(bench: Bench, peer: Peer, script: Script) -> None:
-    """Replies come at once, so that waiting for one costs less than one more connection."""
+async def quick_replies(harness: DispatchHarness, peer: Peer, policy: ScriptedPolicy) -> None:
+    """Reply at once, so that queueing costs less than one more connection."""
     for name in ("q1", "q2"):  # the first one on a connection has its handshake to wait for
-        bench.take(name)
+        harness.take(name)
         (await peer.next()).reply(b"VA 1 O%s h1\r\nv\r\n" % name.encode())
-        await script.outcome()
+        await policy.outcome()
 
 
 def reply(data: bytes) -> Callable[[Message], Any]:
@@ -117,8 +117,8 @@
 GOOD_HTTP = b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nv"
 
 
-class Brief(Script):
-    """Gives an attempt so many seconds."""
+class Brief(ScriptedPolicy):
+    """Gives each attempt a timeout in seconds."""
 
     time = 0.2
 
--- a/tests/outcomes/test_nobody_waits.py
+++ b/tests/net/dispatch/test_disconnected_clients.py
@@ -1,4 +1,4 @@
-"""Attempts of requests that are over: what is unsent never is sent."""
+"""Attempts of requests that have ended: what is unsent is never sent."""
 
 from __future__ import annotations
 
@@ -16,13 +16,13 @@
 from ironrail.policy.actions import Action, FailRequest, SendAttempt
 from ironrail.policy.events import AttemptEnded, AttemptStatus, ClientDisconnected, Event
 
-from tests.outcomes.bench import Bench, Script, told
+from tests.net.dispatch.harness import DispatchHarness, ScriptedPolicy, events_of
 from tests.peers import LOCAL, Peer, World, scenario, until
 
 
 @dataclass
 class Client:
-    """The passage of a client that nobody is told of."""
+    """The stream of a client whose disconnect is not reported."""
 
     reader: None = None
     arrived_at: float | None = None
@@ -46,8 +46,8 @@
         self.cuts += 1
 
 
-class Answering(Script):
-    """Answers the second request as the third one comes, as another copy might, and cancels nothing."""
+class Answering(ScriptedPolicy):
+    """Rejects the second request when the third one arrives, and cancels nothing."""
 
     def handle(self, now: float, event: Event) -> list[Action]:
         actions = super().handle(now, event)
@@ -56,87 +56,87 @@
 
 @pytest.mark.parametrize("how", ["left", "answered"])
 @scenario
-async def test_what_waits_for_a_connection_when_its_request_ends_is_taken_back(how: str) -> None:
-    peer, script = await Peer().start(), Answering()
-    bench = Bench(script, peer.port, most=1)
-    bench.take("1", b"v")
+async def test_an_attempt_that_waits_for_a_connection_is_withdrawn_when_its_request_ends(how: str) -> None:
+    peer, policy = await Peer().start(), Answering()
+    harness = DispatchHarness(policy, peer.port, most=1)
+    harness.take("1", b"v")
     first = await peer.next()
-    bench.take("2", b"v")  # a write: it waits for the connection
+    harness.take("2", b"v")  # a write: it waits for the connection
     if how == "left":
-        bench.host.on_client_disconnected("2")
-    bench.take("3", b"v")
+        harness.host.on_client_disconnected("2")
+    harness.take("3", b"v")
     first.reply(b"HD O1 cr\r\n")
     assert (await peer.next()).flag == b"O3"
-    ends = [e for e in told(script, "2") if isinstance(e, AttemptEnded)]
+    ends = [e for e in events_of(policy, "2") if isinstance(e, AttemptEnded)]
     assert [(e.status, e.request_ended) for e in ends] == [(AttemptStatus.NOT_SENT, True)]
-    assert not [entry for entry in bench.host.attempts if entry.attempt.request_id == "2"]
+    assert not [entry for entry in harness.host.attempts if entry.attempt.request_id == "2"]
 
 
 @scenario
-async def test_what_waits_for_a_dial_when_its_client_leaves_is_not_sent_on_it() -> None:
-    peer, script = await Peer().start(), Script()
-    bench = Bench(script, peer.port)
-    bench.take("1")
-    bench.host.on_client_disconnected("1")
+async def test_an_attempt_that_waits_for_a_connect_is_not_sent_after_its_client_disconnected() -> None:
+    peer, policy = await Peer().start(), ScriptedPolicy()
+    harness = DispatchHarness(policy, peer.port)
+    harness.take("1")
+    harness.host.on_client_disconnected("1")
     await until(lambda: peer.opened)
-    bench.take("2")
+    harness.take("2")
     assert (await peer.next()).flag == b"O2"
     assert peer.opened == 1  # the connection that came up late is used, and counted once
-    assert len(bench.host.pools["s"].manager.state) == 1
+    assert len(harness.host.pools["s"].manager.state) == 1
 
 
 @scenario
-async def test_a_client_that_left_untold_has_nothing_begun_by_a_connection_that_falls_free() -> None:
-    peer, script, client = await Peer().start(), Script(), Client()
+async def test_a_client_that_disconnected_unnoticed_has_nothing_sent_on_a_released_connection() -> None:
+    peer, policy, client = await Peer().start(), ScriptedPolicy(), Client()
     ends: list[Event] = []
-    bench = Bench(script, peer.port, most=1)
-    bench.take("1", b"v")
+    harness = DispatchHarness(policy, peer.port, most=1)
+    harness.take("1", b"v")
     first = await peer.next()
-    bench.take("2", b"v", passage=client)
+    harness.take("2", b"v", stream=client)
     client.gone = True
     first.reply(b"HD O1 cr\r\n")
-    while getattr(end := await script.told.get(), "request_id", "") != "1" or not isinstance(
+    while getattr(end := await policy.received.get(), "request_id", "") != "1" or not isinstance(
         end, AttemptEnded
     ):
         ends.append(end)
     assert [type(e) for e in ends].count(ClientDisconnected) == 1
     assert [e.status for e in ends if isinstance(e, AttemptEnded)] == [AttemptStatus.NOT_SENT]
-    bench.take("3", b"v")
+    harness.take("3", b"v")
     assert (await peer.next()).flag == b"O3"
-    bench.host.on_client_disconnected("2")  # as its connection ends
-    assert client.cuts == 1 and not told(script, "2")
+    harness.host.on_client_disconnected("2")  # as its connection ends
+    assert client.cuts == 1 and not events_of(policy, "2")
 
 
 @scenario
-async def test_a_client_that_left_untold_has_nothing_begun_by_a_decision() -> None:
-    peer, script, client = await Peer().start(), Script(), Client(gone=True)
-    bench = Bench(script, peer.port)
-    bench.take("1", passage=client)
-    events = told(script, "1")
+async def test_a_client_that_disconnected_unnoticed_has_nothing_sent_by_the_policy() -> None:
+    peer, policy, client = await Peer().start(), ScriptedPolicy(), Client(gone=True)
+    harness = DispatchHarness(policy, peer.port)
+    harness.take("1", stream=client)
+    events = events_of(policy, "1")
     assert {type(e) for e in events} == {ClientDisconnected, AttemptEnded}
-    bench.take("2")
+    harness.take("2")
     assert (await peer.next()).flag == b"O2"
-    assert client.cuts == 1 and bench.answers["1"] == []
+    assert client.cuts == 1 and harness.answers["1"] == []
 
 
 @scenario
-async def test_a_further_attempt_asks_whether_the_end_of_its_client_is_there_unread() -> None:
-    """A busy loop reads a reply before the close that came first."""
+async def test_a_retry_checks_for_an_unread_disconnect_of_its_client() -> None:
+    """A busy event loop reads a reply before the close that arrived earlier."""
     client = Client(just_read=True)
-    peer, script = await Peer().start(), Script(SendAttempt("1", "s", attempt_number=1))
-    bench = Bench(script, peer.port)
-    bench.take("1", passage=client)
+    peer, policy = await Peer().start(), ScriptedPolicy(SendAttempt("1", "s", attempt_number=1))
+    harness = DispatchHarness(policy, peer.port)
+    harness.take("1", stream=client)
     got = await peer.next()
     client.gone = True
     got.reply(b"EN O1\r\n")
     await until(lambda: client.cuts)
-    assert not bench.host.requests.by_id and not bench.host.attempts
-    bench.take("2")
+    assert not harness.host.requests.by_id and not harness.host.attempts
+    harness.take("2")
     assert (await peer.next()).flag == b"O2" and peer.messages.empty()
 
 
 @scenario
-async def test_a_client_that_ends_while_nothing_is_read_from_it_has_no_more_sent_on() -> None:
+async def test_a_client_that_disconnects_while_it_is_not_read_has_no_more_forwarded() -> None:
     world = await World(cancellation_allowed=False).start()
     client = await world.client()
     many = session_manager.MOST_PIPELINED + 8
@@ -161,29 +161,29 @@
 
 
 class Padded(CacheConnection):
-    """Writes more than fits into the system's buffers."""
+    """Writes more than fits into the kernel's buffers."""
 
     def encode(self, attempt: Attempt) -> list[bytes]:
         return [*super().encode(attempt), b"x" * 8 * 1024**2]
 
 
 @scenario
-async def test_what_is_half_written_when_its_client_leaves_never_becomes_whole() -> None:
+async def test_an_attempt_written_in_part_is_not_completed_after_its_client_disconnected() -> None:
     with socket.socket() as listener:
         listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
         listener.bind((LOCAL, 0))
         listener.listen()
         listener.setblocking(False)
-        script = Script()
-        bench = Bench(script, listener.getsockname()[1], Padded, most=1)
+        policy = ScriptedPolicy()
+        harness = DispatchHarness(policy, listener.getsockname()[1], Padded, most=1)
         loop = asyncio.get_running_loop()
-        bench.take("1", b"v")
+        harness.take("1", b"v")
         connection, _ = await loop.sock_accept(listener)
         with connection:
             connection.setblocking(False)
             got = len(await loop.sock_recv(connection, 1024))
-            bench.host.on_client_disconnected("1")
-            outcome = await script.outcome()
+            harness.host.on_client_disconnected("1")
+            outcome = await policy.outcome()
             assert (outcome.status, outcome.request_ended) == (AttemptStatus.NOT_SENT, True)
             try:
                 while data := await loop.sock_recv(connection, 1024**2):
@@ -191,12 +191,12 @@
             except ConnectionError:
                 pass
             assert got < 8 * 1024**2
-        assert not len(bench.host.pools["s"].manager.state)
+        assert not len(harness.host.pools["s"].manager.state)
 
 
 @scenario
-async def test_nothing_else_is_sent_once_a_long_value_has_begun() -> None:
-    """The further copy that waits for a connection is taken back, though it may not be cancelled."""
+async def test_no_other_attempt_is_sent_once_a_long_value_is_streamed() -> None:
+    """A hedged attempt that waits for a connection is withdrawn, though it may not be cancelled."""
     world = await World(cancellation_allowed=False).start()
     client = await world.client()
     client.get("1")
--- a/tests/outcomes/test_replies.py
+++ b/tests/net/dispatch/test_replies.py
@@ -1,4 +1,4 @@
-"""What caches and the origin say, and what the decision module is told of it."""
+"""Replies of caches and the origin, and the outcomes that the policy receives."""
 
 from __future__ import annotations
 
@@ -10,7 +10,14 @@
 from ironrail.net.upstream.origin_connection import OriginConnection
 from ironrail.policy.events import AttemptStatus
 
-from tests.outcomes.bench import GOOD_HTTP, Bench, Brief, Script, reply, reply_then_end
+from tests.net.dispatch.harness import (
+    GOOD_HTTP,
+    Brief,
+    DispatchHarness,
+    ScriptedPolicy,
+    reply,
+    reply_then_end,
+)
 from tests.peers import Message, Peer, read_http, scenario
 
 CACHE = [
@@ -38,49 +45,49 @@
 
 @scenario
 @pytest.mark.parametrize(("act", "status"), CACHE)
-async def test_what_a_cache_says(act: Callable[[Message], Any], status: AttemptStatus) -> None:
-    peer, script = await Peer().start(), Script()
-    bench = Bench(script, peer.port)
-    bench.take("1")
+async def test_the_outcome_of_a_cache_s_reply(act: Callable[[Message], Any], status: AttemptStatus) -> None:
+    peer, policy = await Peer().start(), ScriptedPolicy()
+    harness = DispatchHarness(policy, peer.port)
+    harness.take("1")
     act(await peer.next())
-    outcome = await script.outcome()
+    outcome = await policy.outcome()
     assert (outcome.status, outcome.request_ended) == (status, status is AttemptStatus.OK)
     served = b"VA 1 O1\r\nv\r\n"
-    assert bench.answers["1"] == [served if status is AttemptStatus.OK else b"SERVER_ERROR failed\r\n"]
+    assert harness.answers["1"] == [served if status is AttemptStatus.OK else b"SERVER_ERROR failed\r\n"]
 
 
 @scenario
-async def test_a_write_without_a_receipt_is_no_answer() -> None:
-    peer, script = await Peer().start(), Script()
-    bench = Bench(script, peer.port)
-    bench.take("1", b"body")
+async def test_a_write_reply_without_a_receipt_is_an_error() -> None:
+    peer, policy = await Peer().start(), ScriptedPolicy()
+    harness = DispatchHarness(policy, peer.port)
+    harness.take("1", b"body")
     (await peer.next()).reply(b"HD O1\r\n")
-    assert (await script.outcome()).status is AttemptStatus.ERROR
+    assert (await policy.outcome()).status is AttemptStatus.ERROR
 
 
 @scenario
-async def test_what_outlives_its_request_has_its_outcome_too() -> None:
-    peer, script = await Peer().start(), Script()
-    bench = Bench(script, peer.port)
-    bench.take("1", wait=60)
+async def test_an_attempt_that_outlives_its_request_has_an_outcome() -> None:
+    peer, policy = await Peer().start(), ScriptedPolicy()
+    harness = DispatchHarness(policy, peer.port)
+    harness.take("1", wait=60)
     await peer.next()
-    bench.host.on_client_disconnected("1")
-    bench.take("1")
-    assert bench.answers["1"] == [b"CLIENT_ERROR id in use\r\n"]  # its attempt is still out
-    outcome = await script.outcome()
+    harness.host.on_client_disconnected("1")
+    harness.take("1")
+    assert harness.answers["1"] == [b"CLIENT_ERROR id in use\r\n"]  # its attempt is still out
+    outcome = await policy.outcome()
     assert (outcome.status, outcome.request_ended) == (AttemptStatus.TIMEOUT, True)
 
 
 @scenario
-async def test_a_receipt_of_a_cache() -> None:
-    peer, script = await Peer().start(), Script()
-    bench = Bench(script, peer.port)
-    bench.take("1", b"body")
+async def test_a_cache_s_receipt_is_forwarded() -> None:
+    peer, policy = await Peer().start(), ScriptedPolicy()
+    harness = DispatchHarness(policy, peer.port)
+    harness.take("1", b"body")
     got = await peer.next()
     assert got.value == b"body"
     got.reply(b"HD O1 cr-7\r\n")
-    assert (await script.outcome()).status is AttemptStatus.OK
-    assert bench.answers["1"] == [b"HD O1 cr-7\r\n"]
+    assert (await policy.outcome()).status is AttemptStatus.OK
+    assert harness.answers["1"] == [b"HD O1 cr-7\r\n"]
 
 
 ORIGIN: list[tuple[bytes, list[bytes], bytes, AttemptStatus]] = [
@@ -100,19 +107,19 @@
 @scenario
 @pytest.mark.parametrize("write", [False, True])
 @pytest.mark.parametrize(("code", "headers", "body", "status"), ORIGIN)
-async def test_what_the_origin_says(
+async def test_the_outcome_of_the_origin_s_response(
     code: bytes, headers: list[bytes], body: bytes, status: AttemptStatus, write: bool
 ) -> None:
-    peer, script = await Peer(read_http).start(), Script()
-    bench = Bench(script, peer.port, OriginConnection)
-    bench.take("1", b"body" if write else None)
+    peer, policy = await Peer(read_http).start(), ScriptedPolicy()
+    harness = DispatchHarness(policy, peer.port, OriginConnection)
+    harness.take("1", b"body" if write else None)
     (await peer.next()).respond(body, int(code), *headers)
-    assert (await script.outcome()).status is status
+    assert (await policy.outcome()).status is status
     served = b"HD O1 cv\r\n" if write else b"VA 1 O1\r\nv\r\n"
-    assert bench.answers["1"] == [served if status is AttemptStatus.OK else b"SERVER_ERROR failed\r\n"]
-    bench.take("2")
+    assert harness.answers["1"] == [served if status is AttemptStatus.OK else b"SERVER_ERROR failed\r\n"]
+    harness.take("2")
     (await peer.next()).respond(b"w")
-    await script.outcome()
+    await policy.outcome()
     assert peer.opened == 1  # the connection is kept
 
 
@@ -138,52 +145,52 @@
         (reply(b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\na\r\nb"), AttemptStatus.ERROR),
     ],
 )
-async def test_a_broken_answer_of_the_origin(act: Callable[[Message], Any], status: AttemptStatus) -> None:
-    peer, script = await Peer(read_http).start(), Script()
-    bench = Bench(script, peer.port, OriginConnection)
-    bench.take("1", b"body")
+async def test_a_broken_response_of_the_origin(act: Callable[[Message], Any], status: AttemptStatus) -> None:
+    peer, policy = await Peer(read_http).start(), ScriptedPolicy()
+    harness = DispatchHarness(policy, peer.port, OriginConnection)
+    harness.take("1", b"body")
     act(await peer.next())
-    assert (await script.outcome()).status is status
-    assert bench.answers["1"] == [b"SERVER_ERROR failed\r\n"]
-    bench.take("2")
+    assert (await policy.outcome()).status is status
+    assert harness.answers["1"] == [b"SERVER_ERROR failed\r\n"]
+    harness.take("2")
     (await peer.next()).respond(b"v")  # on a new connection
-    assert (await script.outcome()).status is AttemptStatus.OK
+    assert (await policy.outcome()).status is AttemptStatus.OK
     assert peer.opened == 2
 
 
 @scenario
-async def test_interim_answers_ahead_are_legal() -> None:
-    peer, script = await Peer(read_http).start(), Script()
-    bench = Bench(script, peer.port, OriginConnection, most=1)
+async def test_interim_responses_are_ignored() -> None:
+    peer, policy = await Peer(read_http).start(), ScriptedPolicy()
+    harness = DispatchHarness(policy, peer.port, OriginConnection, most=1)
     for name in "12":
-        bench.take(name)
+        harness.take(name)
         interim = b"HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\nHTTP/1.1 102 Processing\r\n\r\n"
         (await peer.next()).reply(interim + GOOD_HTTP)
-        assert (await script.outcome()).status is AttemptStatus.OK
+        assert (await policy.outcome()).status is AttemptStatus.OK
     assert peer.opened == 1
 
 
 @scenario
-async def test_an_origin_that_closes_after_each_answer() -> None:
-    peer, script = await Peer(read_http).start(), Script()
-    bench = Bench(script, peer.port, OriginConnection)
+async def test_an_origin_that_closes_after_each_response() -> None:
+    peer, policy = await Peer(read_http).start(), ScriptedPolicy()
+    harness = DispatchHarness(policy, peer.port, OriginConnection)
     for name in "12":
-        bench.take(name)
+        harness.take(name)
         (await peer.next()).respond(b"v", 200, b"Connection: close")
-        assert (await script.outcome()).status is AttemptStatus.OK
+        assert (await policy.outcome()).status is AttemptStatus.OK
     assert peer.opened == 2
 
 
 @scenario
-async def test_a_slow_response_of_the_origin_is_waited_for() -> None:
-    peer, script = await Peer(read_http).start(), Brief()
-    script.time = 2.0
-    bench = Bench(script, peer.port, OriginConnection, most=2, streams=1)
-    bench.take("1")
+async def test_a_slow_response_of_the_origin_is_awaited() -> None:
+    peer, policy = await Peer(read_http).start(), Brief()
+    policy.time = 2.0
+    harness = DispatchHarness(policy, peer.port, OriginConnection, most=2, streams=1)
+    harness.take("1")
     first = await peer.next()
     await asyncio.sleep(1.0)  # half of its time, of which a cache is doubted after less
-    bench.take("2")
+    harness.take("2")
     (await peer.next()).respond(b"v")
-    assert (await script.outcome()).request_id == "2"
+    assert (await policy.outcome()).request_id == "2"
     first.respond(b"w")
-    assert (await script.outcome()).status is AttemptStatus.OK
+    assert (await policy.outcome()).status is AttemptStatus.OK
--- a/tests/outcomes/test_ends.py
+++ b/tests/net/dispatch/test_request_ends.py
@@ -1,4 +1,4 @@
-"""How attempts and requests end whatever the module does, and what a router does that stood still."""
+"""How attempts and requests end whatever the policy does, and after a stall of the process."""
 
 from __future__ import annotations
 
@@ -25,27 +25,27 @@
 from ironrail.policy.router import Router
 from ironrail.policy.settings import RequestClass
 
-from tests.outcomes.bench import Bench, Script
+from tests.net.dispatch.harness import DispatchHarness, ScriptedPolicy
 from tests.peers import LOCAL, SETTINGS, Peer, scenario, until
 
 
 @scenario
-async def test_no_reply_is_a_timeout_when_the_router_stops_waiting() -> None:
-    peer, script = await Peer().start(), Script()
-    bench = Bench(script, peer.port)
-    bench.take("1", wait=60)
+async def test_an_attempt_without_a_reply_times_out_at_the_deadline() -> None:
+    peer, policy = await Peer().start(), ScriptedPolicy()
+    harness = DispatchHarness(policy, peer.port)
+    harness.take("1", wait=60)
     got = await peer.next()
-    outcome = await script.outcome()
+    outcome = await policy.outcome()
     assert (outcome.status, outcome.request_ended) == (AttemptStatus.TIMEOUT, False)
-    assert bench.answers["1"] == [b"SERVER_ERROR failed\r\n"]
+    assert harness.answers["1"] == [b"SERVER_ERROR failed\r\n"]
     got.reply_value(b"late")
-    bench.take("2")
+    harness.take("2")
     (await peer.next()).reply_value(b"two")
-    assert (await script.outcome()).request_id == "2"
-    assert bench.answers["1"] == [b"SERVER_ERROR failed\r\n"]
+    assert (await policy.outcome()).request_id == "2"
+    assert harness.answers["1"] == [b"SERVER_ERROR failed\r\n"]
 
 
-class Timed(Script):
+class Timed(ScriptedPolicy):
     def handle(self, now: float, event: Event) -> list[Action]:
         actions = super().handle(now, event)
         return [
@@ -54,37 +54,37 @@
 
 
 @scenario
-async def test_an_attempt_has_a_time_of_its_own() -> None:
+async def test_an_attempt_has_its_own_timeout() -> None:
     peer = await Peer().start()
-    script = Timed(SendAttempt("1", "s"))
-    bench = Bench(script, peer.port)
-    bench.take("1", request_class="read")  # one that may be sent again
+    policy = Timed(SendAttempt("1", "s"))
+    harness = DispatchHarness(policy, peer.port)
+    harness.take("1", request_class="read")  # one that may be sent again
     first = await peer.next()
     assert 0 < int(first.head.rpartition(b"d=")[2]) <= 50
-    assert (await script.outcome()).attempt_number == 0
+    assert (await policy.outcome()).attempt_number == 0
     second = await peer.next()
     second.reply_value(b"v")
-    outcome = await script.outcome()
+    outcome = await policy.outcome()
     assert (outcome.attempt_number, outcome.status, outcome.request_ended) == (1, AttemptStatus.OK, True)
-    assert bench.answers["1"] == [b"VA 1 O1\r\nv\r\n"]
+    assert harness.answers["1"] == [b"VA 1 O1\r\nv\r\n"]
 
 
 @scenario
-async def test_what_is_done_for_an_answered_request_is_not_sent() -> None:
+async def test_an_attempt_for_a_completed_request_is_not_sent() -> None:
     peer = await Peer().start()
-    script = Script(
+    policy = ScriptedPolicy(
         RejectRequest("1", 0.0123), FailRequest("1"), SendAttempt("1", "s"), CancelAttempt("1", 0)
     )
-    bench = Bench(script, peer.port)
-    bench.take("1")
+    harness = DispatchHarness(policy, peer.port)
+    harness.take("1")
     (await peer.next()).reply(b"EN O1\r\n")
-    assert (await script.outcome()).status is AttemptStatus.MISS
-    assert (await script.outcome()).status is AttemptStatus.NOT_SENT
-    assert bench.answers["1"] == [b"SERVER_ERROR busy 13\r\n"]
+    assert (await policy.outcome()).status is AttemptStatus.MISS
+    assert (await policy.outcome()).status is AttemptStatus.NOT_SENT
+    assert harness.answers["1"] == [b"SERVER_ERROR busy 13\r\n"]
     assert peer.messages.empty()
 
 
-class Faulty(Script):
+class Faulty(ScriptedPolicy):
     def handle(self, now: float, event: Event) -> list[Action]:
         if isinstance(event, RequestReceived) and event.request_id == "bad":
             raise RuntimeError("a fault in the module")
@@ -92,36 +92,36 @@
 
 
 @scenario
-async def test_a_fault_in_the_module_loses_no_request(caplog: pytest.LogCaptureFixture) -> None:
-    peer, script = await Peer().start(), Faulty()
-    bench = Bench(script, peer.port)
-    bench.take("1")
-    bench.take("bad")
-    assert bench.answers["bad"] == [b"SERVER_ERROR failed\r\n"]
+async def test_an_exception_in_the_policy_loses_no_request(caplog: pytest.LogCaptureFixture) -> None:
+    peer, policy = await Peer().start(), Faulty()
+    harness = DispatchHarness(policy, peer.port)
+    harness.take("1")
+    harness.take("bad")
+    assert harness.answers["bad"] == [b"SERVER_ERROR failed\r\n"]
     assert "a fault in the module" in caplog.text
     (await peer.next()).reply_value(b"v")
-    await script.outcome()
-    assert bench.answers["1"] == [b"VA 1 O1\r\nv\r\n"]
+    await policy.outcome()
+    assert harness.answers["1"] == [b"VA 1 O1\r\nv\r\n"]
 
 
-class Silent(Script):
+class Silent(ScriptedPolicy):
     def handle(self, now: float, event: Event) -> list[Action]:
         super().handle(now, event)
         return []
 
 
 @scenario
-async def test_a_request_the_module_loses_sight_of_is_failed_at_its_deadline() -> None:
-    script = Silent()
-    bench = Bench(script, 9)
-    bench.take("1", wait=30)
-    while not isinstance(await script.told.get(), ClientDisconnected):
+async def test_a_request_dropped_by_the_policy_fails_at_its_deadline() -> None:
+    policy = Silent()
+    harness = DispatchHarness(policy, 9)
+    harness.take("1", wait=30)
+    while not isinstance(await policy.received.get(), ClientDisconnected):
         pass
-    assert bench.answers["1"] == [b"SERVER_ERROR failed\r\n"]
+    assert harness.answers["1"] == [b"SERVER_ERROR failed\r\n"]
 
 
-class Eager(Script):
-    """Sends a request once more though it was served."""
+class Eager(ScriptedPolicy):
+    """Sends a request again although it was served."""
 
     def handle(self, now: float, event: Event) -> list[Action]:
         actions = super().handle(now, event)
@@ -130,13 +130,13 @@
 
 
 @scenario
-async def test_a_send_for_what_has_its_answer_is_settled_by_its_own_number() -> None:
-    """It was told as attempt 0, so that the module counted attempt 1 as load for good."""
-    peer, script = await Peer().start(), Eager()
-    bench = Bench(script, peer.port)
-    bench.take("1")
+async def test_an_attempt_for_a_completed_request_ends_with_its_own_number() -> None:
+    """Ended as attempt 0 it would leave attempt 1 counted as load for good."""
+    peer, policy = await Peer().start(), Eager()
+    harness = DispatchHarness(policy, peer.port)
+    harness.take("1")
     (await peer.next()).reply(b"VA 1 O1 h1\r\nv\r\n")
-    outcomes = [await script.outcome() for _ in "12"]
+    outcomes = [await policy.outcome() for _ in "12"]
     assert [(o.attempt_number, o.status, o.request_ended) for o in outcomes] == [
         (0, AttemptStatus.OK, True),
         (1, AttemptStatus.NOT_SENT, True),
@@ -144,7 +144,9 @@
 
 
 @scenario
-async def test_a_router_that_stood_still_sends_nothing_before_the_list_and_refuses_what_can_t_wait() -> None:
+async def test_after_a_stall_nothing_is_sent_before_the_endpoint_list_and_expired_requests_are_rejected() -> (
+    None
+):
     asked: list[str] = []
     now = [time.monotonic()]
     system = RealSystem()
--- a/tests/outcomes/test_once_at_a_time.py
+++ b/tests/net/dispatch/test_revoked_attempts.py
@@ -1,4 +1,4 @@
-"""Where a request may be out once only, what is given up ends with its connection before the next is sent."""
+"""Where hedging is forbidden, a connection is aborted before the retry of its attempt is sent."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 from ironrail.net.system import REAL
 from ironrail.policy.events import AttemptStatus
 
-from tests.connections.upstream_host import Host
+from tests.connections.upstream.pool_host import PoolHost
 from tests.peers import KEYED, READ, SETTINGS, World, scenario
 
 QUICK = replace(READ, latency_objective=0.8)  # half of it without an answer, and the next attempt is due
 
 
 @scenario
-async def test_an_attempt_that_is_overdue_is_not_out_any_more_when_the_next_one_comes() -> None:
+async def test_an_overdue_attempt_is_not_in_flight_when_its_retry_is_sent() -> None:
     classes = SETTINGS.classes | {"read": QUICK, "keyed": replace(KEYED, latency_objective=8.0)}
     world = await World(classes=classes, hedging_allowed=False).start()
     client = await world.client()
@@ -30,16 +30,16 @@
     fetch.respond(b"v")
 
 
-def test_revoking_ends_the_connection_before_anything_is_told() -> None:
-    """What may follow an outcome at once is a further attempt of the same request."""
-    host = Host(most=1)
-    host.want()
-    link = host.up()
-    first, second = host.want(), host.want()
-    host.read(link, AttemptStatus.OK)
-    assert host.written[second] is host.written[first] is link
-    told = host.upstream.revoke(host.now, first)
-    assert [type(action).__name__ for action in told] == ["AbortConnection", "EndAttempt", "EndAttempt"]
-    host.do(told)
+def test_revoking_aborts_the_connection_before_any_outcome_is_reported() -> None:
+    """A retry of the same request may follow an outcome at once."""
+    host = PoolHost(most=1)
+    host.send()
+    connection = host.connect()
+    first, second = host.send(), host.send()
+    host.read(connection, AttemptStatus.OK)
+    assert host.written[second] is host.written[first] is connection
+    actions = host.manager.revoke(host.now, first)
+    assert [type(action).__name__ for action in actions] == ["AbortConnection", "EndAttempt", "EndAttempt"]
+    host.do(actions)
     assert host.status(first, second) == [AttemptStatus.CANCELLED, AttemptStatus.CANCELLED]
-    assert link in host.leaving
+    assert connection in host.closing
--- a/tests/outcomes/test_too_late.py
+++ b/tests/net/dispatch/test_time_to_send.py
@@ -1,4 +1,4 @@
-"""Attempts that may begin only for so long: further ones of a keyed request, within its window."""
+"""Attempts with a bounded time to send: retries of a request with an idempotency key."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 from ironrail.policy.actions import Action, SendAttempt
 from ironrail.policy.events import AttemptEnded, AttemptStatus, Event, RequestReceived
 
-from tests.outcomes.bench import Bench, Script, told
+from tests.net.dispatch.harness import DispatchHarness, ScriptedPolicy, events_of
 from tests.peers import Peer, scenario
 
 
-class Bound(Script):
-    """Has the second request begin soon or not at all."""
+class Bound(ScriptedPolicy):
+    """Bounds the time to send of the second request."""
 
     def handle(self, now: float, event: Event) -> list[Action]:
         actions = super().handle(now, event)
@@ -24,30 +24,30 @@
 
 
 @scenario
-async def test_what_may_not_begin_any_more_is_taken_back() -> None:
-    peer, script = await Peer().start(), Bound()
-    bench = Bench(script, peer.port, most=1)
-    bench.take("1", b"v")
+async def test_an_attempt_is_withdrawn_once_its_time_to_send_is_over() -> None:
+    peer, policy = await Peer().start(), Bound()
+    harness = DispatchHarness(policy, peer.port, most=1)
+    harness.take("1", b"v")
     first = await peer.next()
-    bench.take("2", b"v")
-    outcome = await script.outcome()
+    harness.take("2", b"v")
+    outcome = await policy.outcome()
     assert (outcome.request_id, outcome.status, outcome.request_ended) == ("2", AttemptStatus.NOT_SENT, False)
     first.reply(b"HD O1 cr\r\n")
-    bench.take("3", b"v")
+    harness.take("3", b"v")
     assert (await peer.next()).flag == b"O3"
 
 
 @scenario
-async def test_a_connection_that_falls_free_as_the_time_to_begin_is_over_is_not_used_for_it(
+async def test_a_connection_released_after_the_time_to_send_is_not_used(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The timer may be late, as the loop is: the clock is looked at."""
-    peer, script = await Peer().start(), Bound()
-    bench = Bench(script, peer.port, most=1)
-    bench.take("1", b"v")
+    """The timer may be late on a busy event loop, so the clock is checked."""
+    peer, policy = await Peer().start(), Bound()
+    harness = DispatchHarness(policy, peer.port, most=1)
+    harness.take("1", b"v")
     first = await peer.next()
-    bench.take("2", b"v")
-    read = bench.host.pools["s"].on_read
+    harness.take("2", b"v")
+    read = harness.host.pools["s"].on_read
     ended = asyncio.Event()
 
     def late(*what: object) -> None:
@@ -55,10 +55,10 @@
         read(*what)  # type: ignore[arg-type]
         ended.set()
 
-    bench.host.pools["s"].on_read = late  # type: ignore[assignment]
+    harness.host.pools["s"].on_read = late  # type: ignore[assignment]
     first.reply(b"HD O1 cr\r\n")
     await ended.wait()
-    ends = [e for e in told(script, "2") if isinstance(e, AttemptEnded)]
+    ends = [e for e in events_of(policy, "2") if isinstance(e, AttemptEnded)]
     assert [(e.status, e.request_ended) for e in ends] == [(AttemptStatus.NOT_SENT, False)]
-    bench.take("3", b"v")
+    harness.take("3", b"v")
     assert (await peer.next()).flag == b"O3"
