--- a/ironrail/connections/upstream/attempt_canceller.py
+++ b/ironrail/connections/upstream/attempt_canceller.py
@@ -4,6 +4,7 @@
 
 from ironrail.connections.upstream.attempt_writer import AttemptWriter, is_unsent
 from ironrail.connections.upstream.connection import Attempt, UpstreamConnection
+from ironrail.connections.upstream.connection_fault import ConnectionFault
 from ironrail.connections.upstream.connection_lifecycle import ConnectionLifecycle
 from ironrail.connections.upstream.pool_actions import AbortConnection, ActionQueue
 from ironrail.connections.upstream.pool_state import PoolState
@@ -35,11 +36,11 @@
         if connection is not None and is_unsent(attempt):
             # it never ran, and its remaining bytes would stay in memory
             self._writer.end(attempt, AttemptStatus.CONNECT_FAILED)
-            fault = "it does not take what it is sent"
+            fault = ConnectionFault.WRITE_STALLED
             self._lifecycle.abort_with_attempts(now, connection, fault)
         self._writer.end(attempt, status)
         if connection is not None and was_open and _is_streamed(connection, attempt):
-            fault = "its client has left a long value"
+            fault = ConnectionFault.STREAM_ABANDONED
             self._lifecycle.abort_with_attempts(now, connection, fault)
         if status is AttemptStatus.TIMEOUT and connection is not None:
             self._lifecycle.abort_if_silent(now, connection, attempt)
@@ -70,7 +71,7 @@
             self._state.waiting.remove(attempt)
         else:  # its remaining bytes would still be sent
             connection.in_flight.pop()  # the others have a fault, this one has its outcome
-            fault = "a command that is not wanted any more is half written"
+            fault = ConnectionFault.WRITE_WITHDRAWN
             self._lifecycle.abort_with_attempts(now, connection, fault)
 
     def _status_of_unserved(self) -> AttemptStatus:
--- a/ironrail/connections/upstream/connection_lifecycle.py
+++ b/ironrail/connections/upstream/connection_lifecycle.py
@@ -4,6 +4,7 @@
 
 from ironrail.connections.upstream.attempt_writer import AttemptWriter
 from ironrail.connections.upstream.connection import Attempt, ConnectionState, UpstreamConnection
+from ironrail.connections.upstream.connection_fault import ConnectionFault, Fault
 from ironrail.connections.upstream.connection_opener import ConnectionOpener
 from ironrail.connections.upstream.pool_actions import (
     AbortConnection,
@@ -66,15 +67,13 @@
         self.remove(now, connection)
         self._actions.add(CloseConnection(connection))
 
-    def abort(self, now: float, connection: UpstreamConnection, fault: object) -> None:
+    def abort(self, now: float, connection: UpstreamConnection, fault: Fault) -> None:
         """End a connection at once because of a fault, which is logged."""
         self._actions.add(LogConnectionFault(fault))
         self.remove(now, connection)
         self._actions.add(AbortConnection(connection))
 
-    def abort_with_attempts(
-        self, now: float, connection: UpstreamConnection, fault: object
-    ) -> None:
+    def abort_with_attempts(self, now: float, connection: UpstreamConnection, fault: Fault) -> None:
         """End a connection whose replies can't be matched any more, and its attempts."""
         connection.last_used_at = now
         connection.last_read_at = now
@@ -87,7 +86,7 @@
         is_silent = connection.last_read_at <= attempt.written_at
         is_open = connection.state is ConnectionState.OPEN
         if is_silent and is_open and not connection.is_streaming:
-            self.abort(now, connection, "it fell silent")
+            self.abort(now, connection, ConnectionFault.SILENT)
             self._writer.end_all(connection, AttemptStatus.CANCELLED, AttemptStatus.CANCELLED)
 
     def close_abandoned(self, now: float) -> None:
--- a/ironrail/connections/upstream/pool_actions.py
+++ b/ironrail/connections/upstream/pool_actions.py
@@ -5,6 +5,7 @@
 from dataclasses import dataclass
 
 from ironrail.connections.upstream.connection import Attempt, UpstreamConnection
+from ironrail.connections.upstream.connection_fault import Fault
 from ironrail.policy.events import AttemptStatus
 
 
@@ -75,7 +76,7 @@
 class LogConnectionFault:
     """Log why a connection is aborted. Emitted before its `AbortConnection`."""
 
-    fault: object
+    fault: Fault
 
 
 PoolAction = (
--- a/ironrail/connections/upstream/pool_manager.py
+++ b/ironrail/connections/upstream/pool_manager.py
@@ -12,6 +12,7 @@
 from ironrail.connections.upstream.attempt_canceller import AttemptCanceller
 from ironrail.connections.upstream.attempt_writer import AttemptWriter
 from ironrail.connections.upstream.connection import Attempt, ReplyState, UpstreamConnection
+from ironrail.connections.upstream.connection_fault import ConnectionFault, Fault
 from ironrail.connections.upstream.connection_lifecycle import ConnectionLifecycle
 from ironrail.connections.upstream.connection_opener import ConnectionOpener
 from ironrail.connections.upstream.idle_timeout import IdleTimeout
@@ -139,7 +140,7 @@
         connection: UpstreamConnection,
         replies: Sequence[Reply],
         is_partial: bool,
-        fault: object = None,
+        fault: Fault | None = None,
     ) -> list[PoolAction]:
         """Handle one read: complete replies, then a part of another or a fault."""
         self._replies.on_read(now, connection, replies, is_partial, fault)
@@ -179,7 +180,7 @@
     def expire(self, now: float) -> list[PoolAction]:
         """Close what has been idle for long, and abort where a reply has stopped midway."""
         for connection in [c for c in self.state.connected if _is_reply_overdue(now, c)]:
-            self._lifecycle.abort_with_attempts(now, connection, "a reply that does not end")
+            self._lifecycle.abort_with_attempts(now, connection, ConnectionFault.REPLY_STALLED)
         self.idle_timeout.recover()
         idle_since = now - self.idle_timeout.seconds
         for connection in list(self.state.connected):
--- a/ironrail/connections/upstream/reply_handler.py
+++ b/ironrail/connections/upstream/reply_handler.py
@@ -6,6 +6,7 @@
 
 from ironrail.connections.upstream.attempt_writer import AttemptWriter
 from ironrail.connections.upstream.connection import Attempt, ReplyState, UpstreamConnection
+from ironrail.connections.upstream.connection_fault import ConnectionFault, Fault
 from ironrail.connections.upstream.connection_lifecycle import ConnectionLifecycle
 from ironrail.connections.upstream.connection_opener import ConnectionOpener
 from ironrail.connections.upstream.pool_actions import ActionQueue, StreamResponse
@@ -41,7 +42,7 @@
         connection: UpstreamConnection,
         replies: Sequence[Reply],
         is_partial: bool,
-        fault: object,
+        fault: Fault | None,
     ) -> None:
         """Handle one read: complete replies, then a part of another or a fault."""
         if replies:
@@ -53,7 +54,7 @@
         connection.last_read_at = now
         connection.idle_before_write = 0.0
         if fault is None and is_partial and not connection.in_flight:
-            fault = "more than belongs to the reply"
+            fault = ConnectionFault.SURPLUS_BYTES
         if fault is None:
             self._continue_use(now, connection, is_partial)
         else:
@@ -70,7 +71,7 @@
             connection.reply_state = ReplyState.STREAMING
             self._actions.add(StreamResponse(connection.in_flight[0], length))
         else:  # reading the rest would cost more than a new connection
-            fault = "a long value that nobody waits for"
+            fault = ConnectionFault.STREAM_UNWANTED
             self._lifecycle.abort_with_attempts(now, connection, fault)
 
     def on_client_paused(self, now: float, connection: UpstreamConnection, is_paused: bool) -> None:
@@ -115,7 +116,7 @@
             self._lifecycle.release(now, connection)
 
     def _finish_read(
-        self, connection: UpstreamConnection, ended: Sequence[Attempt], fault: object
+        self, connection: UpstreamConnection, ended: Sequence[Attempt], fault: Fault | None
     ) -> None:
         if fault is not None:
             # the oldest has a reply that can't be read; those behind it will have none
--- a/ironrail/net/upstream/connection.py
+++ b/ironrail/net/upstream/connection.py
@@ -10,6 +10,7 @@
 
 from ironrail.connections.upstream import connection as upstream_connection
 from ironrail.connections.upstream.connection import UpstreamConnection
+from ironrail.connections.upstream.connection_fault import Fault
 from ironrail.connections.upstream.reply_handler import Reply
 from ironrail.net.protocol.meta_codec import SHORT, Command
 from ironrail.net.system import Address, System
@@ -29,7 +30,7 @@
         connection: UpstreamConnection,
         replies: list[Reply],
         is_partial: bool,
-        fault: object,
+        fault: Fault | None,
     ) -> None:
         """Handle one read: complete replies, then a part of another or a fault."""
 
@@ -156,6 +157,8 @@
         else:
             self.transport.resume_reading()
 
-    def report_read(self, replies: list[Reply], is_partial: bool, fault: object = None) -> None:
+    def report_read(
+        self, replies: list[Reply], is_partial: bool, fault: Fault | None = None
+    ) -> None:
         """Report one read: complete replies, then a part of another or a fault."""
         self.pool.on_read(self.upstream, replies, is_partial, fault)
--- a/ironrail/net/upstream/connection_pool.py
+++ b/ironrail/net/upstream/connection_pool.py
@@ -7,6 +7,7 @@
 
 from ironrail.connections.upstream.attempt_writer import is_unsent
 from ironrail.connections.upstream.connection import UpstreamConnection
+from ironrail.connections.upstream.connection_fault import Fault
 from ironrail.connections.upstream.pool_actions import (
     AbortConnection,
     CheckIdle,
@@ -120,7 +121,7 @@
         connection: UpstreamConnection,
         replies: list[Reply],
         is_partial: bool,
-        fault: object,
+        fault: Fault | None,
     ) -> None:
         """Handle one read: complete replies, then a part of another or a fault."""
         if self._link_observer is not None:
--- a/tests/connections/upstream/pool_host.py
+++ b/tests/connections/upstream/pool_host.py
@@ -5,6 +5,7 @@
 from collections import deque
 
 from ironrail.connections.upstream.connection import Attempt, UpstreamConnection
+from ironrail.connections.upstream.connection_fault import Fault
 from ironrail.connections.upstream.pool_actions import (
     AbortConnection,
     CheckIdle,
@@ -79,7 +80,7 @@
         connection: UpstreamConnection,
         *replies: AttemptStatus,
         part: bool = False,
-        fault: object = None,
+        fault: Fault | None = None,
     ) -> None:
         self.do(
             self.manager.on_read(self.now, connection, [(status, b"") for status in replies], part, fault)
--- a/tests/connections/upstream/test_pool_invariants.py
+++ b/tests/connections/upstream/test_pool_invariants.py
@@ -5,6 +5,7 @@
 from hypothesis import settings
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
+from ironrail.connections.upstream.connection_fault import Fault
 from ironrail.policy.events import AttemptStatus
 
 from tests.connections.upstream.pool_host import PoolHost
@@ -37,10 +38,10 @@
         pick=st.integers(0, 9),
         count=st.integers(0, 4),
         part=st.booleans(),
-        fault=st.sampled_from([None, "?"]),
+        fault=st.sampled_from([None, ValueError("?")]),
         status=st.sampled_from([AttemptStatus.OK, AttemptStatus.MISS, AttemptStatus.BUSY]),
     )
-    def read(self, pick: int, count: int, part: bool, fault: str | None, status: AttemptStatus) -> None:
+    def read(self, pick: int, count: int, part: bool, fault: Fault | None, status: AttemptStatus) -> None:
         connection = self.host.connections[pick % len(self.host.connections)]
         self.host.read(connection, *[status] * min(count, len(connection.in_flight)), part=part, fault=fault)
 
--- a/tests/connections/upstream/test_pool_manager.py
+++ b/tests/connections/upstream/test_pool_manager.py
@@ -88,7 +88,7 @@
     behind = [host.send() for _ in range(5)]
     host.now = 0.01
     host.read(connection, part=True)
-    host.read(connection, fault="noise")
+    host.read(connection, fault=ValueError("noise"))
     assert host.status(oldest, *behind) == [AttemptStatus.ERROR] + [AttemptStatus.CANCELLED] * 5
     assert connection in host.closing
 
