--- a/ironrail/connections/upstream/pool_manager.py
+++ b/ironrail/connections/upstream/pool_manager.py
@@ -24,7 +24,7 @@
 )
 from ironrail.connections.upstream.pool_settings import PoolSettings
 from ironrail.connections.upstream.pool_state import PoolState
-from ironrail.connections.upstream.reply_handler import Reply, ReplyHandler
+from ironrail.connections.upstream.reply_handler import AttemptReply, ReplyHandler
 from ironrail.connections.upstream.stream_scheduler import StreamScheduler
 from ironrail.policy.events import AttemptStatus
 
@@ -138,7 +138,7 @@
         self,
         now: float,
         connection: UpstreamConnection,
-        replies: Sequence[Reply],
+        replies: Sequence[AttemptReply],
         is_partial: bool,
         fault: Fault | None = None,
     ) -> list[PoolAction]:
--- a/ironrail/connections/upstream/reply_handler.py
+++ b/ironrail/connections/upstream/reply_handler.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 from collections.abc import Sequence
+from typing import NamedTuple
 
 from ironrail.connections.upstream.attempt_writer import AttemptWriter
 from ironrail.connections.upstream.connection import Attempt, ReplyState, UpstreamConnection
@@ -14,7 +15,12 @@
 from ironrail.connections.upstream.stream_scheduler import StreamScheduler
 from ironrail.policy.events import AttemptStatus
 
-Reply = tuple[AttemptStatus, bytes]  # the outcome of an attempt and its value
+
+class AttemptReply(NamedTuple):
+    """A complete reply, as the outcome of the oldest attempt in flight."""
+
+    status: AttemptStatus
+    body: bytes = b""
 
 
 class ReplyHandler:
@@ -40,13 +46,13 @@
         self,
         now: float,
         connection: UpstreamConnection,
-        replies: Sequence[Reply],
+        replies: Sequence[AttemptReply],
         is_partial: bool,
         fault: Fault | None,
     ) -> None:
         """Handle one read: complete replies, then a part of another or a fault."""
         if replies:
-            self._learn(now, connection, replies[0][0])
+            self._learn(now, connection, replies[0].status)
         ended = [connection.in_flight.popleft() for _ in replies]
         if ended:
             connection.reply_state = ReplyState.NONE
@@ -59,8 +65,8 @@
             self._continue_use(now, connection, is_partial)
         else:
             self._lifecycle.abort(now, connection, fault)
-        for attempt, (status, body) in zip(ended, replies, strict=True):
-            self._writer.end(attempt, status, body)
+        for attempt, reply in zip(ended, replies, strict=True):
+            self._writer.end(attempt, reply.status, reply.body)
         self._finish_read(connection, ended, fault)
 
     def on_stream_started(self, now: float, connection: UpstreamConnection, length: int) -> None:
--- a/ironrail/net/dispatch/dispatcher.py
+++ b/ironrail/net/dispatch/dispatcher.py
@@ -117,7 +117,7 @@
 
     def can_serve(self) -> bool:
         """Whether any server may be sent to."""
-        return any(pool.ready for pool in self.pools.values())
+        return any(pool.is_ready for pool in self.pools.values())
 
     def gauges(self) -> dict[str, int]:
         """Return the current values for the metrics, by name."""
--- a/ironrail/net/upstream/cache_connection.py
+++ b/ironrail/net/upstream/cache_connection.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from ironrail.connections.upstream import reply_handler
 from ironrail.connections.upstream.connection import UpstreamConnection
+from ironrail.connections.upstream.reply_handler import AttemptReply
 from ironrail.net.protocol import meta_codec
 from ironrail.net.protocol.meta_codec import Opening, Piece, Reply, ReplyKind
 from ironrail.net.upstream.connection import Attempt, Connection, ConnectionObserver
@@ -31,7 +31,7 @@
 
     def data_received(self, data: bytes) -> None:
         """Report what one read holds."""
-        replies: list[reply_handler.Reply] = []
+        replies: list[AttemptReply] = []
         fault = None
         try:
             for item in self._parser.feed(data):
@@ -51,10 +51,10 @@
             fault = e
         self.report_read(replies, self._parser.begun, fault)
 
-    def _read_piece(self, piece: Piece) -> list[reply_handler.Reply]:
+    def _read_piece(self, piece: Piece) -> list[AttemptReply]:
         """Forward a part of a long value; returns its outcome once it is complete."""
         if piece.last:
-            return [(AttemptStatus.OK, b"")]
+            return [AttemptReply(AttemptStatus.OK)]
         self.pool.on_stream_data(self.upstream, piece.data)
         return []
 
@@ -71,7 +71,7 @@
         if request_id is not None and request_id != self.in_flight[position].command.request_id:
             raise meta_codec.FramingError("a reply to another request")
 
-    def _match(self, reply: Reply, position: int) -> reply_handler.Reply:
+    def _match(self, reply: Reply, position: int) -> AttemptReply:
         """Return the outcome that a reply means for the attempt at a position in flight."""
         self._check_id(reply.request_id, position)
         command = self.in_flight[position].command
@@ -80,4 +80,4 @@
             lacks_receipt = reply.kind is ReplyKind.STORED and not reply.body
             if reply.request_id is None or reply.kind is misfit or lacks_receipt:
                 raise meta_codec.FramingError(f"{reply.kind.value} does not fit the command")
-        return STATUS_OF_REPLY[reply.kind], reply.body
+        return AttemptReply(STATUS_OF_REPLY[reply.kind], reply.body)
--- a/ironrail/net/upstream/connection.py
+++ b/ironrail/net/upstream/connection.py
@@ -11,7 +11,7 @@
 from ironrail.connections.upstream import connection as upstream_connection
 from ironrail.connections.upstream.connection import UpstreamConnection
 from ironrail.connections.upstream.connection_fault import Fault
-from ironrail.connections.upstream.reply_handler import Reply
+from ironrail.connections.upstream.reply_handler import AttemptReply
 from ironrail.net.protocol.meta_codec import SHORT, Command
 from ironrail.net.system import Address, System
 from ironrail.policy.events import AttemptStatus
@@ -28,7 +28,7 @@
     def on_read(
         self,
         connection: UpstreamConnection,
-        replies: list[Reply],
+        replies: list[AttemptReply],
         is_partial: bool,
         fault: Fault | None,
     ) -> None:
@@ -158,7 +158,7 @@
             self.transport.resume_reading()
 
     def report_read(
-        self, replies: list[Reply], is_partial: bool, fault: Fault | None = None
+        self, replies: list[AttemptReply], is_partial: bool, fault: Fault | None = None
     ) -> None:
         """Report one read: complete replies, then a part of another or a fault."""
         self.pool.on_read(self.upstream, replies, is_partial, fault)
--- a/ironrail/net/upstream/connection_pool.py
+++ b/ironrail/net/upstream/connection_pool.py
@@ -21,7 +21,7 @@
 )
 from ironrail.connections.upstream.pool_manager import UpstreamPoolManager
 from ironrail.connections.upstream.pool_settings import PoolSettings
-from ironrail.connections.upstream.reply_handler import Reply
+from ironrail.connections.upstream.reply_handler import AttemptReply
 from ironrail.net.system import REAL, Address, System
 from ironrail.net.upstream.connection import Attempt, Connection, LinkObserver
 from ironrail.net.upstream.connector import Connector
@@ -91,7 +91,7 @@
         }
 
     @property
-    def ready(self) -> bool:
+    def is_ready(self) -> bool:
         """Whether the server may be sent to."""
         return self.manager.state.is_ready
 
@@ -119,7 +119,7 @@
     def on_read(
         self,
         connection: UpstreamConnection,
-        replies: list[Reply],
+        replies: list[AttemptReply],
         is_partial: bool,
         fault: Fault | None,
     ) -> None:
@@ -198,7 +198,7 @@
     def _write(self, write: WriteAttempt) -> None:
         connection = self._connections[write.connection]
         attempt = cast(Attempt, write.attempt)
-        if attempt.may_write is not None and not attempt.may_write(attempt, self.ready):
+        if attempt.may_write is not None and not attempt.may_write(attempt, self.is_ready):
             self._submit(self.manager.on_write_refused, attempt)
             return
         data = connection.encode(attempt)
--- a/ironrail/net/upstream/origin_connection.py
+++ b/ironrail/net/upstream/origin_connection.py
@@ -9,7 +9,7 @@
 import h11
 
 from ironrail.connections.upstream.connection import UpstreamConnection
-from ironrail.connections.upstream.reply_handler import Reply
+from ironrail.connections.upstream.reply_handler import AttemptReply
 from ironrail.net.protocol.meta_codec import MAX_VALUE, SHORT, Command, info_with, is_printable
 from ironrail.net.upstream.connection import Attempt, Connection, ConnectionObserver
 from ironrail.policy.events import AttemptStatus
@@ -45,7 +45,7 @@
 
     def data_received(self, data: bytes) -> None:
         """Report what one read holds."""
-        replies: list[Reply] = []
+        replies: list[AttemptReply] = []
         fault = None
         try:
             self._check_expected()
@@ -110,7 +110,7 @@
             self._is_streaming = True
             self.pool.on_stream_started(self.upstream, length)
 
-    def _match(self) -> Reply:
+    def _match(self) -> AttemptReply:
         """Return the outcome that the response means; it carries no id, so its form is checked."""
         response = self._response
         body = bytes(self._body)
@@ -124,7 +124,7 @@
         self._body = bytearray()
         self._is_streaming = False
         self._prepare_next()
-        return status, body
+        return AttemptReply(status, body)
 
     def _prepare_next(self) -> None:
         """Reuse the connection, unless the origin closes it or has sent surplus bytes."""
--- a/tests/connections/upstream/pool_host.py
+++ b/tests/connections/upstream/pool_host.py
@@ -17,6 +17,7 @@
 )
 from ironrail.connections.upstream.pool_manager import UpstreamPoolManager
 from ironrail.connections.upstream.pool_settings import PoolSettings
+from ironrail.connections.upstream.reply_handler import AttemptReply
 from ironrail.policy.events import AttemptStatus
 
 ADDRESS = ("a", 1)
@@ -83,7 +84,9 @@
         fault: Fault | None = None,
     ) -> None:
         self.do(
-            self.manager.on_read(self.now, connection, [(status, b"") for status in replies], part, fault)
+            self.manager.on_read(
+                self.now, connection, [AttemptReply(status) for status in replies], part, fault
+            )
         )
 
     def close(self, connection: UpstreamConnection) -> None:
--- a/tests/mutants/sends_after_answer.py
+++ b/tests/mutants/sends_after_answer.py
@@ -28,7 +28,7 @@
         now = self._now()
         attempt = Attempt(request.request_id, 9, now, now + 1.0, request.command, lambda *_: None)
         pools = dispatchers[self].pools.values()
-        next(pool for pool in pools if pool.ready and pool.manager.state.max_streams > 1).send(attempt)
+        next(pool for pool in pools if pool.is_ready and pool.manager.state.max_streams > 1).send(attempt)
 
     def restless(
         self: ResponseTracker, request: InFlightRequest, outcome: RequestOutcome, response: bytes
