--- a/ironrail/net/dispatch/action_executor.py
+++ b/ironrail/net/dispatch/action_executor.py
@@ -57,8 +57,8 @@
         match action:
             case SendAttempt():
                 self._sender.send(action)
-            case SetTimer(delay, token):
-                self._loop.call_later(delay, self._driver.submit, TimerFired(token))
+            case SetTimer(delay, timer):
+                self._loop.call_later(delay, self._driver.submit, TimerFired(timer))
             case CancelAttempt(request_id, number):
                 self._cancel(AttemptId(request_id, number))
             case RejectRequest(request_id) if request_id in requests:
--- a/ironrail/net/dispatch/dispatcher.py
+++ b/ironrail/net/dispatch/dispatcher.py
@@ -86,7 +86,7 @@
         self._admission = AdmissionCheck(
             driver.router.settings, requests, attempts, self.diagnostics.guard
         )
-        self.lifecycle = RequestLifecycle(self._now, driver, requests, attempts)
+        self.lifecycle = RequestLifecycle(driver, requests, attempts)
         self.streamer = ValueStreamer(memory_budget, self._now, requests, attempts, driver.submit)
         self.sender = AttemptSender(
             self._now,
@@ -121,11 +121,11 @@
 
     def gauges(self) -> dict[str, int]:
         """Return the current values for the metrics, by name."""
-        listed, avoided = self.driver.router.listed(self._now())
+        counts = self.driver.router.server_counts(self._now())
         return {
             "inflight": len(self.requests.by_id),
-            "hosts_listed": listed,
-            "hosts_down": avoided,
+            "hosts_listed": counts.listed,
+            "hosts_down": counts.unavailable,
         }
 
     def metrics(self) -> bytes:
--- a/ironrail/net/dispatch/request_lifecycle.py
+++ b/ironrail/net/dispatch/request_lifecycle.py
@@ -3,7 +3,6 @@
 from __future__ import annotations
 
 import logging
-from collections.abc import Callable
 
 from ironrail.net.dispatch.open_attempts import OpenAttempts, id_of
 from ironrail.net.dispatch.pending_request import InFlightRequest
@@ -19,12 +18,10 @@
 
     def __init__(
         self,
-        now: Callable[[], float],
         driver: PolicyDriver,
         requests: ResponseTracker,
         attempts: OpenAttempts,
     ) -> None:
-        self._now = now
         self._driver = driver
         self._requests = requests
         self._attempts = attempts
--- a/ironrail/rehearsal/virtual/invariants.py
+++ b/ironrail/rehearsal/virtual/invariants.py
@@ -48,14 +48,14 @@
     if host.attempts:
         of_requests = [entry.attempt.request_id for entry in host.attempts][:3]
         yield "attempts", f"{len(host.attempts)} attempts without an outcome: {of_requests}"
-    if policy.held:
-        yield "held", f"{len(policy.held)} requests still held by the module: {list(policy.held)[:3]}"
-    if out := policy.attempts.out:
+    if pending := policy.pending_requests:
+        yield ("held", f"{len(pending)} requests still held by the module: {list(pending)[:3]}")
+    if out := policy.attempts_in_flight:
         yield "attempts", f"{len(out)} attempts open in the module: {list(out)[:3]}"
     for name, server in policy.servers.items():
         if server.in_flight:
             yield "load", f"the module believes {server.in_flight} at {name} where nothing is out"
-    if load := policy.attempts.ring_load:
+    if load := policy.attempts_in_flight.cache_count:
         yield "load", f"the module believes {load} on its ring where nothing is out"
     for name, pool in host.pools.items():
         yield from _of_pool(name, pool)
--- a/tests/net/dispatch/test_connection_breaks.py
+++ b/tests/net/dispatch/test_connection_breaks.py
@@ -190,7 +190,7 @@
     assert origin.in_flight == 1 and host.attempts  # it is still worked on
     end(got, *([b"r"] if end is Message.respond else []))
     await until(lambda: not host.attempts)
-    assert not origin.in_flight and not host.driver.router.attempts.out
+    assert not origin.in_flight and not host.driver.router.attempts_in_flight
     other = await world.client()
     other.put("2", b"w")
     assert (await world.origin.next()).headers["request-id"] == "2"
--- a/tests/net/dispatch/test_disconnected_clients.py
+++ b/tests/net/dispatch/test_disconnected_clients.py
@@ -156,7 +156,7 @@
         (sent.pop() if sent else await world.origin.next()).respond(b"r")
     await until(lambda: not world.node._host.requests.by_id and not origin.in_flight)
     assert world.origin.messages.empty()
-    assert not world.node._host.attempts and not world.node._host.driver.router.attempts.out
+    assert not world.node._host.attempts and not world.node._host.driver.router.attempts_in_flight
     assert origin.consecutive_losses == 0
 
 
