--- /dev/null
+++ b/tests/net/dispatch/test_unexpected_replies.py
@@ -0,0 +1,138 @@
+"""Surplus, late and partial replies affect no other request."""
+
+from __future__ import annotations
+
+import asyncio
+import os
+from typing import Any
+
+import pytest
+from ironrail.connections.upstream import pool_manager
+from ironrail.connections.upstream.connection import ReplyState
+from ironrail.net.dispatch import dispatcher
+from ironrail.net.upstream.cache_connection import CacheConnection
+from ironrail.net.upstream.origin_connection import OriginConnection
+from ironrail.policy.events import AttemptStatus
+
+from tests.net.dispatch.harness import GOOD, GOOD_HTTP, Brief, DispatchHarness, ScriptedPolicy, quick_replies
+from tests.peers import Peer, read_command, read_http, scenario
+
+
+@scenario
+@pytest.mark.parametrize(
+    ("kind", "data"),
+    [
+        (CacheConnection, GOOD + GOOD),
+        (CacheConnection, GOOD + b"\x00noise"),
+        (OriginConnection, GOOD_HTTP + GOOD_HTTP),
+        (OriginConnection, GOOD_HTTP + b"\x00noise"),
+        (OriginConnection, GOOD_HTTP + GOOD_HTTP[:9]),
+    ],
+)
+async def test_surplus_bytes_after_a_reply_affect_no_other_request(kind: Any, data: bytes) -> None:
+    peer, policy = (
+        await Peer(read_command if kind is CacheConnection else read_http).start(),
+        ScriptedPolicy(),
+    )
+    harness = DispatchHarness(policy, peer.port, kind, most=1)
+    harness.take("1")
+    first = await peer.next()
+    # asks for the next one as soon as the module hears of the reply
+    policy.after = lambda: harness.take("2")
+    first.reply(data)
+    second = await peer.next()
+    assert second.writer is not first.writer
+    if kind is CacheConnection:
+        second.reply_value(b"w")
+    else:
+        second.respond(b"w")
+    assert [(await policy.outcome()).status for _ in "12"] == [AttemptStatus.OK, AttemptStatus.OK]
+    assert harness.answers == {"1": [GOOD.replace(b" h1", b"")], "2": [b"VA 1 O2\r\nw\r\n"]}
+
+
+@scenario
+async def test_a_late_duplicate_is_not_matched_with_the_next_request() -> None:
+    peer, policy = await Peer(read_http).start(), ScriptedPolicy()
+    harness = DispatchHarness(policy, peer.port, OriginConnection, most=1)
+    harness.take("1")
+    first = await peer.next()
+    first.reply(GOOD_HTTP)
+    await policy.outcome()
+    os.write(
+        first.writer.get_extra_info("socket").fileno(), GOOD_HTTP
+    )  # with the router's system, unread by the router
+    harness.take("2")
+    second = await peer.next()
+    assert second.writer is not first.writer
+    second.respond(b"w")
+    assert (await policy.outcome()).status is AttemptStatus.OK
+    assert harness.answers["2"] == [b"VA 1 O2\r\nw\r\n"]
+
+
+@scenario
+@pytest.mark.parametrize("half", [b"VA 9 O1 h1\r\nhalf", b"VA 9 O1", b"x" * 100])
+async def test_a_reply_that_stops_midway_times_out(half: bytes, monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(dispatcher, "IDLE_CHECK_INTERVAL_SECONDS", 0.01)
+    monkeypatch.setattr(pool_manager, "PARTIAL_REPLY_TIMEOUT_SECONDS", 0.05)
+    peer, policy = await Peer().start(), ScriptedPolicy()
+    harness = DispatchHarness(policy, peer.port, most=1)
+    harness.take("1")
+    harness.take("2")
+    first = await peer.next()
+    await peer.next()
+    first.reply(half)
+    outcomes = {(o := await policy.outcome()).request_id: o.status for _ in "12"}
+    # the spoilt one has run, and so may have the one behind it: neither counts as a server lost
+    assert outcomes == {"1": AttemptStatus.ERROR, "2": AttemptStatus.CANCELLED}
+
+
+@scenario
+async def test_no_attempt_queues_behind_a_partial_reply() -> None:
+    peer, policy = await Peer().start(), ScriptedPolicy()
+    harness = DispatchHarness(policy, peer.port, most=2)
+    await quick_replies(harness, peer, policy)
+    harness.take("1")
+    first = await peer.next()
+    first.reply(b"VA 9 O1 h1\r\nhalf")
+    connection = next(iter(harness.host.pools["s"]._connections.values()))
+    while connection.upstream.reply_state is not ReplyState.PARTIAL:
+        await asyncio.sleep(0)
+    harness.take("2")
+    second = await peer.next()
+    assert second.writer is not first.writer
+
+
+@scenario
+async def test_no_attempt_queues_on_a_silent_connection() -> None:
+    peer, policy = await Peer().start(), Brief()
+    policy.time = 1.0
+    harness = DispatchHarness(policy, peer.port, most=1)
+    harness.take("1")
+    await peer.next()
+    await asyncio.sleep(0.4)  # a good part of the time for the first, which gets no reply
+    policy.time = 5.0
+    harness.take("2")
+    second = await peer.next()
+    outcomes = {(o := await policy.outcome()).request_id: o.status for _ in "12"}
+    assert outcomes == {"1": AttemptStatus.TIMEOUT, "2": AttemptStatus.CANCELLED}
+    harness.take("3")
+    third = await peer.next()
+    assert third.writer is not second.writer
+    third.reply_value(b"v")
+    assert (await policy.outcome()).status is AttemptStatus.OK
+
+
+@scenario
+async def test_a_reply_that_later_ones_overtook_is_still_used() -> None:
+    peer, policy = await Peer().start(), Brief()
+    policy.time = 2.0
+    harness = DispatchHarness(policy, peer.port, most=2)
+    harness.take("1")
+    first = await peer.next()
+    await asyncio.sleep(0.9)  # more than the share of its time after which it is doubted
+    harness.take("2")
+    (await peer.next()).reply(b"VA 1 O2 h1\r\nv\r\n")
+    assert (await policy.outcome()).request_id == "2"
+    first.reply(b"VA 1 O1 h1\r\nv\r\n")
+    outcome = await policy.outcome()
+    assert (outcome.request_id, outcome.status) == ("1", AttemptStatus.OK)
