--- /dev/null
+++ b/ironrail/connections/downstream/client_session.py
@@ -0,0 +1,149 @@
+"""The state of one client connection, as far as the rules for sessions depend on it."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+from enum import Enum
+
+MAX_PIPELINED_COMMANDS = 64
+"""Commands of one session without a written response, at which no more are parsed or read."""
+
+MAX_CONSECUTIVE_BAD_COMMANDS = 8
+"""Rejected commands in a row after which the session ends: each costs CPU."""
+
+
+class SessionState(Enum):
+    """Whether a session goes on."""
+
+    OPEN = "open"
+    MIGRATING = "migrating"
+    """It closes after its next response, because another zone serves its client."""
+    ENDING = "ending"
+    """No further command is accepted."""
+
+
+class CommandProgress(Enum):
+    """How much of the next command has been received."""
+
+    NONE = "none"
+    PARTIAL = "partial"
+    LONG_VALUE = "long_value"
+    """The rest of a long value is being received."""
+    AWAITING_MEMORY = "awaiting_memory"
+    """A long value follows, which is not read before memory is reserved for it."""
+
+
+_ENDING = SessionState.ENDING
+_NONE = CommandProgress.NONE
+_PARTIAL = CommandProgress.PARTIAL
+_LONG_VALUE = CommandProgress.LONG_VALUE
+_AWAITING_MEMORY = CommandProgress.AWAITING_MEMORY
+
+
+@dataclass(slots=True, eq=False)
+class ClientSession:
+    """One client's connection. Times are seconds on a monotonic clock."""
+
+    wait_started_at: float
+    """When the wait for the client began: at the connect, the first byte or the last command."""
+    last_received_at: float = 0.0
+    state: SessionState = SessionState.OPEN
+    progress: CommandProgress = CommandProgress.NONE
+    has_been_used: bool = False
+    """Whether a valid command was received."""
+    pending_responses: int = 0
+    """Commands whose responses are not written."""
+    consecutive_bad_commands: int = 0
+    has_unparsed_input: bool = False
+    """Whether parsing stopped at the limit on pipelined commands."""
+    responses_unread_since: float | None = None
+    """When the client stopped taking responses; None while it takes them."""
+    is_reading: bool = True
+    """Whether the transport reads, as last set."""
+
+    @property
+    def is_ending(self) -> bool:
+        """Whether no further command is accepted."""
+        return self.state is _ENDING
+
+    @property
+    def is_migrating(self) -> bool:
+        """Whether the session closes after its next response, for another zone to serve."""
+        return self.state is SessionState.MIGRATING
+
+    @property
+    def is_idle(self) -> bool:
+        """Whether the session is between two commands."""
+        return self.pending_responses == 0 and self.progress is _NONE
+
+    @property
+    def has_partial_command(self) -> bool:
+        """Whether a part of a command was received."""
+        return self.progress is not _NONE
+
+    @property
+    def has_long_value(self) -> bool:
+        """Whether the command that is being received has a long value."""
+        return self.progress is _LONG_VALUE or self.progress is _AWAITING_MEMORY
+
+    @property
+    def accepts_commands(self) -> bool:
+        """Whether one more command may be parsed now."""
+        return self.state is not _ENDING and self.pending_responses < MAX_PIPELINED_COMMANDS
+
+    @property
+    def should_read(self) -> bool:
+        """Whether to read from the client.
+
+        Bounds the memory used by clients that send and never read, and the CPU used for commands
+        whose responses nobody takes.
+        """
+        return (
+            self.accepts_commands
+            and self.responses_unread_since is None
+            and self.progress is not _AWAITING_MEMORY
+        )
+
+    def end(self) -> None:
+        """Accept no further command."""
+        self.state = _ENDING
+
+    def start_migration(self) -> None:
+        """Have the session close after its next response."""
+        if self.state is SessionState.OPEN:
+            self.state = SessionState.MIGRATING
+
+    def cancel_migration(self) -> None:
+        """Let the session stay open after all."""
+        if self.state is SessionState.MIGRATING:
+            self.state = SessionState.OPEN
+
+    def long_value_started(self, now: float, is_memory_reserved: bool) -> None:
+        """Note that the header of a long value was received, in time."""
+        self.progress = _LONG_VALUE if is_memory_reserved else _AWAITING_MEMORY
+        self.wait_started_at = now
+
+    def memory_granted(self, now: float) -> None:
+        """Go on with a long value that had to wait for memory."""
+        self.progress = _LONG_VALUE
+        self.wait_started_at = now
+
+    def long_value_received(self) -> None:
+        """Note that a long value is complete."""
+        self.progress = _PARTIAL
+
+    def update_progress(self, has_partial_command: bool) -> None:
+        """Take over the parser's state once all received commands are parsed."""
+        if not has_partial_command:
+            self.progress = _NONE
+        elif self.progress is _NONE:
+            self.progress = _PARTIAL
+
+    def reject_partial_command(self) -> None:
+        """End the session behind an error for the command that was not complete in time."""
+        self.pending_responses += 1
+        self.state = _ENDING
+
+    def set_responses_unread(self, now: float, is_unread: bool) -> None:
+        """Note whether the client has stopped taking responses."""
+        self.responses_unread_since = now if is_unread else None
--- a/ironrail/connections/downstream/descriptor_budget.py
+++ b/ironrail/connections/downstream/descriptor_budget.py
@@ -1,35 +1,55 @@
-"""How many descriptors of a process each part of it may have. Pure: all shares together never exceed them."""
+"""How the descriptors of the process are divided among its parts."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-from ironrail.connections.downstream.session_manager import CLIENTS_SHARE, KEPT_SHARE
+RESERVED_DESCRIPTORS_COUNT = 24
+"""For the log, event loop, listeners, discovery, admin endpoint and other routers."""
 
-OWN = 24  # of the process itself: log, loop, listeners, two discoveries, operators, other routers
-MOST_ACCEPTS = 16  # connections taken in one go: a crowd of them must hold up no answers
+MAX_ACCEPTS_PER_TURN = 16
+"""Connections accepted in one turn of the event loop: a burst must not delay responses."""
+
+CLIENT_DESCRIPTOR_FRACTION = 1 / 3
+"""Of all descriptors: what the clients together open for requests at most."""
+
+RETAINED_CLIENT_FRACTION = 5 / 8
+"""Of the clients' descriptors: idle sessions beyond it are evicted, and the rest serves bursts."""
 
 
 @dataclass(frozen=True, slots=True)
 class DescriptorBudget:
-    """What each part may have open at once."""
+    """What each part of the process may have open at a time."""
 
-    servers: int  # connections to all servers, those being opened among them
-    clients: int  # connections of clients
-    kept: int  # used ones of those, beyond which the ones that rest make way
-    lingering: int  # connections that are shut and not yet closed
-    accepts: int  # taken in one go
+    servers: int
+    """Connections to all servers, including those being opened."""
+    clients: int
+    """Connections of clients."""
+    retained_clients: int
+    """Used connections of clients, beyond which idle ones are evicted."""
+    lingering: int
+    """Connections that are shut down for writing and not yet closed."""
+    accepts_per_turn: int
+    """Connections accepted in one turn of the event loop."""
 
 
-def share_descriptors(sockets: int) -> DescriptorBudget:
-    """The shares of so many descriptors.
+def allocate_descriptors(descriptor_limit: int) -> DescriptorBudget:
+    """Divide the descriptors of the process.
 
-    What one go accepts may each turn out another connection, whose descriptor is free only when the loop
-    has come round: those taken and those turned out stand beside all else until then.
+    Each accepted connection may evict another one, whose descriptor is free only in the next turn
+    of the event loop. Until then both count beside all others.
     """
-    servers = (sockets - OWN) // 3
-    clients = (sockets - OWN - servers) * 3 // 4
-    rest = sockets - OWN - servers - clients  # for those that come and go
-    accepts = max(1, min(MOST_ACCEPTS, rest // 4))
-    kept = int(sockets * CLIENTS_SHARE * KEPT_SHARE)
-    return DescriptorBudget(servers, clients, kept, rest - 2 * accepts, accepts)
+    available = descriptor_limit - RESERVED_DESCRIPTORS_COUNT
+    servers = available // 3
+    clients = (available - servers) * 3 // 4
+    transient = available - servers - clients
+    accepts_per_turn = max(1, min(MAX_ACCEPTS_PER_TURN, transient // 4))
+    return DescriptorBudget(
+        servers=servers,
+        clients=clients,
+        retained_clients=int(
+            descriptor_limit * CLIENT_DESCRIPTOR_FRACTION * RETAINED_CLIENT_FRACTION
+        ),
+        lingering=transient - 2 * accepts_per_turn,
+        accepts_per_turn=accepts_per_turn,
+    )
--- a/ironrail/connections/downstream/lingering_close.py
+++ b/ironrail/connections/downstream/lingering_close.py
@@ -1,40 +1,45 @@
-"""Connections that are shut and not yet closed: their other ends may still send, and take what is under way.
+"""Limits on connections that are shut down for writing and not yet closed.
 
-Pure. A close at once, over bytes that come in that instant, would be a reset and destroy answers.
+A socket that is closed with unread input resets the connection, which destroys responses that are
+still under way. Such connections linger until the client has closed its end.
 """
 
 from __future__ import annotations
 
 from collections.abc import Hashable
+from typing import Generic, TypeVar
 
-LINGER = 1.0  # seconds for the other end to close first: it has the answer by then, or will never take it
-MOST_DISCARDED = (
-    1024 * 1024
-)  # bytes read on a shut connection, of requests that crossed; then only CPU is lost
+Connection = TypeVar("Connection", bound=Hashable)
 
+LINGER_SECONDS = 1.0
+"""For the client to close first: it has the response by then, or never takes it."""
 
-class LingeringCloseRegistry:
-    """So many at the most: each holds a descriptor."""
+MAX_DISCARDED_BYTES = 1024 * 1024
+"""Bytes read and dropped on one lingering connection: more would only cost CPU."""
 
-    def __init__(self, most: int) -> None:
-        self.most = most
-        self._all: dict[Hashable, None] = {}  # the oldest is first
+
+class LingeringCloseRegistry(Generic[Connection]):
+    """Lingering connections, limited in number as each holds a descriptor."""
+
+    def __init__(self, max_connections: int) -> None:
+        self.max_connections = max_connections
+        self._connections: dict[Connection, None] = {}  # the oldest is first
 
     def __len__(self) -> int:
-        return len(self._all)
+        return len(self._connections)
 
-    def __contains__(self, one: object) -> bool:
-        return one in self._all
+    def __contains__(self, connection: object) -> bool:
+        return connection in self._connections
 
-    def add(self, one: Hashable) -> Hashable | None:
-        """One is shut; answers with the one to be closed at once for it, if there are too many."""
-        self._all[one] = None
-        if len(self._all) <= self.most:
+    def add(self, connection: Connection) -> Connection | None:
+        """Add a connection, and return the one to be closed at once if there are too many."""
+        self._connections[connection] = None
+        if len(self._connections) <= self.max_connections:
             return None
-        oldest = next(iter(self._all))
-        del self._all[oldest]
+        oldest = next(iter(self._connections))
+        del self._connections[oldest]
         return oldest
 
-    def gone(self, one: Hashable) -> None:
-        """It has closed."""
-        self._all.pop(one, None)
+    def remove(self, connection: Connection) -> None:
+        """Forget a connection that has closed."""
+        self._connections.pop(connection, None)
--- a/ironrail/connections/downstream/memory_budget.py
+++ b/ironrail/connections/downstream/memory_budget.py
@@ -1,8 +1,4 @@
-"""Memory for long values, lent out of one purse: first come, first served. Pure.
-
-What does not fit now waits or is given up, as its owner decides; what was taken is given back by whoever has
-it. Sizes are bytes.
-"""
+"""A limit on the memory for long values, granted in order of request."""
 
 from __future__ import annotations
 
@@ -10,56 +6,69 @@
 
 
 class MemoryBudget:
-    """So many bytes for all long values of one router."""
+    """The memory for all long values of one router. Sizes are bytes.
+
+    Reservations that don't fit wait or fail, as their owners decide. A reservation is released by
+    whoever owns it at that time.
+    """
+
+    def __init__(self, total_bytes: int) -> None:
+        self.total_bytes = total_bytes
+        self.free_bytes = total_bytes
+        self._reserved: dict[Hashable, int] = {}
+        self._waiting: dict[Hashable, int] = {}  # the owner that waits for longest is first
 
-    def __init__(self, total: int) -> None:
-        self._total = total
-        self._taken: dict[Hashable, int] = {}
-        self._queue: dict[Hashable, int] = {}  # who waits, and for how much; the first is first
-        self.free = total
+    @property
+    def waiting_count(self) -> int:
+        """Number of owners that wait for memory."""
+        return len(self._waiting)
 
-    def take(self, owner: Hashable, size: int) -> bool:
-        """Whether the owner now has room for so much, and nobody waits who came before it.
+    def reserve(self, owner: Hashable, size: int) -> bool:
+        """Reserve memory, and return whether it was free and no other owner waits for it.
 
-        One value larger than the purse would wait for good: it is let in alone.
+        A value larger than the whole budget is admitted while nothing else is reserved: it would
+        wait forever otherwise.
         """
-        if self._queue or not self._fits(size):
+        if self._waiting or not self._fits(size):
             return False
-        self._lend(owner, size)
+        self._grant(owner, size)
         return True
 
     def wait(self, owner: Hashable, size: int) -> None:
-        """Stand in line for so much; `next_in` tells when it is there."""
-        self._queue[owner] = size
+        """Queue an owner for memory, which `grant_next_waiter` reserves for it."""
+        self._waiting[owner] = size
 
-    def hand_on(self, owner: Hashable, to: Hashable) -> None:
-        """What one has taken, or waits for, is another's from now on."""
-        if owner in self._taken:
-            self._taken[to] = self._taken.pop(owner)
-        elif owner in self._queue:  # and its place in line
-            self._queue = {
-                to if other == owner else other: size for other, size in self._queue.items()
+    def transfer(self, owner: Hashable, new_owner: Hashable) -> None:
+        """Hand a reservation, or a position in the queue, to another owner."""
+        if owner in self._reserved:
+            self._reserved[new_owner] = self._reserved.pop(owner)
+        elif owner in self._waiting:
+            self._waiting = {
+                new_owner if waiter == owner else waiter: size
+                for waiter, size in self._waiting.items()
             }
 
-    def give_back(self, owner: Hashable) -> None:
-        """It needs its room no more, or no longer waits."""
-        self.free += self._taken.pop(owner, 0)
-        self._queue.pop(owner, None)
+    def release(self, owner: Hashable) -> None:
+        """Return an owner's reservation, or remove it from the queue."""
+        self.free_bytes += self._reserved.pop(owner, 0)
+        self._waiting.pop(owner, None)
 
-    def next_in(self) -> Hashable | None:
-        """Whoever waits longest, if there is room for it now: it has it. None otherwise."""
-        for owner, size in self._queue.items():
-            if not self._fits(size):
-                return None
-            del self._queue[owner]
-            self._lend(owner, size)
-            return owner
-        return None
+    def grant_next_waiter(self) -> Hashable | None:
+        """Reserve memory for the first owner in the queue; None if there is none or too little."""
+        first = next(iter(self._waiting.items()), None)
+        if first is None:
+            return None
+        owner, size = first
+        if not self._fits(size):
+            return None
+        del self._waiting[owner]
+        self._grant(owner, size)
+        return owner
 
     def _fits(self, size: int) -> bool:
-        return size <= self.free or not self._taken
+        return size <= self.free_bytes or not self._reserved
 
-    def _lend(self, owner: Hashable, size: int) -> None:
-        assert owner not in self._taken, "room is taken once"
-        self._taken[owner] = size
-        self.free -= size
+    def _grant(self, owner: Hashable, size: int) -> None:
+        assert owner not in self._reserved, "an owner reserves once"
+        self._reserved[owner] = size
+        self.free_bytes -= size
--- a/ironrail/connections/downstream/session_manager.py
+++ b/ironrail/connections/downstream/session_manager.py
@@ -1,274 +1,205 @@
-"""The places of clients' connections: who is let in, who is read, who is waited for, and who makes way.
+"""Admission and eviction of client sessions, and the actions that are due on them.
 
-Pure: told of what happens and when, answers with what to do. A host keeps the sockets. Times are seconds on
-one clock that only advances.
+Pure: is called with events and the time, and returns actions. The caller owns the sockets. Times
+are seconds on one monotonic clock.
 """
 
 from __future__ import annotations
 
 from collections import OrderedDict
 from collections.abc import Iterator
-from dataclasses import dataclass, field
+from dataclasses import dataclass
 from enum import Enum
 
-MOST_PIPELINED = 64  # commands of one connection in hand, beyond which none is parsed or read
-# commands in a row that were turned away, after which the connection is: each costs CPU
-MOST_BAD = 8
-# seconds for a whole command: silence and halves would keep their descriptor for good
-PATIENCE = 2.2
-LONG_PATIENCE = 20.0  # seconds for the whole of a long value: it keeps others waiting for its room
-# seconds without a byte of a command that has begun, while the router ends: it has stopped
-STALLED = 1.0
-IDLE = 30.0  # seconds between commands, after which a client has more likely gone than paused
-# seconds in which a client takes no answer: what it has asked for would stay in memory
-UNREAD = 10.0
-CLIENTS_SHARE = (
-    1 / 3
-)  # of the configured descriptors: what all clients together open for requests at most
-KEPT_SHARE = (
-    5 / 8
-)  # of that third: above it, who rested longest makes room; the rest is there for a burst
-# resting ones that are kept though none is ever used again: or it would never be seen
-KEPT_LEAST = 4
-COMES_BACK = 0.5  # of those that rest: with as many used again, all are kept that there is room for
-LEARNING = (
-    1 / 32
-)  # of the latest one that was used again, or had to make way, in the share that comes back
-# at the most at connections that might make room, for each that rests: no scan of a crowd
-LOOKS = 8
+from ironrail.connections.downstream.client_session import (
+    MAX_CONSECUTIVE_BAD_COMMANDS,
+    ClientSession,
+)
+from ironrail.connections.downstream.idle_retention import IdleRetention
+from ironrail.connections.downstream.session_timeouts import may_close_for_shutdown
+
+MAX_EVICTION_CHECKS = 8
+"""Sessions that may be considered for eviction each time one becomes idle."""
 
 
 class NextAction(Enum):
-    """What is due on a connection once its answers are written."""
+    """What is due on a session once its responses are written."""
 
     NOTHING = "nothing"
-    PARSE = "parse"  # what was read and is not yet parsed
-    FINISH = "finish"  # its last answer is written: end it once that is read
-    CLOSE = "close"  # it has nothing out, and the router ends, or its client belongs elsewhere
-    MAKE_WAY = "make way"  # it rests now, and others may rest for too long
-
-
-class IdleVerdict(Enum):
-    """What becomes of a connection that was looked at."""
-
-    KEEP = "keep"
-    ABORT = "abort"  # it takes no answers
-    TOO_LATE = "too late"  # to be told so and ended: its command never came whole
-    CLOSE = "close"  # it has paused for too long
-
-
-@dataclass(slots=True, eq=False)
-class ClientSession:
-    """One client's connection."""
-
-    since: float  # when the command began that is still to come, or the latest was taken
-    heard: float = 0.0  # when something last came on it
-    used: bool = False  # it has sent a command of use
-    open: int = 0  # commands whose answers are not yet written
-    bad: int = 0  # commands turned away in a row
-    begun: bool = False  # a part of a command has come
-    # of the command that has begun a long value is to come: it may take its time
-    long: bool = False
-    held_up: bool = False  # it is to send a long value, and there is no room for it yet
-    more: bool = False  # what was read is not yet parsed to its end
-    ending: bool = False  # nothing more is taken
-    unread_since: float | None = None  # its answers are not taken
-    leaves: bool = False  # it is to end behind its next answer, as its client belongs elsewhere
-    left: bool = False  # and has
-    reading: bool = field(default=True)  # as the host was last told
-
-    def idle(self) -> bool:
-        """Whether it stands between two commands."""
-        return self.open == 0 and not self.begun
-
-    def takes_more(self) -> bool:
-        """Whether one more of its commands may be parsed now."""
-        return not self.ending and self.open < MOST_PIPELINED
+    PARSE = "parse"
+    """Parse the input that was read and not parsed."""
+    FINISH = "finish"
+    """The last response is written: close the connection once that is sent."""
+    CLOSE = "close"
+    """The session is idle, and the router shuts down or the client migrates."""
+    EVICT_IDLE = "evict_idle"
+    """The session became idle, and others may have to be evicted."""
 
 
 @dataclass(frozen=True, slots=True)
 class Admission:
-    """Whether a connection that has come is let in, and whose place it takes, if anybody's."""
+    """Whether a new connection is admitted, and the session that is evicted for it."""
 
     admitted: bool
     evicted: ClientSession | None = None
 
 
 class ClientSessionManager:
-    """All places of one router's clients."""
-
-    def __init__(self, most: int, kept: int) -> None:
-        self.most = most  # connections at once
-        self.kept = kept  # used ones, beyond which those that rest make way
-        self.draining = False
-        # share of those that rest which are used again before they have to make way
-        self._back = 1.0
-        self._new: dict[
-            ClientSession, None
-        ] = {}  # no command of use yet; who has said nothing for longest is first
-        self._used: dict[ClientSession, None] = {}  # the least recently used is first
-        self._resting = OrderedDict[
-            ClientSession, None
-        ]()  # of the used, those with nothing out; the longest first
-        self._coming = 0  # let in, and not yet among the new ones
-        self._looks = 0  # left at those that might make way
+    """All client sessions of one router."""
+
+    def __init__(self, max_sessions: int, max_retained_sessions: int) -> None:
+        """Start without sessions.
+
+        Args:
+            max_sessions: Sessions at a time.
+            max_retained_sessions: Used sessions beyond which idle ones are evicted.
+        """
+        self.max_sessions = max_sessions
+        self.retention = IdleRetention(max_retained_sessions)
+        self.is_draining = False
+        # Without a valid command yet; the one that was silent for longest comes first.
+        self._unused: dict[ClientSession, None] = {}
+        # The least recently used comes first.
+        self._used: dict[ClientSession, None] = {}
+        # Used ones without a pending response; the one that was idle for longest comes first.
+        self._idle = OrderedDict[ClientSession, None]()
+        self._opening = 0
+        self._eviction_checks_left = 0
 
     def __iter__(self) -> Iterator[ClientSession]:
-        return iter([*self._new, *self._used])
+        return iter([*self._unused, *self._used])
 
     def __len__(self) -> int:
-        return len(self._new) + len(self._used)
+        return len(self._unused) + len(self._used)
 
-    # Coming and going
+    # Admission
 
-    def arrived(self) -> Admission:
-        """Guards the limit on descriptors: who never used one loses it first, then who rested longest.
+    def admit(self) -> Admission:
+        """Decide on a new connection, and on the session that is evicted at the limit.
 
-        Of those that never did, who has said nothing for longest: a command may take its time to come, and a
-        crowd that stops half way must not throw it out.
+        Sessions that were never used are evicted first, the one that was silent for longest
+        before all others: clients that send parts of commands must not evict one whose command
+        is still arriving. Then follows the session that was idle for longest.
         """
-        if len(self) + self._coming < self.most:
-            self._coming += 1
+        if len(self) + self._opening < self.max_sessions:
+            self._opening += 1
             return Admission(True)
-        victim = next(iter(self._new), None) or next(iter(self._resting), None)
-        if victim is None:
+        evicted = next(iter(self._unused), None) or next(iter(self._idle), None)
+        if evicted is None:
             return Admission(False)
-        self.gone(victim)
-        self._coming += 1
-        return Admission(True, victim)
-
-    def opened(self, now: float) -> ClientSession:
-        """One that was let in has come up."""
-        self._coming -= 1
-        place = ClientSession(now, now)
-        self._new[place] = None
-        return place
-
-    def not_opened(self) -> None:
-        """One that was let in had ended already."""
-        self._coming -= 1
-
-    def gone(self, place: ClientSession) -> None:
-        """It has ended, or is about to."""
-        self._new.pop(place, None)
-        self._used.pop(place, None)
-        self._resting.pop(place, None)
+        self.remove(evicted)
+        self._opening += 1
+        return Admission(True, evicted)
+
+    def add(self, now: float) -> ClientSession:
+        """Begin the session of an admitted connection."""
+        self._opening -= 1
+        session = ClientSession(now, now)
+        self._unused[session] = None
+        return session
+
+    def cancel_admission(self) -> None:
+        """Forget an admitted connection that ended before its session began."""
+        self._opening -= 1
+
+    def remove(self, session: ClientSession) -> None:
+        """Forget a session that has ended or is being closed."""
+        self._unused.pop(session, None)
+        self._used.pop(session, None)
+        self._idle.pop(session, None)
 
     # Commands
 
-    def received(self, now: float, place: ClientSession) -> None:
-        """Something has come on it."""
-        place.heard = now
-        if place in self._resting:
-            del self._resting[place]
-            self._note_back(True)
-        if place in self._new:  # it goes on: behind those that are silent
-            del self._new[place]
-            self._new[place] = None
-        if not place.begun and place.used:
-            place.since = now
-
-    def took(self, now: float, place: ClientSession, good: bool) -> None:
-        """A whole command has come: keep apart who makes use of the router and who wears it out."""
-        place.open += 1
-        if good:
-            place.bad, place.since, place.used = 0, now, True
-            known = place in self._new or place in self._used
-            self._new.pop(place, None)
-            self._used.pop(place, None)
-            if known:
-                self._used[place] = None
-        else:
-            place.bad += 1
-            place.ending = place.ending or place.bad >= MOST_BAD
-
-    def unread(self, now: float, place: ClientSession, unread: bool) -> None:
-        """It takes no more answers for now, or again."""
-        place.unread_since = now if unread else None
-
-    def settled(
-        self, place: ClientSession, written: int, begun: bool, closing: bool = False
+    def record_data(self, now: float, session: ClientSession) -> None:
+        """Note that bytes were received."""
+        session.last_received_at = now
+        if session in self._idle:
+            del self._idle[session]
+            self.retention.session_reused()
+        if session in self._unused:
+            del self._unused[session]
+            self._unused[session] = None
+        if not session.has_partial_command and session.has_been_used:
+            session.wait_started_at = now
+
+    def record_command(self, now: float, session: ClientSession, is_valid: bool) -> None:
+        """Note a complete command, and end a session that sends only invalid ones."""
+        session.pending_responses += 1
+        if is_valid:
+            session.consecutive_bad_commands = 0
+            session.wait_started_at = now
+            session.has_been_used = True
+            self._move_to_most_recently_used(session)
+            return
+        session.consecutive_bad_commands += 1
+        if session.consecutive_bad_commands >= MAX_CONSECUTIVE_BAD_COMMANDS:
+            session.end()
+
+    def _move_to_most_recently_used(self, session: ClientSession) -> None:
+        is_known = session in self._unused or session in self._used
+        self._unused.pop(session, None)
+        self._used.pop(session, None)
+        if is_known:
+            self._used[session] = None
+
+    def record_progress(
+        self,
+        session: ClientSession,
+        written: int,
+        has_partial_command: bool,
+        is_closing: bool = False,
     ) -> NextAction:
-        """Answers are written, and what has come is parsed as far as may be: what is due now.
+        """Note written responses and the parser's state, and return the action that is due.
 
-        `closing`: the host has closed it already, and is not yet told of its end.
+        Args:
+            session: The session whose input was parsed or whose responses were written.
+            written: Responses written since the last call.
+            has_partial_command: Whether the parser holds a part of a command.
+            is_closing: Whether the connection is closing already.
         """
-        place.open -= written
-        place.begun = begun
-        if place.more and place.takes_more():
+        session.pending_responses -= written
+        session.update_progress(has_partial_command)
+        if session.has_unparsed_input and session.accepts_commands:
             return NextAction.PARSE
-        if closing:
+        if is_closing:
             return NextAction.NOTHING
-        if place.open == 0 and place.ending:
-            return NextAction.FINISH
-        if place.idle() and not place.ending:
-            if self.draining or place.leaves:
-                return NextAction.CLOSE
-            if place in self._used:
-                self._resting[place] = None
-                self._looks = LOOKS
-                return NextAction.MAKE_WAY
+        if session.is_ending:
+            return NextAction.FINISH if session.pending_responses == 0 else NextAction.NOTHING
+        if session.is_idle:
+            return self._action_when_idle(session)
         return NextAction.NOTHING
 
-    def reads(self, place: ClientSession) -> bool:
-        """Guards memory against clients that send and never read, and CPU against what is not taken."""
-        return place.takes_more() and place.unread_since is None and not place.held_up
+    def _action_when_idle(self, session: ClientSession) -> NextAction:
+        if self.is_draining or session.is_migrating:
+            return NextAction.CLOSE
+        if session not in self._used:
+            return NextAction.NOTHING
+        self._idle[session] = None
+        self._eviction_checks_left = MAX_EVICTION_CHECKS
+        return NextAction.EVICT_IDLE
 
-    # Making way
+    # Eviction of idle sessions
 
-    def makes_way(self) -> ClientSession | None:
-        """Guards clients' own third of the descriptors: those that ask once and stay would use it up.
+    def next_idle_to_evict(self) -> ClientSession | None:
+        """Return the session that was idle for longest if too many are retained.
 
-        Clients that find no connection free open one, as far as their third of the descriptors goes. Where
-        resting ones fill it, the others are refused beside an idle router. The one used last always stays,
-        as its client most likely comes back to it. The host closes the one named if that crosses nothing,
-        and tells `gone` or `stays`; then it asks again.
+        The session used last is never evicted, as its client most likely uses it again. The
+        caller closes the returned one if no data would be lost and calls `remove`, or otherwise
+        calls `defer_eviction`, and then asks again.
         """
-        least = min(KEPT_LEAST, self.kept)
-        worth_keeping = max(least, round(self.kept * min(1.0, self._back / COMES_BACK)))
-        if len(self._used) <= worth_keeping or len(self._resting) <= 1 or self._looks <= 0:
+        is_within_limit = len(self._used) <= self.retention.session_limit()
+        if is_within_limit or len(self._idle) <= 1 or self._eviction_checks_left <= 0:
             return None
-        self._looks -= 1
-        longest = next(iter(self._resting))
-        self._note_back(False)
-        return longest
-
-    def _note_back(self, back: bool) -> None:
-        self._back += LEARNING * (back - self._back)
-
-    def stays(self, place: ClientSession) -> None:
-        """Closing it now would cross something."""
-        self._resting.move_to_end(place)
-
-    # Waiting
-
-    def fate(self, now: float, place: ClientSession) -> IdleVerdict:
-        """Guards descriptors and memory against clients that stop midway, never start, or stay for no use."""
-        if place.ending:
-            return IdleVerdict.KEEP
-        if place.unread_since is not None:
-            return IdleVerdict.ABORT if now - place.unread_since >= UNREAD else IdleVerdict.KEEP
-        if place.begun or not place.used:
-            # while it is not read or parsed it is we who are slow
-            waited = now - place.since
-            if place.long and waited < LONG_PATIENCE:  # it may take its time while it goes on
-                waited = now - max(place.since, place.heard)
-            slow = waited >= PATIENCE and not place.more and self.reads(place)
-            return IdleVerdict.TOO_LATE if slow else IdleVerdict.KEEP
-        return (
-            IdleVerdict.CLOSE if place.open == 0 and now - place.since >= IDLE else IdleVerdict.KEEP
-        )
-
-    def leaving(self, now: float, hurry: bool) -> list[ClientSession]:
-        """While the router ends: those with nothing in hand that it need not wait for any longer.
-
-        `hurry`: nobody else serves here, so that waiting for halves keeps all others from being served.
-        """
-        return [
-            p for p in self if p.open == 0 and (not p.begun or hurry or now - p.heard >= STALLED)
-        ]
-
-    def cut_short(self, place: ClientSession) -> None:
-        """It is to be told that its command came too late, behind what it is still owed."""
-        place.open += 1
-        place.ending = True
+        self._eviction_checks_left -= 1
+        self.retention.session_evicted()
+        return next(iter(self._idle))
+
+    def defer_eviction(self, session: ClientSession) -> None:
+        """Keep a session that can't be closed now without losing data."""
+        self._idle.move_to_end(session)
+
+    # Shutdown
+
+    def sessions_to_close(self, now: float, close_partial: bool) -> list[ClientSession]:
+        """Sessions that a graceful shutdown need not wait for any longer."""
+        return [one for one in self if may_close_for_shutdown(one, now, close_partial)]
--- a/ironrail/net/access_log_writer.py
+++ b/ironrail/net/access_log_writer.py
@@ -97,7 +97,7 @@
                 fields.get("t", ""),
                 command.key,
                 size or len(command.value or b""),
-                command.write,
+                command.is_write,
                 ended,
                 idempotency,
                 0.0 if hint is None else hint / 1e6,
--- a/ironrail/net/discovery/watcher.py
+++ b/ironrail/net/discovery/watcher.py
@@ -18,7 +18,7 @@
     DiscoveryClient,
     MalformedResponse,
 )
-from ironrail.net.io_timeout import READ_ON
+from ironrail.net.io_timeout import STALL_GRACE_SECONDS
 from ironrail.net.system import Address
 from ironrail.policy.endpoints import EndpointListKind, EndpointState
 from ironrail.policy.events import EndpointListUpdate
@@ -138,7 +138,7 @@
         if self._task is not None:
             loop = asyncio.get_running_loop()
             # behind whatever is ready then: the task may be about to take the news
-            self._anew = loop.call_later(READ_ON, loop.call_soon, self._list_anew)
+            self._anew = loop.call_later(STALL_GRACE_SECONDS, loop.call_soon, self._list_anew)
 
     def _list_anew(self) -> None:
         if self._anew is not None:  # not stopped meanwhile
--- a/ironrail/net/dispatch/dispatcher.py
+++ b/ironrail/net/dispatch/dispatcher.py
@@ -145,7 +145,7 @@
                 time_left,
                 command.key.decode(),
                 None if hint is None else hint / 1e6,
-                command.write,
+                command.is_write,
                 command.fields.get("t", ""),
             )
         )
@@ -243,7 +243,7 @@
         attempt = Attempt(name, len(held.attempts), now, until, held.command, self._on_outcome)
         attempt.begun, attempt.piece, attempt.wanted = self._on_begun, self._on_piece, self._wanted
         attempt.may_send = self._may_send
-        attempt.alone = held.command.write  # a repeat may not be harmless: its risks are its own
+        attempt.alone = held.command.is_write  # a repeat may not be harmless: its risks are its own
         attempt.server = action.server
         if held.attempts:
             self.diagnostics.retries.add(retry_reason(held.attempts[-1].outcome))
--- a/ironrail/net/dispatch/response_tracker.py
+++ b/ironrail/net/dispatch/response_tracker.py
@@ -151,7 +151,7 @@
                 held.command,
                 self._now() - held.taken_at,
                 ended,
-                0 if held.command.write else held.length,
+                0 if held.command.is_write else held.length,
             )
 
     # What the log and the metrics tell
@@ -217,7 +217,7 @@
         del self._open[attempt.request, attempt.number]
         attempt.outcome = status
         if attempt.lent:
-            self.room.give_back(attempt)
+            self.room.release(attempt)
         held = self._held.get(attempt.request)
         latency = self._now() - attempt.sent_at
         if held is not None and held.streaming is attempt:
@@ -251,7 +251,7 @@
         held = self._held.get(attempt.request)
         passage = None if held is None or held.streaming is not None else held.passage
         # guards memory against more long values at once than there is room for
-        if held is None or passage is None or not self.room.take(attempt, STREAM_ROOM):
+        if held is None or passage is None or not self.room.reserve(attempt, STREAM_ROOM):
             self._give_up(attempt.request, attempt.number, AttemptStatus.CANCELLED)
             return
         attempt.lent = True
@@ -260,7 +260,9 @@
         if attempt.timer is not None:
             attempt.timer.cancel()
         self._withdraw(held)
-        passage.begin(meta_codec.write_opening(held.command.request_id, length), connection.hold)
+        passage.begin(
+            meta_codec.write_value_header(held.command.request_id, length), connection.hold
+        )
         self._feed(StreamingStarted(attempt.request, attempt.number))
 
     def _on_piece(self, attempt: Attempt, data: bytes) -> None:
--- a/ironrail/net/downstream/client_listener.py
+++ b/ironrail/net/downstream/client_listener.py
@@ -1,182 +1,130 @@
-"""All client connections of a router: who comes, who goes, who makes way.
+"""Accepts client connections, checks their timeouts, and ends them at shutdown.
 
-Who is let in, read, waited for and sent away is decided in `connections/downstream/session_manager.py`.
+The rules for admission, eviction and timeouts are in `ironrail/connections/downstream`.
 """
 
 from __future__ import annotations
 
 import asyncio
-import logging
 import socket
 from collections.abc import Callable
-from typing import cast
 
-from ironrail.connections.downstream.descriptor_budget import MOST_ACCEPTS
-from ironrail.connections.downstream.lingering_close import LingeringCloseRegistry
-from ironrail.connections.downstream.session_manager import ClientSession, ClientSessionManager
+from ironrail.connections.downstream.descriptor_budget import MAX_ACCEPTS_PER_TURN
+from ironrail.connections.downstream.session_manager import ClientSessionManager
 from ironrail.diagnostics.reasons import ClientCloseReason
 from ironrail.net.dispatch.dispatcher import RequestDispatcher
-from ironrail.net.dispatch.pending_request import Reader
 from ironrail.net.downstream.client_connection import ClientConnection
-from ironrail.net.downstream.half_closed import HalfClosedConnection
+from ironrail.net.downstream.rejected_connection import RejectedConnection
+from ironrail.net.downstream.session_context import SessionContext
 from ironrail.net.listener import Acceptor
-from ironrail.net.protocol import meta_codec
 from ironrail.net.system import REAL, Address, System
 
-log = logging.getLogger(__name__)
-
-SWEEP = 0.25  # seconds between looks at all connections
-
-
-class RejectedConnection(asyncio.Protocol):
-    """A connection for which there is no room: told so. A close over what it has asked would destroy that."""
-
-    transport: asyncio.Transport
-
-    def __init__(self, clients: ClientListener) -> None:
-        self._clients = clients
-
-    def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        self.transport = cast(asyncio.Transport, transport)
-        self.transport.write(meta_codec.TOO_MANY)
-        self._shut = HalfClosedConnection(self.transport)
-        self._clients.lingers(self)
-
-    def data_received(self, data: bytes) -> None:
-        self._shut.dropped(len(data))
-
-    def connection_lost(self, exc: Exception | None) -> None:
-        self._clients.lingering.gone(self)
+TIMEOUT_CHECK_INTERVAL_SECONDS = 0.25
 
 
 class ClientListener:
-    """All client connections of this router."""
+    """The listener for clients, and all of their connections."""
 
     def __init__(
         self,
-        host: RequestDispatcher,
-        ready: Callable[[], bool],
-        places: ClientSessionManager,
+        dispatcher: RequestDispatcher,
+        is_ready: Callable[[], bool],
+        sessions: ClientSessionManager,
         system: System = REAL,
         *,
-        lingering: int,
-        accepts: int = MOST_ACCEPTS,
+        max_lingering: int,
+        accepts_per_turn: int = MAX_ACCEPTS_PER_TURN,
     ) -> None:
-        """`lingering`: connections that are shut and not yet closed; `accepts`: taken in one go."""
-        self.system = system
-        self.over = False
-        self.lingering, self._accepts = LingeringCloseRegistry(lingering), accepts
-        self.host, self._ready = host, ready
-        self.places = places
+        """Prepare to listen.
+
+        Args:
+            dispatcher: Takes the requests.
+            is_ready: Whether the router can serve requests, as far as its other parts know.
+            sessions: Decides on admission and eviction.
+            system: The clock and the sockets.
+            max_lingering: Connections that are shut down for writing and not yet closed.
+            accepts_per_turn: Connections accepted in one turn of the event loop.
+        """
+        self.context = SessionContext[ClientConnection](
+            dispatcher, is_ready, sessions, system, max_lingering
+        )
+        self.sessions = sessions
+        self._dispatcher = dispatcher
+        self._system = system
+        self._accepts_per_turn = accepts_per_turn
         self._loop = asyncio.get_running_loop()
-        self._connections: dict[ClientSession, ClientConnection] = {}
         self._opening: set[asyncio.Task[None]] = set()
-        # told apart where operators say so
-        self.reader: Callable[[asyncio.Transport], Reader] | None = None
-        self._empty = asyncio.Event()
-        self._empty.set()
 
     def listen(self, address: Address) -> Address:
-        """Take connections from now on; answers with the address listened on."""
-        self._acceptor = Acceptor(self.system, address, self._taken, self._accepts)
-        self._loop.call_later(SWEEP, self._sweep)
+        """Accept connections from now on, and return the address listened on."""
+        self._acceptor = Acceptor(self._system, address, self._accepted, self._accepts_per_turn)
+        self._loop.call_later(TIMEOUT_CHECK_INTERVAL_SECONDS, self._check_timeouts)
         return self._acceptor.address
 
-    def _taken(self, connection: socket.socket) -> None:
-        admission = self.places.arrived()
+    def stop_listening(self) -> None:
+        """Take the connections that the system has accepted already, and no more."""
+        self._acceptor.close()
+
+    def can_serve(self) -> bool:
+        """Whether clients may send requests."""
+        return self.context.can_serve()
+
+    def open_connections(self) -> list[ClientConnection]:
+        """The connections that are not closing, the oldest first."""
+        return self.context.open_connections()
+
+    def _accepted(self, connection: socket.socket) -> None:
+        admission = self.sessions.admit()
         if admission.evicted is not None:
-            self._connections[admission.evicted].shut(ClientCloseReason.EVICTED)
-        task = self._loop.create_task(self._adopt(connection, admission.admitted))
+            self.context.connections[admission.evicted].close(ClientCloseReason.EVICTED)
+        task = self._loop.create_task(self._open_connection(connection, admission.admitted))
         self._opening.add(task)
         task.add_done_callback(self._opening.discard)
 
-    async def _adopt(self, connection: socket.socket, admitted: bool) -> None:
-        make = ClientConnection if admitted else RejectedConnection
+    async def _open_connection(self, connection: socket.socket, admitted: bool) -> None:
+        protocol_class = ClientConnection if admitted else RejectedConnection
         try:
-            await self._loop.connect_accepted_socket(lambda: make(self), connection)
-        except OSError:  # it has ended already
+            await self._loop.connect_accepted_socket(
+                lambda: protocol_class(self.context), connection
+            )
+        except OSError:  # the client has closed it already
             if admitted:
-                self.places.not_opened()
+                self.sessions.cancel_admission()
             connection.close()
 
-    def let_in(self) -> None:
-        """Go on with those whose long value there is room for now."""
-        while (owner := self.host.room.next_in()) is not None:
-            cast(ClientConnection, owner).let_in()
-
-    def make_way(self) -> None:
-        """Shut those that rest for others, where that crosses nothing."""
-        while (longest := self.places.makes_way()) is not None:
-            connection = self._connections[longest]
-            if connection.clear():
-                connection.shut(ClientCloseReason.EVICTED)
-                self.places.gone(longest)  # also where it is closing already
-            else:
-                self.places.stays(longest)
-
-    def stop_listening(self) -> None:
-        """Take what the system has accepted already, and nothing more."""
-        self._acceptor.close()
-
-    def can_serve(self) -> bool:
-        return self._ready() and not self.places.draining
-
-    def add(self, connection: ClientConnection) -> ClientSession:
-        """A connection has come up."""
-        place = self.places.opened(self.system.now())
-        self._connections[place] = connection
-        self._empty.clear()
-        return place
-
-    def reader_of(self, transport: asyncio.Transport) -> Reader | None:
-        return self.reader(transport) if self.reader is not None else None
-
-    def all(self) -> list[ClientConnection]:
-        """All connections that are up and not shut, the oldest first."""
-        return [connection for connection in self._connections.values() if not connection.ends]
-
-    def lingers(self, connection: ClientConnection | RejectedConnection) -> None:
-        """It is shut, and waits for its other end to close: in nobody's place, but holding a descriptor."""
-        if isinstance(connection, ClientConnection):
-            self.places.gone(connection.place)
-        oldest = self.lingering.add(connection)
-        if oldest is not None:
-            cast(ClientConnection | RejectedConnection, oldest).transport.abort()
-
-    def remove(self, connection: ClientConnection) -> None:
-        """A connection has ended."""
-        self.places.gone(connection.place)
-        self.lingering.gone(connection)
-        self._connections.pop(connection.place, None)
-        if not self._connections:
-            self._empty.set()
-
-    def _sweep(self) -> None:
-        now = self.system.now()
-        for place in self.places:
-            if (
-                connection := self._connections.get(place)
-            ) is not None:  # one may make way for another
-                connection.check(now)
-        self._loop.call_later(SWEEP, self._sweep)
-
-    def drain(self) -> None:
-        """Close connections behind their next answer, when their clients have least to send."""
-        self.places.draining = True
-
-    def end_waiting(self, hurry: bool) -> None:
-        """Shut those that wait for a command, but where something has just come: behind its answer."""
-        for place in self.places.leaving(self.system.now(), hurry):
-            if (connection := self._connections.get(place)) is not None and connection.clear():
-                connection.shut(ClientCloseReason.SHUTDOWN)
-
-    def end_all(self) -> None:
-        """Time is up: all that is held has its answer now, and what is still read is refused at once."""
-        self.over = True
-        self.host.end_all()
-
-    async def drained(self) -> None:
-        """Wait until the last has closed."""
+    def _check_timeouts(self) -> None:
+        now = self._system.now()
+        for session in self.sessions:
+            # The check of one connection may evict another.
+            connection = self.context.connections.get(session)
+            if connection is not None:
+                connection.check_timeouts(now)
+        self._loop.call_later(TIMEOUT_CHECK_INTERVAL_SECONDS, self._check_timeouts)
+
+    # Graceful shutdown
+
+    def start_draining(self) -> None:
+        """Close each connection behind its next response, when its client has least to send."""
+        self.sessions.is_draining = True
+
+    def close_idle(self, close_partial: bool) -> None:
+        """Close connections that wait for a command, unless one has just been received.
+
+        Args:
+            close_partial: Whether to close those with a partial command too.
+        """
+        for session in self.sessions.sessions_to_close(self._system.now(), close_partial):
+            connection = self.context.connections.get(session)
+            if connection is not None and connection.can_close_cleanly():
+                connection.close(ClientCloseReason.SHUTDOWN)
+
+    def reject_all(self) -> None:
+        """Answer all requests in flight with an error now, and reject all that follow."""
+        self.context.rejects_all = True
+        self._dispatcher.end_all()
+
+    async def wait_closed(self) -> None:
+        """Wait until the last connection has closed."""
         if self._opening:
             await asyncio.wait(self._opening)
-        await self._empty.wait()
+        await self.context.wait_all_closed()
--- /dev/null
+++ b/ironrail/net/downstream/command_pipeline.py
@@ -0,0 +1,196 @@
+"""The pipelined commands of one connection: parsing, dispatch, and responses in order."""
+
+from __future__ import annotations
+
+import asyncio
+from collections import deque
+from typing import Any, Protocol
+
+from ironrail.connections.downstream.session_manager import NextAction
+from ironrail.net.downstream.response_slots import ResponseSlot, SlotConnection
+from ironrail.net.downstream.session_context import SessionContext
+from ironrail.net.protocol import meta_codec
+from ironrail.net.protocol.meta_codec import BadCommand, Command, CommandParser, Noop
+
+
+class PipelineConnection(SlotConnection, Protocol):
+    """What a pipeline needs of its connection."""
+
+    @property
+    def is_closing(self) -> bool:
+        """Whether the connection is closing or half closed."""
+
+    def perform(self, action: NextAction) -> None:
+        """Do what is due once responses are written."""
+
+    def update_reading(self) -> None:
+        """Pause or resume reading, as the session's state requires."""
+
+
+class CommandPipeline:
+    """The commands of one connection whose responses are not written."""
+
+    def __init__(self, context: SessionContext[Any], connection: PipelineConnection) -> None:
+        """Begin without commands."""
+        self._context = context
+        self._connection = connection
+        self._parser = CommandParser()
+        self._slots: deque[ResponseSlot] = deque()
+        self._is_parsing = False
+        self.is_parse_scheduled = False
+        """Whether buffered input is parsed in the next turn of the event loop."""
+
+    # Commands
+
+    def feed(self, data: bytes) -> None:
+        """Take received bytes, and handle the commands that they complete."""
+        self._parser.feed(data)
+        self._parse()
+
+    def _parse(self) -> None:
+        """Handle complete commands up to the limit.
+
+        Others wait for the next turn, as one client would delay all others otherwise.
+        """
+        self.is_parse_scheduled = False
+        session = self._connection.session
+        if session.is_ending:
+            return
+        self._is_parsing = True
+        session.has_unparsed_input = False
+        while not session.is_ending:
+            if not session.accepts_commands:
+                session.has_unparsed_input = True
+                break
+            item = self._parser.next_command()
+            if item is None:
+                self._reserve_value_memory()
+                break
+            self._handle(item)
+        self._is_parsing = False
+        self.flush()
+
+    def _reserve_value_memory(self) -> None:
+        """Reserve memory for a long value, which is read once there is enough for all of it."""
+        session = self._connection.session
+        size = self._parser.long_value_bytes
+        if not size or session.has_long_value:
+            return
+        memory = self._context.dispatcher.room
+        is_reserved = memory.reserve(self, size)
+        if not is_reserved:
+            memory.wait(self, size)
+        session.long_value_started(self._context.system.now(), is_reserved)
+
+    def memory_granted(self) -> None:
+        """Read the long value that had to wait for memory."""
+        self._connection.session.memory_granted(self._context.system.now())
+        self._connection.update_reading()
+
+    def _handle(self, item: Command | Noop | BadCommand) -> None:
+        slot = ResponseSlot(self._connection, self)
+        self._slots.append(slot)
+        session = self._connection.session
+        if session.has_long_value:
+            session.long_value_received()
+            self._context.dispatcher.room.transfer(self, slot)
+            slot.holds_memory = True
+        is_valid = self._respond_or_dispatch(item, slot)
+        self._context.sessions.record_command(self._context.system.now(), session, is_valid)
+        if isinstance(item, BadCommand) and item.is_fatal:
+            session.end()
+
+    def _respond_or_dispatch(self, item: Command | Noop | BadCommand, slot: ResponseSlot) -> bool:
+        """Answer a command at once or dispatch it, and return whether it is valid."""
+        match item:
+            case Command() if self._context.rejects_all:
+                slot.response = meta_codec.write_busy(None)
+            case Command():
+                slot.request_id = self._context.dispatcher.take(item, slot.complete, slot)
+                return slot.request_id is not None
+            case Noop():
+                can_serve = self._context.can_serve()
+                slot.response = meta_codec.READY if can_serve else meta_codec.NOT_READY
+            case BadCommand():
+                slot.response = item.response
+                return False
+        return True
+
+    def reject_partial_command(self) -> None:
+        """Send an error for a command that is not complete in time, behind other responses."""
+        self._connection.session.reject_partial_command()
+        self._slots.append(ResponseSlot(self._connection, self, meta_codec.COMMAND_TIMEOUT))
+        self.flush()
+
+    def unanswered_requests(self) -> list[str]:
+        """Ids of the requests that were dispatched and have no response."""
+        return [
+            slot.request_id
+            for slot in self._slots
+            if slot.request_id is not None and slot.response is None
+        ]
+
+    def cancel_requests(self) -> None:
+        """Cancel all requests once, as the client may reuse their ids on another connection."""
+        dispatcher = self._context.dispatcher
+        slots = self._slots
+        self._slots = deque()
+        for slot in slots:
+            dispatcher.room.release(slot)
+            if slot.request_id is not None and slot.response is None:
+                dispatcher.gone(slot.request_id)
+        dispatcher.room.release(self)
+        self._context.grant_memory()
+
+    # Responses
+
+    def is_next(self, slot: ResponseSlot) -> bool:
+        """Whether all responses before this one are written."""
+        return slot is self._slots[0] and not self._is_parsing
+
+    def response_completed(self, slot: ResponseSlot) -> None:
+        """Write a complete response if it is its turn, and release the memory of its command."""
+        if self.is_next(slot):
+            self.flush()
+        if slot.holds_memory:
+            self._context.dispatcher.room.release(slot)
+            self._context.grant_memory()
+
+    def update_flow_control(self) -> None:
+        """Pause or resume the server whose response is being streamed."""
+        if self._slots:
+            self._slots[0].update_flow_control()
+
+    def flush(self) -> None:
+        """Write the responses whose turn it is, and do what is due then."""
+        written = self._write_ready()
+        if self._slots and self._slots[0].is_streaming:
+            self._slots[0].update_flow_control()
+        session = self._connection.session
+        action = self._context.sessions.record_progress(
+            session, written, self._parser.has_partial_command, self._connection.is_closing
+        )
+        if action is NextAction.PARSE:
+            session.has_unparsed_input = False
+            self.is_parse_scheduled = True
+            asyncio.get_running_loop().call_soon(self._parse)
+        elif action is not NextAction.NOTHING:
+            self._connection.perform(action)
+        self._connection.update_reading()
+
+    def _write_ready(self) -> int:
+        """Write the responses whose turn it is, and return how many are complete."""
+        ready: list[bytes] = []
+        written = 0
+        while self._slots:
+            slot = self._slots[0]
+            if slot.is_streaming:
+                ready += slot.take_buffered()
+            if slot.response is None:
+                break
+            ready.append(slot.response)
+            self._slots.popleft()
+            written += 1
+        if ready:
+            self._connection.transport.write(b"".join(ready))
+        return written
--- a/ironrail/net/downstream/half_closed.py
+++ b/ironrail/net/downstream/half_closed.py
@@ -1,48 +1,54 @@
-"""A connection that is shut: it says so behind what is written, drops what still comes, and closes last.
+"""The orderly close of a connection: shut down for writing, drop what still arrives, close.
 
-A close while something is unread, or just comes, is a reset, which destroys answers under way.
+A close while input is unread, or arrives just then, resets the connection, which destroys
+responses that are still under way.
 """
 
 from __future__ import annotations
 
 import asyncio
 
-from ironrail.connections.downstream.lingering_close import LINGER, MOST_DISCARDED
-from ironrail.connections.downstream.session_manager import UNREAD
+from ironrail.connections.downstream.lingering_close import LINGER_SECONDS, MAX_DISCARDED_BYTES
+from ironrail.connections.downstream.session_timeouts import UNREAD_RESPONSE_TIMEOUT_SECONDS
 
 
 class HalfClosedConnection:
-    """The end of one connection, from its shutdown to its close."""
+    """One connection between its shutdown for writing and its close."""
 
-    def __init__(self, transport: asyncio.Transport, *, ended: bool = False) -> None:
-        """`ended`: the other end sends no more."""
+    def __init__(self, transport: asyncio.Transport, *, peer_closed: bool = False) -> None:
+        """Shut the transport down behind what is written.
+
+        Args:
+            transport: The connection.
+            peer_closed: Whether the client sends nothing more.
+        """
         self._transport = transport
         self._loop = asyncio.get_running_loop()
-        self._since = self._loop.time()
-        self._left = MOST_DISCARDED
-        # What was read before the system is told of the shutdown would have been taken: nothing is, until
-        # the loop, which tells it when it comes round, has come round.
+        self._started_at = self._loop.time()
+        self._bytes_to_discard = MAX_DISCARDED_BYTES
+        # The event loop shuts the socket down in its next turn only. A command read before that
+        # would be dropped although the client may take it for accepted.
         transport.pause_reading()
         transport.write_eof()
-        if not ended:
-            self._loop.call_soon(self._read_on)
-        self._loop.call_later(LINGER, self._over)
+        if not peer_closed:
+            self._loop.call_soon(self._resume_reading)
+        self._loop.call_later(LINGER_SECONDS, self._close_or_wait)
 
-    def _read_on(self) -> None:
+    def _resume_reading(self) -> None:
         if not self._transport.is_closing():
             self._transport.resume_reading()
 
-    def dropped(self, size: int) -> None:
-        """So many bytes came, and are nobody's any more; not endlessly many, which would cost CPU."""
-        self._left -= size
-        if self._left <= 0 and not self._transport.is_closing():
+    def discard(self, size: int) -> None:
+        """Drop received bytes, up to a limit that bounds the CPU they cost."""
+        self._bytes_to_discard -= size
+        if self._bytes_to_discard <= 0 and not self._transport.is_closing():
             self._transport.pause_reading()
 
-    def _over(self) -> None:
-        """The other end has not closed: wait only for one that still takes what it is owed."""
-        transport = self._transport
-        waits = not transport.is_closing() and transport.get_write_buffer_size() > 0
-        if waits and self._loop.time() - self._since < UNREAD:
-            self._loop.call_later(LINGER, self._over)
+    def _close_or_wait(self) -> None:
+        """Close the connection unless the client may still take responses."""
+        has_unsent = not self._transport.is_closing() and self._transport.get_write_buffer_size()
+        waited_seconds = self._loop.time() - self._started_at
+        if has_unsent and waited_seconds < UNREAD_RESPONSE_TIMEOUT_SECONDS:
+            self._loop.call_later(LINGER_SECONDS, self._close_or_wait)
         else:
-            transport.abort()
+            self._transport.abort()
--- /dev/null
+++ b/ironrail/net/downstream/rejected_connection.py
@@ -0,0 +1,35 @@
+"""A connection that is rejected for lack of descriptors."""
+
+from __future__ import annotations
+
+import asyncio
+from typing import Any, cast
+
+from ironrail.net.downstream.half_closed import HalfClosedConnection
+from ironrail.net.downstream.session_context import SessionContext
+from ironrail.net.protocol import meta_codec
+
+
+class RejectedConnection(asyncio.Protocol):
+    """Sends an error and lingers: a close at once could destroy the error by a reset."""
+
+    transport: asyncio.Transport
+
+    def __init__(self, context: SessionContext[Any]) -> None:
+        """Wait for `connection_made`."""
+        self._context = context
+
+    def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Send the error, and shut the connection down."""
+        self.transport = cast(asyncio.Transport, transport)  # uvloop's is no subclass
+        self.transport.write(meta_codec.TOO_MANY_CONNECTIONS)
+        self._half_closed = HalfClosedConnection(self.transport)
+        self._context.start_linger(self)
+
+    def data_received(self, data: bytes) -> None:
+        """Drop what the client sends."""
+        self._half_closed.discard(len(data))
+
+    def connection_lost(self, exc: Exception | None) -> None:
+        """Forget the connection."""
+        self._context.lingering.remove(self)
--- a/ironrail/net/downstream/response_slots.py
+++ b/ironrail/net/downstream/response_slots.py
@@ -1,4 +1,4 @@
-"""The places of answers on one client's connection: they go out in the order of the commands."""
+"""The slots of pipelined responses, which are written in the order of their commands."""
 
 from __future__ import annotations
 
@@ -6,95 +6,128 @@
 from collections.abc import Callable
 from typing import Protocol
 
-from ironrail.connections.downstream.session_manager import ClientSession
+from ironrail.connections.downstream.client_session import ClientSession
 from ironrail.net.dispatch.pending_request import Reader
 from ironrail.net.protocol import meta_codec
 
-WAITING = 64 * 1024  # bytes of a long value that may wait for the answers before it
+MAX_BUFFERED_BYTES = 64 * 1024
+"""Of a streamed response that waits for earlier ones: at that, its server is paused."""
 
 
-class Line(Protocol):
-    """The connection that a slot stands on."""
+class SlotConnection(Protocol):
+    """What a slot needs of its connection."""
 
     transport: asyncio.Transport
-    place: ClientSession
+    session: ClientSession
     reader: Reader | None
     arrived_at: float | None
 
-    def turn_of(self, slot: ResponseSlot) -> bool:
-        """Whether all answers before this one are written."""
+    def has_left(self, waited: bool) -> bool:
+        """Whether the client has gone, as far as the system knows."""
 
-    def answered(self, slot: ResponseSlot) -> None:
-        """An answer is whole."""
 
-    def left(self, waited: bool) -> bool:
-        """Whether the client has gone, told or not."""
+class SlotQueue(Protocol):
+    """What a slot needs of the queue that it is in."""
 
+    def is_next(self, slot: ResponseSlot) -> bool:
+        """Whether all responses before this one are written."""
 
-class ResponseSlot:
-    """The place of one command's answer, which may come at once or as a long value in pieces."""
+    def response_completed(self, slot: ResponseSlot) -> None:
+        """Write a complete response once it is its turn."""
 
-    __slots__ = ("answer", "_connection", "_hold", "_pieces", "_waiting", "has_room", "request")
 
-    def __init__(self, connection: Line, answer: bytes | None = None) -> None:
+class ResponseSlot:
+    """The response to one command, which is complete at once or a long value in chunks."""
+
+    __slots__ = (
+        "_buffered",
+        "_buffered_bytes",
+        "_connection",
+        "_pause_server",
+        "_queue",
+        "holds_memory",
+        "request_id",
+        "response",
+    )
+
+    def __init__(
+        self,
+        connection: SlotConnection,
+        queue: SlotQueue,
+        response: bytes | None = None,
+    ) -> None:
+        """Wait for the response, unless it is known already."""
         self._connection = connection
-        self.request: str | None = None
-        self.answer = answer
-        self.has_room = False  # for the long value of its command
-        self._hold: Callable[[bool], None] | None = None
-        self._pieces: list[bytes] = []  # that wait for the answers before this one
-        self._waiting = 0  # bytes of them
+        self._queue = queue
+        self.request_id: str | None = None
+        self.response = response
+        self.holds_memory = False
+        self._pause_server: Callable[[bool], None] | None = None
+        self._buffered: list[bytes] = []
+        self._buffered_bytes = 0
 
     @property
     def reader(self) -> Reader | None:
+        """The client at the other end, where regions are told apart."""
         return self._connection.reader
 
     @property
     def arrived_at(self) -> float | None:
+        """When the command may have arrived at the earliest; None if that was not just now."""
         return self._connection.arrived_at
 
     def left(self, waited: bool) -> bool:
-        return self._connection.left(waited)
+        """Whether the client has gone; `waited`: time has passed since its command was read."""
+        return self._connection.has_left(waited)
+
+    def complete(self, response: bytes) -> None:
+        """Take the complete response."""
+        self.response = response
+        self._queue.response_completed(self)
 
-    def give(self, answer: bytes) -> None:
-        """The whole answer."""
-        self.answer = answer
-        self._connection.answered(self)
+    # A long value in chunks
 
     def begin(self, head: bytes, hold: Callable[[bool], None]) -> None:
-        self._hold = hold
+        """Take the header of a long value; `hold` pauses or resumes the server."""
+        self._pause_server = hold
         self.more(head)
 
     def more(self, data: bytes) -> None:
-        if self._connection.turn_of(self):
+        """Write a chunk, or buffer it behind earlier responses."""
+        if self._queue.is_next(self):
             self._connection.transport.write(data)
         else:
-            self._pieces.append(data)
-            self._waiting += len(data)
-        self.throttle()
+            self._buffered.append(data)
+            self._buffered_bytes += len(data)
+        self.update_flow_control()
 
     def finish(self) -> None:
-        if self._hold is not None:  # the server's connection goes on to other requests
-            self._hold(False)
-        self._hold = None
-        self.give(meta_codec.LINE_END)
+        """End a long value that is complete."""
+        if self._pause_server is not None:
+            self._pause_server(False)  # its connection goes on with other requests
+        self._pause_server = None
+        self.complete(meta_codec.LINE_END)
 
     def cut(self) -> None:
-        """Guards the client against taking a part for the whole."""
-        self._hold = None
+        """Abort the connection, as the client would take a partial value for a complete one."""
+        self._pause_server = None
         self._connection.transport.abort()
 
     @property
-    def passes_on(self) -> bool:
-        """Whether it has to do with a long value."""
-        return self._hold is not None or bool(self._pieces)
-
-    def take_pieces(self) -> list[bytes]:
-        """What waited for its turn, which has come."""
-        pieces, self._pieces, self._waiting = self._pieces, [], 0
-        return pieces
-
-    def throttle(self) -> None:
-        """Guards memory: what the client does not take is not read from its server."""
-        if self._hold is not None:
-            self._hold(self._connection.place.unread_since is not None or self._waiting >= WAITING)
+    def is_streaming(self) -> bool:
+        """Whether the response is a long value with chunks to come or buffered."""
+        return self._pause_server is not None or bool(self._buffered)
+
+    def take_buffered(self) -> list[bytes]:
+        """Take the chunks that waited for earlier responses."""
+        chunks = self._buffered
+        self._buffered = []
+        self._buffered_bytes = 0
+        return chunks
+
+    def update_flow_control(self) -> None:
+        """Pause the server while the client takes nothing or too much is buffered."""
+        if self._pause_server is None:
+            return
+        is_unread = self._connection.session.responses_unread_since is not None
+        self._pause_server(is_unread or self._buffered_bytes >= MAX_BUFFERED_BYTES)
--- a/ironrail/net/io_timeout.py
+++ b/ironrail/net/io_timeout.py
@@ -1,7 +1,7 @@
-"""A time limit that spares what came while the process stood still.
+"""A timeout on I/O that allows for stalls of the process itself.
 
-Timers are looked at before sockets. After a process stood still a limit would end what has long been there to
-be read: a connection that came up, an answer of discovery.
+The event loop runs timers before it polls sockets. After a stall a plain timeout would cancel an
+operation whose result has been readable for long.
 """
 
 from __future__ import annotations
@@ -10,25 +10,35 @@
 from collections.abc import AsyncIterator
 from contextlib import asynccontextmanager
 
-STOOD_STILL = 0.01  # seconds by which a timer comes late where it was the process that stood still
-READ_ON = 0.05  # seconds, then, to take what has come meanwhile
+STALL_THRESHOLD_SECONDS = 0.01
+"""Delay of a timer from which on the process is taken to have stalled."""
+
+STALL_GRACE_SECONDS = 0.05
+"""To read what arrived during a stall."""
 
 
 @asynccontextmanager
 async def io_timeout(seconds: float) -> AsyncIterator[None]:
-    """Let the body take so long. TimeoutError if it takes longer, by no fault of this process."""
+    """Limit the time of the body.
+
+    Raises:
+        TimeoutError: The body takes longer, and not because of a stall of the process.
+    """
     loop = asyncio.get_running_loop()
-    async with asyncio.timeout(None) as limit:
+    async with asyncio.timeout(None) as timeout:
         due = loop.time() + seconds
-        timer = loop.call_at(due, overdue, loop, limit, due)
+        timer = loop.call_at(due, on_timeout_due, loop, timeout, due)
         try:
             yield
-        finally:  # now: a timer that is due in the same turn would find the limit ended
+        finally:
+            # A timer that is due in this turn must not find the timeout ended.
             timer.cancel()
 
 
-def overdue(loop: asyncio.AbstractEventLoop, limit: asyncio.Timeout, due: float) -> None:
-    """A limit is due: now, or a little later where it was the process that stood still."""
+def on_timeout_due(loop: asyncio.AbstractEventLoop, timeout: asyncio.Timeout, due: float) -> None:
+    """Expire a timeout now, or after a grace period if the process has stalled."""
     now = loop.time()
-    if not limit.expired():
-        limit.reschedule(now + READ_ON if now - due > STOOD_STILL else now)
+    if timeout.expired():
+        return
+    has_stalled = now - due > STALL_THRESHOLD_SECONDS
+    timeout.reschedule(now + STALL_GRACE_SECONDS if has_stalled else now)
--- a/ironrail/net/lifecycle/graceful_shutdown.py
+++ b/ironrail/net/lifecycle/graceful_shutdown.py
@@ -69,14 +69,14 @@
     clients.stop_listening()
     alone = not served()
     await asyncio.sleep(began + steps.rest - now())
-    drained = asyncio.create_task(clients.drained())
+    drained = asyncio.create_task(clients.wait_closed())
     while not drained.done() and (left := began + steps.answers - now()) > 0:
-        clients.end_waiting(alone and now() - began >= steps.halves)
+        clients.close_idle(alone and now() - began >= steps.halves)
         await asyncio.wait([drained], timeout=max(LAST_LOOK, min(LOOK, left)))
     if not drained.done():
         log.warning("clients_stay_to_the_last")
-        clients.end_all()
+        clients.reject_all()
     while not drained.done() and now() - began < steps.end:
-        clients.end_waiting(hurry=True)
+        clients.close_idle(close_partial=True)
         await asyncio.wait([drained], timeout=LAST_LOOK)
     drained.cancel()
--- a/ironrail/net/lifecycle/node.py
+++ b/ironrail/net/lifecycle/node.py
@@ -13,7 +13,7 @@
 from typing import TYPE_CHECKING
 
 from ironrail.admin.calls import Answer, Page, Post
-from ironrail.connections.downstream.descriptor_budget import share_descriptors
+from ironrail.connections.downstream.descriptor_budget import allocate_descriptors
 from ironrail.connections.downstream.memory_budget import MemoryBudget
 from ironrail.connections.downstream.session_manager import ClientSessionManager
 from ironrail.diagnostics.daemon import DaemonDiagnostics
@@ -78,7 +78,7 @@
         self._listed, self._listening = asyncio.Event(), False
         self._late: asyncio.Task[None] | None = None
         self._told_at: float | None = None  # when it was told to end, at the earliest
-        shares = share_descriptors(config.sockets)
+        shares = allocate_descriptors(config.sockets)
         room = MemoryBudget(max(LEAST_ROOM, (config.memory - OWN_MEMORY) // 2))
         self._access: AccessLogRecorder | None = None
         if operator.access_log is not None:
@@ -101,10 +101,10 @@
         self._clients = ClientListener(
             self._host,
             self._can_serve,
-            ClientSessionManager(shares.clients, shares.kept),
+            ClientSessionManager(shares.clients, shares.retained_clients),
             system,
-            lingering=shares.lingering,
-            accepts=shares.accepts,
+            max_lingering=shares.lingering,
+            accepts_per_turn=shares.accepts_per_turn,
         )
         self.together: PeerRuntime | None = None
         if operator.peers is not None:
@@ -135,7 +135,7 @@
         Where another process serves there, clients are taken only once the list is read.
         """
         address = self._config.listen
-        if self._system.served(address):
+        if self._system.is_served(address):
             self._late = asyncio.create_task(self._take_over())
         else:
             address = self._listen()
@@ -177,7 +177,7 @@
     def _ready(self) -> Answer:
         if self._listening and self._clients.can_serve():
             return Answer(200, b"ready\n")
-        return Answer(503, b"stopping\n" if self._clients.places.draining else b"not ready\n")
+        return Answer(503, b"stopping\n" if self._clients.sessions.is_draining else b"not ready\n")
 
     def _metrics(self) -> Answer:
         return Answer(200, self._host.metrics())
@@ -201,7 +201,7 @@
             await self.together.open()
         self.start()
         log.info("listening", extra={"address": "{}:{}".format(*self._config.listen)})
-        self._system.settled()
+        self._system.startup_complete()
         waits = asyncio.create_task(told.wait())
         if self._late is not None:
             await asyncio.wait([waits, self._late], return_when=asyncio.FIRST_COMPLETED)
@@ -213,11 +213,11 @@
 
     async def stop(self) -> None:
         """Take what still comes, answer all that is held, and end."""
-        self._clients.drain()
+        self._clients.start_draining()
         if self._late is not None:
             self._late.cancel()
         if self._listening:
-            served = partial(self._system.served, self._config.listen)
+            served = partial(self._system.is_served, self._config.listen)
             await shut_down_gracefully(
                 self._clients, self._config.settings, self._system.now, served, self._told_at
             )
@@ -229,7 +229,7 @@
 
     def reload(self) -> None:
         """Read the configuration again: discovery may have moved, all else holds until a restart."""
-        if self._clients.places.draining:  # its end is near, and nothing is begun anew
+        if self._clients.sessions.is_draining:  # its end is near, and nothing is begun anew
             log.info("configuration_stays", extra={"error": "the router ends"})
             return
         try:
--- a/ironrail/net/peers/link_evidence.py
+++ b/ironrail/net/peers/link_evidence.py
@@ -64,12 +64,12 @@
     def measure(self, clients: ClientListener) -> None:
         """Round trips of a few connections in turn, of those on which something came since the last look."""
         if not self._waiting:
-            self._waiting.extend(clients.all())
+            self._waiting.extend(clients.open_connections())
         now, asked = self._system.now(), 0
         for _ in range(min(PASSED_OVER, len(self._waiting))):
             connection = self._waiting.popleft()
             one = connection.reader
-            if not isinstance(one, One) or connection.place.heard <= one.looked:
+            if not isinstance(one, One) or connection.session.last_received_at <= one.looked:
                 continue
             seconds = self._system.round_trip(connection.transport)
             if seconds is not None:
--- a/ironrail/net/peers/readers.py
+++ b/ironrail/net/peers/readers.py
@@ -14,6 +14,7 @@
 import orjson
 
 from ironrail.admin.calls import Answer, Page
+from ironrail.diagnostics.reasons import ClientCloseReason
 from ironrail.errors import InputError, IronrailError, RefusedError
 from ironrail.net.peers.link_evidence import Evidence, One
 from ironrail.operator_file import Operator
@@ -93,7 +94,7 @@
     def serve(self, clients: ClientListener) -> None:
         """Those whose requests come to this router."""
         self._clients = clients
-        clients.reader = self._evidence.one
+        clients.context.identify_reader = self._evidence.one
         self._timer = asyncio.get_running_loop().call_later(TICK, self._tick)
 
     def close(self) -> None:
@@ -122,7 +123,7 @@
         assert clients is not None
         self._evidence.measure(clients)
         self._follow(now)
-        if self._rows and not clients.places.draining:
+        if self._rows and not clients.sessions.is_draining:
             self._move(now, clients)
         if self._turn is not None and self._turn.due(now):
             self._steer(now)
@@ -169,29 +170,31 @@
         _, halls = self._known(now)
         takes = takes_more(halls)
         for connection, (to, since) in list(self._leaving.items()):
-            gone = connection.ends
-            self.let_go += gone and connection.place.left
+            gone = connection.is_closing
+            self.let_go += gone and (connection.close_reason is ClientCloseReason.MIGRATED)
             if gone or now - since >= LEAVING or not takes.get(to, False):
                 self._stays(connection)
         if not self._to_move:
-            self._to_move.extend(clients.all())
+            self._to_move.extend(clients.open_connections())
         resting: list[Resting] = []
         looked = [self._to_move.popleft() for _ in range(min(LOOKED_AT, len(self._to_move)))]
         for number, connection in enumerate(looked):
-            one, at = connection.reader, connection.place
+            one, at = connection.reader, connection.session
             if isinstance(one, One) and one.region in self._rows and connection not in self._leaving:
-                owed = not at.idle() or not at.used or at.unread_since is not None
-                resting.append(Resting(number, one.region, one.client, owed, now - at.heard, one.opened))
+                owed = not at.is_idle or not at.has_been_used or at.responses_unread_since is not None
+                resting.append(
+                    Resting(number, one.region, one.client, owed, now - at.last_received_at, one.opened)
+                )
         if not resting:
             return
         by_number = {one.number: one for one in resting}
         for number in self._carrier.let_go(now, self._rows, resting, takes):
             which, connection = by_number[number], looked[number]
-            connection.place.leaves = True
+            connection.session.start_migration()
             self._leaving[connection] = place(self._rows[which.region], which.client) or "", now
 
     def _stays(self, connection: ClientConnection) -> None:
-        connection.place.leaves = False
+        connection.session.cancel_migration()
         del self._leaving[connection]
 
     def _steer(self, now: float) -> None:
--- a/ironrail/net/protocol/commands.py
+++ b/ironrail/net/protocol/commands.py
@@ -5,10 +5,16 @@
 from dataclasses import dataclass
 
 from ironrail.net.protocol.fields import is_printable, read_fields
-from ironrail.net.protocol.framing import MAX_LINE, SHORT, Buffer, FramingError, read_length
+from ironrail.net.protocol.framing import (
+    MAX_BUFFERED_VALUE_BYTES,
+    MAX_LINE_BYTES,
+    FramingError,
+    ReceiveBuffer,
+    read_length,
+)
 
-MAX_KEY = 250
-UNKNOWN = b"ERROR\r\n"  # the answer to what is no command
+MAX_KEY_BYTES = 250
+UNKNOWN_COMMAND = b"ERROR\r\n"  # the answer to what is no command
 
 
 @dataclass(slots=True, frozen=True)
@@ -22,7 +28,7 @@
     value: bytes | None  # None for a read
 
     @property
-    def write(self) -> bool:
+    def is_write(self) -> bool:
         return self.value is not None
 
 
@@ -35,8 +41,8 @@
 class BadCommand:
     """Something that gets `answer` and goes no further; the connection ends where framing is lost."""
 
-    answer: bytes
-    fatal: bool = False
+    response: bytes
+    is_fatal: bool = False
 
 
 def _bad(reason: object, fatal: bool = False) -> BadCommand:
@@ -46,7 +52,7 @@
 def _read_command(words: list[bytes], value: bytes | None) -> Command:
     """Check the words of an `mg` or `ms` line; a ValueError tells what is wrong."""
     flags = words[2 if value is None else 3 :]
-    if not is_printable(words[1], MAX_KEY):
+    if not is_printable(words[1], MAX_KEY_BYTES):
         raise ValueError("bad key")
     given = {flag[:1]: flag[1:] for flag in flags}
     # guards against flags that would change what an answer looks like
@@ -55,9 +61,9 @@
     ):
         raise ValueError("bad flags")
     # guards against bytes that would not fit into the headers for the origin
-    if not (is_printable(given[b"O"], 64) and is_printable(given[b"P"], MAX_LINE)) or given.get(
-        b"v"
-    ):
+    if not (
+        is_printable(given[b"O"], 64) and is_printable(given[b"P"], MAX_LINE_BYTES)
+    ) or given.get(b"v"):
         raise ValueError("bad flags")
     fields = read_fields(given[b"P"])
     for name in ("c", "d"):
@@ -70,25 +76,25 @@
     """What clients send."""
 
     def __init__(self) -> None:
-        self._buffer = Buffer()
+        self._buffer = ReceiveBuffer()
         # an `ms` line whose value is still to come: its words, and the bytes of that value
         self._pending: tuple[list[bytes], int] | None = None
 
     @property
-    def begun(self) -> bool:
+    def has_partial_command(self) -> bool:
         """Whether a part of a command has come."""
         return self._pending is not None or len(self._buffer) > 0
 
     @property
-    def long(self) -> int:
+    def long_value_bytes(self) -> int:
         """Bytes of the value that is to come, if it is a long one; else 0."""
         length = 0 if self._pending is None else self._pending[1]
-        return length if length > SHORT else 0
+        return length if length > MAX_BUFFERED_VALUE_BYTES else 0
 
-    def add(self, data: bytes) -> None:
-        self._buffer.add(data)
+    def feed(self, data: bytes) -> None:
+        self._buffer.append(data)
 
-    def next(self) -> Command | Noop | BadCommand | None:
+    def next_command(self) -> Command | Noop | BadCommand | None:
         """Take what is whole; after a fatal one nothing more makes sense."""
         try:
             return self._next()
@@ -98,7 +104,7 @@
     def _next(self) -> Command | Noop | BadCommand | None:
         if self._pending is not None:
             return self._finish_write(*self._pending)
-        line = self._buffer.line()
+        line = self._buffer.take_line()
         if line is None:
             return None
         words = line.split(b" ")
@@ -114,10 +120,10 @@
                 return _bad("bad command line")
             case b"ms":  # no length: where the value ends is not known
                 return _bad("bad command line", fatal=True)
-        return BadCommand(UNKNOWN)
+        return BadCommand(UNKNOWN_COMMAND)
 
     def _finish_write(self, words: list[bytes], length: int) -> Command | BadCommand | None:
-        value = self._buffer.block(length)
+        value = self._buffer.take_block(length)
         if value is None:
             return None
         self._pending = None
--- a/ironrail/net/protocol/framing.py
+++ b/ironrail/net/protocol/framing.py
@@ -2,18 +2,18 @@
 
 from __future__ import annotations
 
-MAX_VALUE = 4 * 1024 * 1024
-SHORT = (
+MAX_VALUE_BYTES = 4 * 1024 * 1024
+MAX_BUFFERED_VALUE_BYTES = (
     64 * 1024
 )  # bytes of a value up to which it is kept whole; a longer one is passed on in pieces
-MAX_LINE = 4096
+MAX_LINE_BYTES = 4096
 
 
 class FramingError(ValueError):
     """Bytes after which the start of the next message is not known."""
 
 
-class Buffer:
+class ReceiveBuffer:
     """Bytes not yet used, with a bound on a line."""
 
     def __init__(self) -> None:
@@ -22,27 +22,27 @@
     def __len__(self) -> int:
         return len(self._data)
 
-    def add(self, data: bytes) -> None:
+    def append(self, data: bytes) -> None:
         self._data += data
 
-    def line(self) -> bytes | None:
+    def take_line(self) -> bytes | None:
         """Take the next line, without its end; None until it is whole."""
-        end = self._data.find(b"\r\n", 0, MAX_LINE + 2)
+        end = self._data.find(b"\r\n", 0, MAX_LINE_BYTES + 2)
         if end < 0:
-            if len(self._data) > MAX_LINE:  # guards memory against a line that never ends
+            if len(self._data) > MAX_LINE_BYTES:  # guards memory against a line that never ends
                 raise FramingError("line too long")
             return None
         line = bytes(self._data[:end])
         del self._data[: end + 2]
         return line
 
-    def some(self, most: int) -> bytes:
+    def take_available(self, most: int) -> bytes:
         """Take what there is, up to so many bytes."""
         data = bytes(self._data[:most])
         del self._data[:most]
         return data
 
-    def block(self, size: int) -> bytes | None:
+    def take_block(self, size: int) -> bytes | None:
         """Take a block of data, without the line end behind it; None until it is whole."""
         if len(self._data) < size + 2:
             return None
@@ -58,6 +58,6 @@
     if not (token.isdigit() and len(token) <= 7):
         raise FramingError("bad data length")
     length = int(token)
-    if length > MAX_VALUE:
+    if length > MAX_VALUE_BYTES:
         raise FramingError("value too large")
     return length
--- a/ironrail/net/protocol/replies.py
+++ b/ironrail/net/protocol/replies.py
@@ -6,7 +6,12 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from ironrail.net.protocol.framing import SHORT, Buffer, FramingError, read_length
+from ironrail.net.protocol.framing import (
+    MAX_BUFFERED_VALUE_BYTES,
+    FramingError,
+    ReceiveBuffer,
+    read_length,
+)
 
 
 class ReplyKind(Enum):
@@ -29,7 +34,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Opening:
+class ValueHeader:
     """The head of a value that is too long to be kept whole: its pieces follow."""
 
     request_id: bytes | None
@@ -37,48 +42,48 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Piece:
+class ValueChunk:
     """Some of a long value; the last one has nothing in it and tells that the value was whole."""
 
     data: bytes
-    last: bool = False
+    is_last: bool = False
 
 
 class ReplyParser:
     """What cache servers answer."""
 
     def __init__(self) -> None:
-        self._buffer = Buffer()
+        self._buffer = ReceiveBuffer()
         # length and id of a value still to come
         self._pending: tuple[int, bytes | None] | None = None
         self._rest: int | None = None  # of a long value that is passed on
 
     @property
-    def begun(self) -> bool:
+    def has_partial_reply(self) -> bool:
         """Whether a part of a reply has come."""
         return self._pending is not None or self._rest is not None or len(self._buffer) > 0
 
-    def feed(self, data: bytes) -> Iterator[Reply | Opening | Piece]:
+    def feed(self, data: bytes) -> Iterator[Reply | ValueHeader | ValueChunk]:
         """Yield whole replies, and long values in pieces; raises FramingError on anything that is neither."""
-        self._buffer.add(data)
+        self._buffer.append(data)
         while (reply := self._next()) is not None:
             yield reply
 
-    def _next_piece(self, rest: int) -> Piece | None:
+    def _next_piece(self, rest: int) -> ValueChunk | None:
         if rest == 0:
-            if self._buffer.block(0) is None:
+            if self._buffer.take_block(0) is None:
                 return None
             self._rest = None
-            return Piece(b"", last=True)
-        data = self._buffer.some(rest)
+            return ValueChunk(b"", is_last=True)
+        data = self._buffer.take_available(rest)
         self._rest = rest - len(data)
-        return Piece(data) if data else None
+        return ValueChunk(data) if data else None
 
-    def _next(self) -> Reply | Opening | Piece | None:
+    def _next(self) -> Reply | ValueHeader | ValueChunk | None:
         if self._rest is not None:
             return self._next_piece(self._rest)
         if self._pending is None:
-            line = self._buffer.line()
+            line = self._buffer.take_line()
             if line is None:
                 return None
             words = line.split(b" ")
@@ -86,10 +91,10 @@
                 return _read_reply(line, words)
             self._pending = read_length(words[1]), _flag(words[2:], b"O")
         length, request_id = self._pending
-        if length > SHORT:
+        if length > MAX_BUFFERED_VALUE_BYTES:
             self._pending, self._rest = None, length
-            return Opening(request_id, length)
-        value = self._buffer.block(length)
+            return ValueHeader(request_id, length)
+        value = self._buffer.take_block(length)
         if value is None:
             return None
         self._pending = None
--- a/ironrail/net/system.py
+++ b/ironrail/net/system.py
@@ -1,7 +1,6 @@
-"""What a router asks of the system it runs on: clocks, a listener, and what waits unread on a connection.
+"""The clocks and sockets of the operating system, as far as the event loop does not cover them.
 
-Everything else goes through the event loop. A simulated world passes in a system of its own; the real one
-costs nothing beyond the call itself.
+A simulation passes in a system of its own.
 """
 
 from __future__ import annotations
@@ -17,37 +16,48 @@
 from typing import Any, Protocol
 
 Address = tuple[str, int]
-RTT = struct.Struct("=I")  # microseconds, smoothed (RFC 6298)
-ENDED = select.POLLRDHUP | select.POLLHUP | select.POLLERR
-TCP_INFO = 72  # bytes of Linux's `struct tcp_info` up to the end of `tcpi_rtt` (linux/tcp.h)
+
+HANGUP_EVENTS = select.POLLRDHUP | select.POLLHUP | select.POLLERR
+
+TCP_INFO_RTT = struct.Struct("=I")
+"""`tcpi_rtt` of Linux's `struct tcp_info`: the smoothed round-trip time in microseconds."""
+
+TCP_INFO_BYTES = 72
+"""Size of `struct tcp_info` up to the end of `tcpi_rtt` (linux/tcp.h)."""
+
+SECONDS_PER_MICROSECOND_FACTOR = 1e-6
 
 
 class System(Protocol):
-    """The seam between the daemon and the system."""
+    """The interface between the daemon and the operating system."""
 
     now: Callable[[], float]
-    """Seconds on a clock that only advances."""
+    """Seconds on a monotonic clock."""
 
     wall: Callable[[], float]
     """Unix time in seconds."""
 
     def listen(self, address: Address, backlog: int) -> Any:
-        """A listening socket, non-blocking; OSError if there can be none."""
+        """Open a non-blocking listening socket.
+
+        Raises:
+            OSError: The address can't be listened on.
+        """
 
-    def served(self, address: Address) -> bool:
-        """Whether another process listens there already."""
+    def is_served(self, address: Address) -> bool:
+        """Whether another process listens on an address already."""
 
-    def unread(self, transport: asyncio.Transport) -> Callable[[], bool]:
-        """Tells, each time it is called, whether something has come that is not yet read, or the end."""
+    def unread_check(self, transport: asyncio.Transport) -> Callable[[], bool]:
+        """Return a function that tells whether data, or the end, is ready to be read."""
 
-    def hung_up(self, transport: asyncio.Transport) -> bool:
-        """Whether the other end sends no more, seen also while nothing is read from it."""
+    def has_hung_up(self, transport: asyncio.Transport) -> bool:
+        """Whether the peer sends nothing more, detected even while nothing is read."""
 
     def round_trip(self, transport: asyncio.Transport) -> float | None:
-        """Seconds to the other end and back, as the system itself has measured them; None if it hasn't."""
+        """Round-trip time in seconds as estimated by the system; None if it is unknown."""
 
-    def settled(self) -> None:
-        """The router is up: what it holds now it holds for good."""
+    def startup_complete(self) -> None:
+        """Note that the objects of the router which exist now are permanent."""
 
 
 def _family(address: Address) -> socket.AddressFamily:
@@ -55,51 +65,57 @@
 
 
 class RealSystem:
-    """The machine itself."""
+    """The operating system of this machine."""
 
     now = staticmethod(time.monotonic)
     wall = staticmethod(time.time)
 
     def listen(self, address: Address, backlog: int) -> socket.socket:
-        # shared: the process that takes over listens here while the old one still serves
+        """Open a listening socket whose port a successor process can share."""
         listener = socket.create_server(
             address, family=_family(address), backlog=backlog, reuse_port=True
         )
         listener.setblocking(False)
         return listener
 
-    def served(self, address: Address) -> bool:
+    def is_served(self, address: Address) -> bool:
+        """Whether another process listens on an address already."""
         with socket.socket(_family(address)) as probe:
             probe.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
             try:
                 probe.bind(address)
-            except OSError as e:
-                return e.errno == errno.EADDRINUSE
+            except OSError as error:
+                return error.errno == errno.EADDRINUSE
         return False
 
-    def unread(self, transport: asyncio.Transport) -> Callable[[], bool]:
+    def unread_check(self, transport: asyncio.Transport) -> Callable[[], bool]:
+        """Return a function that tells whether data, or the end, is ready to be read."""
         poll = select.poll()
         poll.register(transport.get_extra_info("socket").fileno(), select.POLLIN)
         return lambda: bool(poll.poll(0))
 
-    def hung_up(self, transport: asyncio.Transport) -> bool:
+    def has_hung_up(self, transport: asyncio.Transport) -> bool:
+        """Whether the peer sends nothing more."""
         poll = select.poll()
         poll.register(transport.get_extra_info("socket").fileno(), select.POLLRDHUP)
-        return any(seen & ENDED for _, seen in poll.poll(0))
+        return any(events & HANGUP_EVENTS for _, events in poll.poll(0))
 
     def round_trip(self, transport: asyncio.Transport) -> float | None:
+        """Round-trip time in seconds as estimated by the kernel; None if it is unknown."""
         try:
-            told = transport.get_extra_info("socket").getsockopt(
-                socket.IPPROTO_TCP, socket.TCP_INFO, TCP_INFO
+            info = transport.get_extra_info("socket").getsockopt(
+                socket.IPPROTO_TCP, socket.TCP_INFO, TCP_INFO_BYTES
             )
-        except OSError:  # it has ended
+        except OSError:  # the connection has ended
             return None
-        if len(told) < TCP_INFO:
+        if len(info) < TCP_INFO_BYTES:
             return None
-        return RTT.unpack_from(told, TCP_INFO - RTT.size)[0] * 1e-6 or None
+        (microseconds,) = TCP_INFO_RTT.unpack_from(info, TCP_INFO_BYTES - TCP_INFO_RTT.size)
+        return microseconds * SECONDS_PER_MICROSECOND_FACTOR or None
 
-    def settled(self) -> None:
-        gc.freeze()  # not to be looked through again and again
+    def startup_complete(self) -> None:
+        """Exclude the permanent objects from garbage collection."""
+        gc.freeze()
 
 
 REAL = RealSystem()
--- a/ironrail/net/upstream/cache_connection.py
+++ b/ironrail/net/upstream/cache_connection.py
@@ -5,7 +5,7 @@
 from ironrail.connections.upstream import pool_manager
 from ironrail.connections.upstream.pool_manager import UpstreamConnection
 from ironrail.net.protocol import meta_codec
-from ironrail.net.protocol.meta_codec import Opening, Reply, ReplyKind
+from ironrail.net.protocol.meta_codec import Reply, ReplyKind, ValueHeader
 from ironrail.net.upstream.connection import Attempt, Connection, ConnectionObserver
 from ironrail.policy.events import AttemptStatus
 
@@ -39,21 +39,21 @@
                 if replies:  # what comes now belongs to the next attempt
                     self.settle(replies, True)
                     replies = []
-                if isinstance(reply, Opening):
+                if isinstance(reply, ValueHeader):
                     self._open(reply)
                     if self.transport.is_closing():  # nobody waits for it
                         return
-                elif reply.last:
+                elif reply.is_last:
                     replies.append((AttemptStatus.OK, b""))
                 else:
                     self.pool.piece(self.link, reply.data)
         except meta_codec.FramingError as e:
             fault = e
-        self.settle(replies, self._parser.begun, fault)
+        self.settle(replies, self._parser.has_partial_reply, fault)
 
-    def _open(self, opening: Opening) -> None:
+    def _open(self, opening: ValueHeader) -> None:
         self._check(opening.request_id, 0)
-        if opening.request_id is None or self.attempts[0].command.write:
+        if opening.request_id is None or self.attempts[0].command.is_write:
             raise meta_codec.FramingError("a long value does not fit the command")
         self.pool.began(self.link, opening.length)
 
@@ -69,7 +69,7 @@
         self._check(reply.request_id, before)
         command = self.attempts[before].command
         if reply.kind not in (ReplyKind.BUSY, ReplyKind.ERROR):
-            unfit = ReplyKind.VALUE if command.write else ReplyKind.STORED
+            unfit = ReplyKind.VALUE if command.is_write else ReplyKind.STORED
             bare = reply.kind is ReplyKind.STORED and not reply.body
             if reply.request_id is None or reply.kind is unfit or bare:
                 raise meta_codec.FramingError(f"{reply.kind.value} does not fit the command")
--- a/ironrail/net/upstream/connection.py
+++ b/ironrail/net/upstream/connection.py
@@ -10,7 +10,7 @@
 
 from ironrail.connections.upstream import pool_manager
 from ironrail.connections.upstream.pool_manager import Reply, UpstreamConnection
-from ironrail.net.protocol.meta_codec import SHORT, Command
+from ironrail.net.protocol.meta_codec import MAX_BUFFERED_VALUE_BYTES, Command
 from ironrail.net.system import Address, System
 from ironrail.policy.events import AttemptStatus
 
@@ -84,7 +84,7 @@
         if report is not None:
             report(self, status, body)
         if (
-            self.command.value and len(self.command.value) > SHORT
+            self.command.value and len(self.command.value) > MAX_BUFFERED_VALUE_BYTES
         ):  # guards memory: it waits for its reply
             self.command = replace(self.command, value=b"")
 
@@ -106,7 +106,7 @@
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)  # uvloop's is no subclass
-        self._unread = self.pool.system.unread(self.transport)
+        self._unread = self.pool.system.unread_check(self.transport)
         # high water at 0 tells at once whether the last byte is out: until then the attempt never ran
         self.transport.set_write_buffer_limits(high=0)
 
--- a/ironrail/net/upstream/origin_connection.py
+++ b/ironrail/net/upstream/origin_connection.py
@@ -8,7 +8,13 @@
 import h11
 
 from ironrail.connections.upstream.pool_manager import Reply, UpstreamConnection
-from ironrail.net.protocol.meta_codec import MAX_VALUE, SHORT, Command, info_with, is_printable
+from ironrail.net.protocol.meta_codec import (
+    MAX_BUFFERED_VALUE_BYTES,
+    MAX_VALUE_BYTES,
+    Command,
+    info_with_wait,
+    is_printable,
+)
 from ironrail.net.upstream.connection import Attempt, Connection, ConnectionObserver
 from ironrail.policy.events import AttemptStatus
 
@@ -31,7 +37,7 @@
         command = attempt.command
         body = command.value or b""
         http = self._http
-        info = info_with(command, self.wait_ms(attempt))
+        info = info_with_wait(command, self.wait_ms(attempt))
         head = (
             http.send(_request_of(command, info, "{}:{}".format(*self.pool.address), len(body)))
             or b""
@@ -83,7 +89,7 @@
                     self.pool.piece(self.link, bytes(event.data))
                     continue
                 self._body += event.data
-                if len(self._body) > MAX_VALUE:  # guards memory against an endless body
+                if len(self._body) > MAX_VALUE_BYTES:  # guards memory against an endless body
                     raise h11.RemoteProtocolError("value too large")
             elif isinstance(event, h11.EndOfMessage):
                 return True
@@ -94,10 +100,10 @@
         """Pass a long value on as it comes. What tells no length is kept whole, up to the bound."""
         told = next((value for name, value in response.headers if name == b"content-length"), b"0")
         length = int(told)
-        if length > MAX_VALUE:
+        if length > MAX_VALUE_BYTES:
             raise h11.RemoteProtocolError("value too large")
-        read = not self.attempts[0].command.write and status_of(response) is AttemptStatus.OK
-        if length > SHORT and read:
+        read = not self.attempts[0].command.is_write and status_of(response) is AttemptStatus.OK
+        if length > MAX_BUFFERED_VALUE_BYTES and read:
             self._long = True
             self.pool.began(self.link, length)
 
@@ -109,7 +115,7 @@
         status = status_of(response)
         if (
             status is AttemptStatus.OK
-            and self.attempts[0].command.write
+            and self.attempts[0].command.is_write
             and not is_printable(body, MAX_RECEIPT)
         ):
             raise h11.RemoteProtocolError("a receipt that fits no line")
@@ -129,10 +135,10 @@
         (b"Request-Id", command.request_id),
         (b"Request-Info", info),
     ]
-    if command.write:
+    if command.is_write:
         headers.append((b"Content-Length", b"%d" % length))
     target = "/" + quote_from_bytes(command.key, SAFE_IN_PATH)
-    return h11.Request(method="PUT" if command.write else "GET", target=target, headers=headers)
+    return h11.Request(method="PUT" if command.is_write else "GET", target=target, headers=headers)
 
 
 def status_of(response: h11.Response) -> AttemptStatus:
--- a/ironrail/rehearsal/links/switch.py
+++ b/ironrail/rehearsal/links/switch.py
@@ -80,6 +80,6 @@
     def __init__(self, system: System, switch: Switch) -> None:
         self.now: Callable[[], float] = Pace(system.now, switch)
         self.wall: Callable[[], float] = Pace(system.wall, switch)
-        self.listen, self.served, self.unread = system.listen, system.served, system.unread
-        self.hung_up = system.hung_up
-        self.round_trip, self.settled = system.round_trip, system.settled
+        self.listen, self.is_served, self.unread_check = system.listen, system.is_served, system.unread_check
+        self.has_hung_up = system.has_hung_up
+        self.round_trip, self.startup_complete = system.round_trip, system.startup_complete
--- a/ironrail/rehearsal/links/tierrouter.py
+++ b/ironrail/rehearsal/links/tierrouter.py
@@ -42,19 +42,19 @@
     def listen(self, address: Any, backlog: int) -> Any:
         raise NotImplementedError
 
-    def served(self, address: Any) -> bool:
+    def is_served(self, address: Any) -> bool:
         raise NotImplementedError
 
-    def unread(self, transport: Any) -> Any:
+    def unread_check(self, transport: Any) -> Any:
         raise NotImplementedError
 
-    def hung_up(self, transport: Any) -> bool:
+    def has_hung_up(self, transport: Any) -> bool:
         raise NotImplementedError
 
     def round_trip(self, transport: Any) -> float | None:
         raise NotImplementedError
 
-    def settled(self) -> None:
+    def startup_complete(self) -> None:
         """Nothing is to be freed here."""
 
 
--- a/ironrail/rehearsal/virtual/cuts.py
+++ b/ironrail/rehearsal/virtual/cuts.py
@@ -96,7 +96,9 @@
 
     def _limits(self, task: asyncio.Task[Any]) -> list[asyncio.Timeout]:
         """The time limits that a task stands under."""
-        due = [timer._args[1] for timer in self._loop.timers() if timer._callback is io_timeout.overdue]
+        due = [
+            timer._args[1] for timer in self._loop.timers() if timer._callback is io_timeout.on_timeout_due
+        ]
         return [limit for limit in due if limit._task is task and not limit.expired()]
 
     def _carry_out(self, router: VirtualRouter, task: asyncio.Task[Any]) -> None:
--- a/ironrail/rehearsal/virtual/ground.py
+++ b/ironrail/rehearsal/virtual/ground.py
@@ -45,20 +45,20 @@
     def listen(self, address: tuple[str, int], backlog: int) -> Listener:
         return self._network.listen(address, backlog)
 
-    def served(self, address: tuple[str, int]) -> bool:
+    def is_served(self, address: tuple[str, int]) -> bool:
         return self._network.listened(address)
 
-    def unread(self, transport: asyncio.Transport) -> Callable[[], bool]:
+    def unread_check(self, transport: asyncio.Transport) -> Callable[[], bool]:
         waiting: Callable[[], bool] = transport.get_extra_info("socket").waiting
         return waiting
 
-    def hung_up(self, transport: asyncio.Transport) -> bool:
+    def has_hung_up(self, transport: asyncio.Transport) -> bool:
         return bool(transport.get_extra_info("socket").hung_up())
 
     def round_trip(self, transport: asyncio.Transport) -> float | None:
         return self._network.round_trip(transport.get_extra_info("socket"))
 
-    def settled(self) -> None:
+    def startup_complete(self) -> None:
         """Nothing is to be freed here."""
 
 
--- a/ironrail/rehearsal/virtual/invariants.py
+++ b/ironrail/rehearsal/virtual/invariants.py
@@ -39,8 +39,11 @@
     if host._held:
         yield "held", f"{len(host._held)} requests still held by the host: {list(host._held)[:3]}"
     room = host.room
-    if room.free != room._total or room._queue:
-        yield "room", f"{room._total - room.free} bytes lent out for long values, {len(room._queue)} wait"
+    if room.free_bytes != room.total_bytes or room.waiting_count:
+        yield (
+            "room",
+            f"{room.total_bytes - room.free_bytes} bytes lent out for long values, {room.waiting_count} wait",
+        )
     if host._open:
         yield "attempts", f"{len(host._open)} attempts without an outcome: {list(host._open)[:3]}"
     if policy.held:
@@ -54,14 +57,16 @@
         yield "load", f"the module believes {load} on its ring where nothing is out"
     for name, pool in host._pools.items():
         yield from _of_pool(name, pool)
-    placed = set(clients.places)
-    if lost := placed - clients._connections.keys():
+    placed = set(clients.sessions)
+    if lost := placed - clients.context.connections.keys():
         yield "places", f"{len(lost)} places of connections that are none"
-    for place, connection in clients._connections.items():
-        if (place in placed) is (connection in clients.lingering) and not connection.transport.is_closing():
+    for session, connection in clients.context.connections.items():
+        if (session in placed) is (
+            connection in clients.context.lingering
+        ) and not connection.transport.is_closing():
             yield (
                 "places",
-                f"a connection is {'placed and' if place in placed else 'neither placed nor'} shut",
+                f"a connection is {'placed and' if session in placed else 'neither placed nor'} shut",
             )
 
 
@@ -91,7 +96,7 @@
     """What the process has open beyond what its parts know of."""
     node = router.node
     host, clients = node._host, node._clients
-    known = len(clients._connections) + len(clients._opening)
+    known = len(clients.context.connections) + len(clients._opening)
     known += sum(len(pool._connections) + len(pool._dialling) for pool in host._pools.values())
     there = len(router.process.sockets)
     slack = 4  # two listeners, and discovery, which may be between two connections
--- /dev/null
+++ b/tests/connections/downstream/test_session_manager.py
@@ -0,0 +1,277 @@
+"""Admission, eviction and timeouts of client sessions, without a socket."""
+
+from __future__ import annotations
+
+import pytest
+from ironrail.connections.downstream.client_session import (
+    MAX_CONSECUTIVE_BAD_COMMANDS,
+    MAX_PIPELINED_COMMANDS,
+    ClientSession,
+    CommandProgress,
+)
+from ironrail.connections.downstream.idle_retention import MIN_RETAINED_SESSIONS
+from ironrail.connections.downstream.session_manager import (
+    MAX_EVICTION_CHECKS,
+    ClientSessionManager,
+    NextAction,
+)
+from ironrail.connections.downstream.session_timeouts import (
+    COMMAND_TIMEOUT_SECONDS,
+    IDLE_TIMEOUT_SECONDS,
+    LONG_VALUE_TIMEOUT_SECONDS,
+    SHUTDOWN_STALL_TIMEOUT_SECONDS,
+    UNREAD_RESPONSE_TIMEOUT_SECONDS,
+    TimeoutAction,
+    timeout_action,
+)
+
+
+def open_session(sessions: ClientSessionManager, now: float = 0.0) -> ClientSession:
+    assert sessions.admit().admitted
+    return sessions.add(now)
+
+
+def receive_command(sessions: ClientSessionManager, session: ClientSession, now: float = 0.0) -> None:
+    """Receive a valid command, whose response is still pending."""
+    sessions.record_data(now, session)
+    sessions.record_command(now, session, True)
+    sessions.record_progress(session, 0, False)
+
+
+def use_once(
+    sessions: ClientSessionManager, now: float = 0.0, session: ClientSession | None = None
+) -> ClientSession:
+    """Receive a valid command, and write its response."""
+    session = open_session(sessions, now) if session is None else session
+    receive_command(sessions, session, now)
+    sessions.record_progress(session, 1, False)
+    return session
+
+
+def test_unused_sessions_are_evicted_before_idle_ones_and_busy_ones_never() -> None:
+    sessions = ClientSessionManager(max_sessions=3, max_retained_sessions=9)
+    resting, silent, busy = use_once(sessions), open_session(sessions), open_session(sessions)
+    receive_command(sessions, busy)
+    assert sessions.admit().evicted is silent
+    sessions.add(0.0)
+    newest = sessions.admit().evicted
+    assert newest not in (resting, busy, None)
+    sessions.cancel_admission()
+    assert use_once(sessions) in sessions
+    assert sessions.admit().evicted is resting
+
+
+def test_a_connection_is_rejected_when_all_sessions_are_busy() -> None:
+    sessions = ClientSessionManager(max_sessions=2, max_retained_sessions=9)
+    for _ in "12":
+        receive_command(sessions, open_session(sessions))
+    assert not sessions.admit().admitted
+
+
+def test_an_admitted_connection_counts_before_its_session_begins() -> None:
+    sessions = ClientSessionManager(max_sessions=2, max_retained_sessions=9)
+    assert sessions.admit().admitted and sessions.admit().admitted
+    assert not sessions.admit().admitted
+    sessions.cancel_admission()
+    assert sessions.admit().admitted
+
+
+def test_the_longest_idle_session_is_evicted_and_the_last_used_one_never() -> None:
+    sessions = ClientSessionManager(max_sessions=9, max_retained_sessions=2)
+    first, second = use_once(sessions), use_once(sessions)
+    assert sessions.next_idle_to_evict() is None
+    third = use_once(sessions)
+    assert sessions.next_idle_to_evict() is first
+    sessions.remove(first)
+    assert sessions.next_idle_to_evict() is None
+    use_once(sessions, session=second)
+    fourth = use_once(sessions)
+    assert sessions.next_idle_to_evict() is third
+    sessions.remove(third)
+    for session in (second, fourth):
+        receive_command(sessions, session)
+    last = use_once(sessions)
+    assert sessions.next_idle_to_evict() is None and last in sessions
+
+
+def test_a_session_with_a_partial_command_is_not_evicted() -> None:
+    sessions = ClientSessionManager(max_sessions=9, max_retained_sessions=1)
+    first, second = use_once(sessions), use_once(sessions)
+    sessions.record_data(1.0, first)
+    sessions.record_progress(first, 0, True)
+    third = use_once(sessions)
+    assert sessions.next_idle_to_evict() is second
+    assert third in sessions
+
+
+def test_eviction_checks_are_bounded_when_no_session_can_be_closed() -> None:
+    sessions = ClientSessionManager(max_sessions=1000, max_retained_sessions=5)
+    for _ in range(500):
+        use_once(sessions)
+    looked = 0
+    while (session := sessions.next_idle_to_evict()) is not None:
+        sessions.defer_eviction(session)
+        looked += 1
+    assert looked == MAX_EVICTION_CHECKS
+
+
+def test_pipelined_commands_beyond_the_limit_wait_for_responses() -> None:
+    sessions = ClientSessionManager(max_sessions=9, max_retained_sessions=9)
+    session = open_session(sessions)
+    for _ in range(MAX_PIPELINED_COMMANDS):
+        assert session.accepts_commands and session.should_read
+        sessions.record_command(0.0, session, True)
+    assert not session.accepts_commands and not session.should_read
+    session.has_unparsed_input = True
+    assert sessions.record_progress(session, 0, True) is NextAction.NOTHING
+    assert sessions.record_progress(session, 1, True) is NextAction.PARSE
+
+
+def test_consecutive_bad_commands_end_a_session_and_valid_ones_reset_the_count() -> None:
+    sessions = ClientSessionManager(max_sessions=9, max_retained_sessions=9)
+    session = open_session(sessions)
+    for _ in range(3 * MAX_CONSECUTIVE_BAD_COMMANDS):
+        sessions.record_command(0.0, session, False)
+        sessions.record_command(0.0, session, True)
+    assert not session.is_ending
+    for _ in range(MAX_CONSECUTIVE_BAD_COMMANDS):
+        assert not session.is_ending
+        sessions.record_command(0.0, session, False)
+    assert session.is_ending
+    assert sessions.record_progress(session, session.pending_responses, False) is NextAction.FINISH
+
+
+@pytest.mark.parametrize(
+    ("used", "begun", "open_", "after", "fate"),
+    [
+        (False, False, 0, COMMAND_TIMEOUT_SECONDS - 0.1, TimeoutAction.KEEP),
+        (False, False, 0, COMMAND_TIMEOUT_SECONDS + 0.1, TimeoutAction.REJECT_COMMAND),
+        (True, True, 0, COMMAND_TIMEOUT_SECONDS + 0.1, TimeoutAction.REJECT_COMMAND),
+        (True, True, 1, COMMAND_TIMEOUT_SECONDS + 0.1, TimeoutAction.REJECT_COMMAND),
+        (True, False, 0, COMMAND_TIMEOUT_SECONDS + 0.1, TimeoutAction.KEEP),
+        (True, False, 0, IDLE_TIMEOUT_SECONDS + 0.1, TimeoutAction.CLOSE),
+        (
+            True,
+            False,
+            1,
+            IDLE_TIMEOUT_SECONDS + 0.1,
+            TimeoutAction.KEEP,
+        ),  # the router is slow, not the client
+    ],
+)
+def test_each_state_of_a_session_has_its_timeout(
+    used: bool, begun: bool, open_: int, after: float, fate: TimeoutAction
+) -> None:
+    sessions = ClientSessionManager(max_sessions=9, max_retained_sessions=9)
+    session = open_session(sessions, 1.0)
+    if used:
+        sessions.record_command(1.0, session, True)
+        sessions.record_progress(session, 1 - open_, begun)
+    sessions.record_progress(session, 0, begun)
+    assert timeout_action(session, 1.0 + after) is fate
+
+
+@pytest.mark.parametrize(
+    ("after", "fate"),
+    [
+        (UNREAD_RESPONSE_TIMEOUT_SECONDS - 0.1, TimeoutAction.KEEP),
+        (UNREAD_RESPONSE_TIMEOUT_SECONDS + 0.1, TimeoutAction.ABORT),
+    ],
+)
+def test_a_session_with_unread_responses_is_aborted_after_its_timeout(
+    after: float, fate: TimeoutAction
+) -> None:
+    sessions = ClientSessionManager(max_sessions=9, max_retained_sessions=9)
+    session = use_once(sessions)
+    session.set_responses_unread(1.0, True)
+    assert not session.should_read
+    assert timeout_action(session, 1.0 + after) is fate
+    session.set_responses_unread(1.0, False)
+    assert timeout_action(session, 1.0 + after) is TimeoutAction.KEEP
+
+
+def test_a_rejected_partial_command_is_answered_behind_earlier_responses() -> None:
+    sessions = ClientSessionManager(max_sessions=9, max_retained_sessions=9)
+    session = open_session(sessions)
+    receive_command(sessions, session)
+    sessions.record_progress(session, 0, True)
+    session.reject_partial_command()
+    assert sessions.record_progress(session, 0, True) is NextAction.NOTHING
+    assert sessions.record_progress(session, 2, True) is NextAction.FINISH
+    assert timeout_action(session, 100.0) is TimeoutAction.KEEP
+
+
+def test_an_idle_session_is_closed_while_draining() -> None:
+    sessions = ClientSessionManager(max_sessions=9, max_retained_sessions=9)
+    session = open_session(sessions)
+    receive_command(sessions, session)
+    sessions.is_draining = True
+    assert sessions.record_progress(session, 0, False) is NextAction.NOTHING
+    assert sessions.record_progress(session, 1, False) is NextAction.CLOSE
+
+
+def test_a_slow_command_is_not_evicted_before_a_silent_session() -> None:
+    sessions = ClientSessionManager(max_sessions=3, max_retained_sessions=2)
+    slow, silent, half = (open_session(sessions, float(n)) for n in range(3))
+    sessions.record_data(2.1, half)
+    sessions.record_data(2.2, slow)  # the oldest, and it goes on
+    assert sessions.admit().evicted is silent
+    assert sessions.admit().evicted is half
+
+
+def test_idle_sessions_are_retained_by_the_learned_reuse_ratio() -> None:
+    """Idle sessions that are never used again are evicted, and retained where they are."""
+    sessions = ClientSessionManager(max_sessions=200, max_retained_sessions=40)
+
+    def ask_once(now: float) -> ClientSession:
+        session = open_session(sessions, now)
+        sessions.record_data(now, session)
+        sessions.record_command(now, session, True)
+        sessions.record_progress(session, 1, False)
+        while (longest := sessions.next_idle_to_evict()) is not None:
+            sessions.remove(longest)
+        return session
+
+    for n in range(300):
+        ask_once(n / 100)
+    assert len(sessions) == MIN_RETAINED_SESSIONS
+    for n in range(60):  # the idle ones are used again
+        for session in list(sessions):
+            sessions.record_data(3.0 + n, session)
+            sessions.record_command(3.0 + n, session, True)
+            sessions.record_progress(session, 1, False)
+    for n in range(40):
+        ask_once(100.0 + n)
+    assert len(sessions) > 20
+
+
+def test_graceful_shutdown_does_not_wait_for_a_stalled_command() -> None:
+    sessions = ClientSessionManager(max_sessions=8, max_retained_sessions=2)
+    silent, stopped, slow = (open_session(sessions) for _ in range(3))
+    busy = open_session(sessions)
+    receive_command(sessions, busy)
+    for session in (stopped, slow):
+        sessions.record_data(0.5, session)
+        sessions.record_progress(session, 0, has_partial_command=True)
+    sessions.record_data(1.0, slow)
+    assert sessions.sessions_to_close(1.4, close_partial=False) == [silent]
+    assert set(sessions.sessions_to_close(0.5 + SHUTDOWN_STALL_TIMEOUT_SECONDS, close_partial=False)) == {
+        silent,
+        stopped,
+    }
+    assert set(sessions.sessions_to_close(1.5, close_partial=True)) == {silent, stopped, slow}
+
+
+def test_a_long_value_has_a_longer_timeout_while_bytes_arrive() -> None:
+    sessions = ClientSessionManager(max_sessions=8, max_retained_sessions=2)
+    session = open_session(sessions)
+    session.progress = CommandProgress.LONG_VALUE
+    for second in range(int(LONG_VALUE_TIMEOUT_SECONDS) - 1):
+        sessions.record_data(float(second), session)
+        assert timeout_action(session, second + COMMAND_TIMEOUT_SECONDS / 2) is TimeoutAction.KEEP
+    assert (
+        timeout_action(session, LONG_VALUE_TIMEOUT_SECONDS - 2 + COMMAND_TIMEOUT_SECONDS)
+        is TimeoutAction.REJECT_COMMAND
+    )
+    sessions.record_data(LONG_VALUE_TIMEOUT_SECONDS + 0.1, session)
+    assert timeout_action(session, LONG_VALUE_TIMEOUT_SECONDS + 0.2) is TimeoutAction.REJECT_COMMAND
--- a/tests/mutants/another_value.py
+++ b/tests/mutants/another_value.py
@@ -18,7 +18,9 @@
 
     def mixed_up(self: RequestDispatcher, attempt: Attempt, status: AttemptStatus, body: bytes) -> None:
         other, last[0] = last[0], body or last[0]
-        mixed = status is AttemptStatus.OK and not attempt.command.write and other and next(count) % 40 == 0
+        mixed = (
+            status is AttemptStatus.OK and not attempt.command.is_write and other and next(count) % 40 == 0
+        )
         on_outcome(self, attempt, status, other if mixed else body)
 
     RequestDispatcher._on_outcome = mixed_up  # type: ignore[method-assign, assignment]
--- a/tests/mutants/cuts_what_is_behind.py
+++ b/tests/mutants/cuts_what_is_behind.py
@@ -2,18 +2,23 @@
 
 from __future__ import annotations
 
-from ironrail.connections.downstream.session_manager import ClientSession, ClientSessionManager, NextAction
+from ironrail.connections.downstream.client_session import ClientSession
+from ironrail.connections.downstream.session_manager import ClientSessionManager, NextAction
 
 RULE, SCENARIO = "rule one-answer", "days.toml"
 
 
 def break_it() -> None:
-    settled = ClientSessionManager.settled
+    record_progress = ClientSessionManager.record_progress
 
     def hasty(
-        self: ClientSessionManager, place: ClientSession, written: int, begun: bool, closing: bool = False
+        self: ClientSessionManager,
+        session: ClientSession,
+        written: int,
+        has_partial_command: bool,
+        is_closing: bool = False,
     ) -> NextAction:
-        due = settled(self, place, written, begun, closing)
-        return NextAction.CLOSE if self.draining and written and not closing else due
+        due = record_progress(self, session, written, has_partial_command, is_closing)
+        return NextAction.CLOSE if self.is_draining and written and not is_closing else due
 
-    ClientSessionManager.settled = hasty  # type: ignore[method-assign]
+    ClientSessionManager.record_progress = hasty  # type: ignore[method-assign]
--- a/tests/mutants/leaves_in_hand.py
+++ b/tests/mutants/leaves_in_hand.py
@@ -10,14 +10,14 @@
 
 
 def break_it() -> None:
-    drain = ClientListener.drain
+    drain = ClientListener.start_draining
 
     def leave(self: ClientListener) -> None:
-        for connection in self._connections.values():
+        for connection in self.context.connections.values():
             connection.transport.abort()
 
     def impatient(self: ClientListener) -> None:
         drain(self)
         asyncio.get_running_loop().call_later(0.45, leave, self)
 
-    ClientListener.drain = impatient  # type: ignore[method-assign]
+    ClientListener.start_draining = impatient  # type: ignore[method-assign]
--- a/tests/mutants/names_no_time.py
+++ b/tests/mutants/names_no_time.py
@@ -4,8 +4,10 @@
 
 from ironrail.net.protocol import meta_codec
 
+from tests.mutants import replace
+
 RULE = "refusals that name no time"
 
 
 def break_it() -> None:
-    meta_codec.write_busy = lambda retry_after: b"SERVER_ERROR busy\r\n"
+    replace(meta_codec, "write_busy", lambda retry_after: b"SERVER_ERROR busy\r\n")
--- a/tests/mutants/never_ready.py
+++ b/tests/mutants/never_ready.py
@@ -1,11 +1,13 @@
-"""Never says that it can serve."""
+"""Never reports that it can serve."""
 
 from __future__ import annotations
 
-from ironrail.net.downstream.client_listener import ClientListener
+from ironrail.net.downstream.session_context import SessionContext
+
+from tests.mutants import replace
 
 RULE = "routers never ready"
 
 
 def break_it() -> None:
-    ClientListener.can_serve = lambda self: False  # type: ignore[method-assign]
+    replace(SessionContext, "can_serve", lambda self: False)
--- a/tests/mutants/sends_after_answer.py
+++ b/tests/mutants/sends_after_answer.py
@@ -24,7 +24,7 @@
         self: RequestDispatcher, held: InFlightRequest, answer: bytes, counts: dict[str, int]
     ) -> None:
         finish(self, held, answer, counts)
-        if not held.command.write and next(count) % 20 == 0:
+        if not held.command.is_write and next(count) % 20 == 0:
             asyncio.get_running_loop().call_later(0.4, again, self, held)
 
     RequestDispatcher._finish = restless  # type: ignore[method-assign, assignment]
--- a/tests/mutants/serves_from_memory.py
+++ b/tests/mutants/serves_from_memory.py
@@ -16,14 +16,14 @@
     kept: dict[bytes, bytes] = {}
 
     def remember(self: RequestDispatcher, attempt: Attempt, status: AttemptStatus, body: bytes) -> None:
-        if status is AttemptStatus.OK and not attempt.command.write:
+        if status is AttemptStatus.OK and not attempt.command.is_write:
             kept[attempt.command.key] = body
         on_outcome(self, attempt, status, body)
 
     def recall(
         self: RequestDispatcher, command: Command, answer: Answer, passage: ResponseStream | None = None
     ) -> str | None:
-        if command.write or command.key not in kept:
+        if command.is_write or command.key not in kept:
             return take(self, command, answer, passage)
         answer(meta_codec.write_served(command, kept[command.key]))
         return None
--- a/tests/mutants/serves_the_gone.py
+++ b/tests/mutants/serves_the_gone.py
@@ -5,9 +5,11 @@
 from ironrail.net.dispatch.dispatcher import RequestDispatcher
 from ironrail.net.downstream.client_connection import ClientConnection
 
+from tests.mutants import replace
+
 RULE, SCENARIO = "rule gone-clients", "leaves.toml"
 
 
 def break_it() -> None:
-    RequestDispatcher.gone = lambda self, name: None  # type: ignore[method-assign]
-    ClientConnection.left = lambda self, waited: False  # type: ignore[method-assign]
+    replace(RequestDispatcher, "gone", lambda self, name: None)
+    replace(ClientConnection, "has_left", lambda self, waited: False)
--- a/tests/mutants/tells_all_the_time.py
+++ b/tests/mutants/tells_all_the_time.py
@@ -9,6 +9,6 @@
 
 
 def break_it() -> None:
-    told = meta_codec.info_with
-    meta_codec.info_with = lambda command, wait_ms: told(command, int(float(command.fields["d"])) + 500)
-    origin_connection.info_with = meta_codec.info_with  # type: ignore[attr-defined]
+    told = meta_codec.info_with_wait
+    meta_codec.info_with_wait = lambda command, wait_ms: told(command, int(float(command.fields["d"])) + 500)
+    origin_connection.info_with_wait = meta_codec.info_with_wait  # type: ignore[attr-defined]
--- a/tests/test_clients.py
+++ b/tests/net/downstream/test_client_admission.py
@@ -1,11 +1,11 @@
-"""Clients that wear a router out, beside others that make use of it."""
+"""Misbehaving clients beside others that use the router."""
 
 from __future__ import annotations
 
 import asyncio
 
 import pytest
-from ironrail.connections.downstream import session_manager
+from ironrail.connections.downstream import idle_retention, session_manager, session_timeouts
 from ironrail.net.downstream import client_listener
 from ironrail.net.downstream.client_connection import ClientConnection
 
@@ -15,9 +15,9 @@
 
 
 async def crowded(most: int) -> World:
-    """A router that takes so many connections."""
+    """A router with a limit on its sessions."""
     world = await World().start()
-    world.node._clients.places.most = most
+    world.node._clients.sessions.max_sessions = most
     return world
 
 
@@ -28,8 +28,8 @@
 
 @pytest.fixture
 def impatient(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(session_manager, "PATIENCE", 0.1)
-    monkeypatch.setattr(client_listener, "SWEEP", 0.02)
+    monkeypatch.setattr(session_timeouts, "COMMAND_TIMEOUT_SECONDS", 0.1)
+    monkeypatch.setattr(client_listener, "TIMEOUT_CHECK_INTERVAL_SECONDS", 0.02)
 
 
 HALVES = [b"", b"mg", b"mg k v O1 " + P, b"mg k v O1 " + P + b"\r", b"ms k 5 O1 " + P + b"\r\nhal"]
@@ -38,7 +38,7 @@
 @scenario
 @pytest.mark.parametrize("half", HALVES)
 @pytest.mark.parametrize("before", [False, True])
-async def test_a_client_that_stops_midway_gets_an_error_and_a_close(
+async def test_a_partial_command_is_rejected_after_its_timeout(
     half: bytes, before: bool, impatient: None
 ) -> None:
     world = await World().start()
@@ -54,7 +54,7 @@
 
 
 @scenario
-async def test_a_value_that_trickles_is_no_excuse(impatient: None) -> None:
+async def test_a_slowly_sent_value_does_not_extend_the_command_timeout(impatient: None) -> None:
     world = await World().start()
     client = await world.client()
     client.send(b"ms k 60000 O1 " + P + b"\r\n")
@@ -70,12 +70,12 @@
 
 
 @scenario
-async def test_half_a_command_behind_an_open_request_has_its_error_after_the_answer(impatient: None) -> None:
+async def test_a_partial_command_is_rejected_behind_pending_responses(impatient: None) -> None:
     world = await World().start()
     client = await world.client()
     client.send(b"mg k v O1 " + P + b"\r\nmg k v O2")
     got = await world.cache.next()
-    while not any(place.used and place.ending for place in world.node._clients.places):
+    while not any(session.has_been_used and session.is_ending for session in world.node._clients.sessions):
         await asyncio.sleep(0)
     got.reply_value(b"v")
     assert await client.value("1") == b"v"
@@ -84,7 +84,7 @@
 
 
 @scenario
-async def test_a_client_that_is_slow_to_be_answered_is_not_late_itself(impatient: None) -> None:
+async def test_waiting_for_a_slow_response_does_not_count_as_client_delay(impatient: None) -> None:
     world = await World().start()
     client = await world.client()
     client.get("1")
@@ -96,7 +96,7 @@
 
 
 @scenario
-async def test_silent_connections_make_room_before_any_that_was_used() -> None:
+async def test_unused_connections_are_evicted_before_used_ones() -> None:
     world = await crowded(4)
     usual = [await world.client() for _ in "12"]
     for client in usual:
@@ -109,7 +109,7 @@
 
 
 @scenario
-async def test_of_those_used_the_least_recently_used_makes_room() -> None:
+async def test_the_least_recently_used_idle_connection_is_evicted() -> None:
     world = await crowded(3)
     first, second, busy = [await world.client() for _ in "123"]
     for client in (first, second, first):
@@ -125,14 +125,17 @@
 
 
 @scenario
-async def test_clients_that_ask_once_and_stay_do_not_use_up_the_third_that_clients_have(
+async def test_idle_connections_do_not_exhaust_the_clients_descriptors(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(
-        session_manager, "PATIENCE", 60.0
+        session_timeouts, "COMMAND_TIMEOUT_SECONDS", 60.0
     )  # for the half command, however slow the machine is
     world = await World(sockets=384).start()
-    third, stay = 384 // 3, session_manager.KEPT_LEAST - 2  # beside the busy one and the half command
+    third, stay = (
+        384 // 3,
+        idle_retention.MIN_RETAINED_SESSIONS - 2,
+    )  # beside the busy one and the half command
     asked: list[Client] = []
     busy = await world.client()
     busy.put("busy", b"v")  # no second copy of a write disturbs what the cache is asked
@@ -156,9 +159,9 @@
 
 
 @scenario
-async def test_the_connection_used_last_stays_whatever_the_number_of_busy_ones() -> None:
+async def test_the_last_used_connection_is_retained_beside_many_busy_ones() -> None:
     world = await World(sockets=64).start()
-    kept = world.node._clients.places.kept
+    kept = world.node._clients.sessions.retention.max_sessions
     busy = [await world.client() for _ in range(kept + 2)]
     for n, client in enumerate(busy):
         client.put(str(n), b"v")  # which the module holds till the origin has answered
@@ -170,7 +173,7 @@
 
 
 @scenario
-async def test_of_a_crowd_that_closing_would_cross_few_are_looked_at(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_eviction_checks_of_connections_are_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
     world = await World(sockets=384).start()
     looked = 0
 
@@ -179,17 +182,17 @@
         looked += 1
         return False
 
-    monkeypatch.setattr(ClientConnection, "clear", unsettled)
+    monkeypatch.setattr(ClientConnection, "can_close_cleanly", unsettled)
     crowd = [await world.client() for _ in range(100)]
     for client in crowd:
         assert await is_ready(client)
     looked = 0
     assert await is_ready(crowd[0])
-    assert looked == session_manager.LOOKS
+    assert looked == session_manager.MAX_EVICTION_CHECKS
 
 
 @scenario
-async def test_where_all_have_requests_open_a_new_one_is_turned_away() -> None:
+async def test_a_new_connection_is_rejected_when_all_have_requests_in_flight() -> None:
     world = await crowded(2)
     busy = [await world.client() for _ in "12"]
     for n, client in enumerate(busy):
--- a/tests/test_clients_ends.py
+++ b/tests/net/downstream/test_client_timeouts.py
@@ -1,21 +1,21 @@
-"""Clients whose connection a router ends: paused, slow to read, or full of bad commands."""
+"""Connections that the router closes: idle, with unread responses, or with bad commands."""
 
 from __future__ import annotations
 
 import asyncio
 
 import pytest
-from ironrail.connections.downstream import session_manager
+from ironrail.connections.downstream import client_session, session_timeouts
 from ironrail.net.downstream import client_listener
 
+from tests.net.downstream.test_client_admission import P, is_ready
 from tests.peers import World, scenario, until
-from tests.test_clients import P, is_ready
 
 
 @scenario
-async def test_a_client_that_paused_for_long_is_closed(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(session_manager, "IDLE", 0.1)
-    monkeypatch.setattr(client_listener, "SWEEP", 0.02)
+async def test_an_idle_connection_is_closed_after_its_timeout(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(session_timeouts, "IDLE_TIMEOUT_SECONDS", 0.1)
+    monkeypatch.setattr(client_listener, "TIMEOUT_CHECK_INTERVAL_SECONDS", 0.02)
     world = await World().start()
     client = await world.client()
     assert await is_ready(client)
@@ -23,14 +23,14 @@
 
 
 @scenario
-async def test_a_client_that_takes_no_answers_is_closed(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(session_manager, "UNREAD", 0.1)
-    monkeypatch.setattr(client_listener, "SWEEP", 0.02)
+async def test_a_client_that_reads_no_responses_is_aborted(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(session_timeouts, "UNREAD_RESPONSE_TIMEOUT_SECONDS", 0.1)
+    monkeypatch.setattr(client_listener, "TIMEOUT_CHECK_INTERVAL_SECONDS", 0.02)
     world = await World().start()
     client = await world.client()
     client.writer.transport.pause_reading()  # type: ignore[attr-defined]
     n = 0
-    while len(world.node._clients.places):
+    while len(world.node._clients.sessions):
         if n < 400:
             client.get(str(n))
             n += 1
@@ -40,7 +40,7 @@
 
 
 @scenario
-async def test_hundreds_of_commands_at_once_are_taken_by_and_by() -> None:
+async def test_pipelined_commands_beyond_the_limit_are_parsed_later() -> None:
     world = await World().start()
     client, other = await world.client(), await world.client()
     # writes, which the module holds till the origin has a place for them
@@ -50,7 +50,7 @@
     async def answer() -> None:
         while True:
             message = await world.origin.next()
-            assert len(world.node._host._held) <= session_manager.MOST_PIPELINED
+            assert len(world.node._host._held) <= client_session.MAX_PIPELINED_COMMANDS
             message.respond(b"r")
 
     task = asyncio.ensure_future(answer())
@@ -62,33 +62,33 @@
 
 
 @scenario
-async def test_a_crowd_of_bad_commands_ends_the_connection() -> None:
+async def test_consecutive_bad_commands_close_the_connection() -> None:
     world = await World().start()
     client = await world.client()
     client.send(b"what\r\n" * 5000)
-    for _ in range(session_manager.MOST_BAD):
+    for _ in range(client_session.MAX_CONSECUTIVE_BAD_COMMANDS):
         assert await client.line() == b"ERROR\r\n"
     assert await client.ended()
 
 
 @scenario
-async def test_a_client_with_good_commands_between_is_kept() -> None:
+async def test_valid_commands_between_bad_ones_keep_the_connection_open() -> None:
     world = await World().start()
     client = await world.client()
-    for _ in range(session_manager.MOST_BAD):
+    for _ in range(client_session.MAX_CONSECUTIVE_BAD_COMMANDS):
         client.send(b"what\r\nmn\r\n")
         assert [await client.line(), await client.line()] == [b"ERROR\r\n", b"MN\r\n"]
 
 
 @scenario
-async def test_what_comes_after_lost_framing_is_not_read() -> None:
+async def test_input_after_a_framing_error_is_not_read() -> None:
     world = await World().start()
     client = await world.client()
     client.get("1")
     got = await world.cache.next()
     client.send(b"ms k 60000000 O2 " + P + b"\r\n" + b"x" * 60_000_000)
-    place = next(iter(world.node._clients.places))
-    await until(lambda: place.ending)
+    session = next(iter(world.node._clients.sessions))
+    await until(lambda: session.is_ending)
     got.reply_value(b"v")
     assert await client.value("1") == b"v"
     assert (await client.line()).startswith(b"CLIENT_ERROR ")
--- a/tests/test_clients_shut.py
+++ b/tests/net/downstream/test_connection_close.py
@@ -1,4 +1,4 @@
-"""Connections that a router ends: requests that come in that very instant, and answers still under way."""
+"""Connections that the router closes, with requests and responses under way at that moment."""
 
 from __future__ import annotations
 
@@ -6,11 +6,11 @@
 import socket
 
 import pytest
-from ironrail.connections.downstream import session_manager
+from ironrail.connections.downstream import session_manager, session_timeouts
 from ironrail.net.downstream.client_connection import ClientConnection
 
+from tests.net.downstream.test_client_admission import P, is_ready
 from tests.peers import Client, World, scenario, until
-from tests.test_clients import P, is_ready
 
 ASKED = b"mg k v O1 " + P + b"\r\n"
 ESTABLISHED, FIN_WAIT1, FIN_WAIT2 = 1, 4, 5  # states of a connection (linux/tcp_states.h)
@@ -18,35 +18,35 @@
 
 
 def connection_of(world: World) -> ClientConnection:
-    return world.node._clients.all()[0]
+    return world.node._clients.open_connections()[0]
 
 
 async def crosses(world: World, client: Client, monkeypatch: pytest.MonkeyPatch) -> None:
     """Have a request come between the look at what is unread and the shutdown."""
-    looked = ClientConnection.clear
+    looked = ClientConnection.can_close_cleanly
     raw = client.writer.get_extra_info("socket")
 
     def clear(connection: ClientConnection) -> bool:
         is_clear = looked(connection)
-        if is_clear and not connection.ends:
+        if is_clear and not connection.is_closing:
             client.writer.transport.write(ASKED)  # out at once, as nothing is before it
             assert not client.writer.transport.get_write_buffer_size()
             assert raw.fileno() >= 0
         return is_clear
 
-    monkeypatch.setattr(ClientConnection, "clear", clear)
+    monkeypatch.setattr(ClientConnection, "can_close_cleanly", clear)
 
 
 async def ends_in_order(client: Client, world: World) -> None:
     """It sees an end, no reset, and nothing that it asked for was sent on."""
     assert await client.reader.read() == b""  # a reset would raise
     client.close()
-    await until(lambda: not len(world.node._clients.lingering))
+    await until(lambda: not len(world.node._clients.context.lingering))
     assert world.cache.messages.empty()
 
 
 @scenario
-async def test_a_request_that_crosses_the_end_of_a_resting_one_is_dropped_without_a_reset(
+async def test_a_request_that_crosses_a_drained_close_is_dropped_without_a_reset(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Drained: shut where it rests, as whoever waits for the others does not hear from it."""
@@ -54,20 +54,20 @@
     client = await world.client()
     assert await is_ready(client)
     await crosses(world, client, monkeypatch)
-    world.node._clients.drain()
-    world.node._clients.end_waiting(False)
+    world.node._clients.start_draining()
+    world.node._clients.close_idle(False)
     await ends_in_order(client, world)
 
 
 @scenario
-async def test_a_request_that_crosses_the_end_behind_an_answer_is_dropped_and_the_answer_arrives(
+async def test_a_request_that_crosses_a_close_behind_a_response_is_dropped_and_the_response_arrives(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     world = await World().start()
     client = await world.client()
     client.get("0")
     got = await world.cache.next()
-    world.node._clients.drain()
+    world.node._clients.start_draining()
     await crosses(world, client, monkeypatch)
     got.reply_value(b"v" * 60_000)
     assert await client.value("0") == b"v" * 60_000
@@ -75,41 +75,43 @@
 
 
 @scenario
-async def test_a_request_that_crosses_making_way_is_dropped_without_a_reset(
+async def test_a_request_that_crosses_an_idle_eviction_is_dropped_without_a_reset(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     world = await World().start()
-    world.node._clients.places.kept = 0
+    world.node._clients.sessions.retention.max_sessions = 0
     client, other = await world.client(), await world.client()
     assert await is_ready(client)
-    world.node._clients.places._back = 0.0
+    world.node._clients.sessions.retention.reuse_ratio = 0.0
     await crosses(world, client, monkeypatch)
     assert await is_ready(other)
     await ends_in_order(client, world)
 
 
 @scenario
-async def test_a_request_that_crosses_the_end_of_a_long_pause_is_dropped_without_a_reset(
+async def test_a_request_that_crosses_an_idle_timeout_is_dropped_without_a_reset(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     world = await World().start()
     client = await world.client()
     assert await is_ready(client)
-    monkeypatch.setattr(session_manager, "IDLE", 0.0)
+    monkeypatch.setattr(session_timeouts, "IDLE_TIMEOUT_SECONDS", 0.0)
     connection = connection_of(world)
-    shut = connection.shut
+    close = connection.close
 
     def crossed(*_: object) -> None:
         client.send(ASKED)
-        shut()
+        close()
 
-    monkeypatch.setattr(connection, "shut", crossed)
-    connection.check(world.node._system.now())
+    monkeypatch.setattr(connection, "close", crossed)
+    connection.check_timeouts(world.node._system.now())
     await ends_in_order(client, world)
 
 
 @scenario
-async def test_nothing_is_read_between_the_decision_and_the_shutdown(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_nothing_is_read_between_the_close_decision_and_the_shutdown_of_the_socket(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     """What was read before the shutdown was taken: dropped then, it would be lost and not sent again."""
     states: list[int] = []
     received = ClientConnection.data_received
@@ -125,28 +127,28 @@
     assert await is_ready(client)
     await crosses(world, client, monkeypatch)
     await asyncio.sleep(0.01)  # a timer's turn of the loop: what comes is looked for before the next one
-    world.node._clients.drain()
-    world.node._clients.end_waiting(False)
+    world.node._clients.start_draining()
+    world.node._clients.close_idle(False)
     await ends_in_order(client, world)
     assert states in ([ESTABLISHED, FIN_WAIT2], [ESTABLISHED, FIN_WAIT1])
 
 
 @scenario
-async def test_a_request_that_crosses_an_eviction_is_dropped_without_a_reset(
+async def test_a_request_that_crosses_an_eviction_at_admission_is_dropped_without_a_reset(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     world = await World().start()
-    places = world.node._clients.places
-    places.most = 1
+    sessions = world.node._clients.sessions
+    sessions.max_sessions = 1
     client = await world.client()
     assert await is_ready(client)
-    arrived = session_manager.ClientSessionManager.arrived
+    arrived = session_manager.ClientSessionManager.admit
 
-    def crossed(places: session_manager.ClientSessionManager) -> session_manager.Admission:
+    def crossed(sessions: session_manager.ClientSessionManager) -> session_manager.Admission:
         client.writer.transport.write(ASKED)
-        return arrived(places)
+        return arrived(sessions)
 
-    monkeypatch.setattr(session_manager.ClientSessionManager, "arrived", crossed)
+    monkeypatch.setattr(session_manager.ClientSessionManager, "admit", crossed)
     other = await world.client()
     assert await is_ready(other)
     await ends_in_order(client, world)
@@ -154,10 +156,10 @@
 
 
 @scenario
-async def test_one_that_is_turned_away_reads_so_though_it_has_asked() -> None:
+async def test_a_rejected_client_that_has_sent_requests_receives_the_error() -> None:
     """A close over its unread request was a reset, which took the line along."""
     world = await World().start()
-    world.node._clients.places.most = 0
+    world.node._clients.sessions.max_sessions = 0
     raw = socket.create_connection(world.address)
     raw.sendall(ASKED * 20)  # before it is accepted
     client = Client(*await asyncio.open_connection(sock=raw))
@@ -165,40 +167,40 @@
     assert await client.line() == b"SERVER_ERROR too many connections\r\n"
     assert await client.ended()
     client.close()
-    await until(lambda: not len(world.node._clients.lingering))
+    await until(lambda: not len(world.node._clients.context.lingering))
 
 
 @scenario
-async def test_an_error_line_arrives_before_much_that_was_sent_behind_it() -> None:
+async def test_an_error_response_arrives_despite_much_unread_input() -> None:
     world = await World().start()
     client = await world.client()
     client.send(b"ms k x O1 " + P + b"\r\n" + b"x" * 600_000)
-    await until(lambda: len(world.node._clients.lingering))
+    await until(lambda: len(world.node._clients.context.lingering))
     await client.writer.drain()
     assert (await client.line()).startswith(b"CLIENT_ERROR ")
     assert await client.ended()  # in order: all that was sent was read
 
 
 @scenario
-async def test_the_same_id_on_another_connection_is_not_ended_with_the_first_one() -> None:
+async def test_a_reused_request_id_on_another_connection_is_not_cancelled() -> None:
     """Told twice that the client had gone, the router forgot what it had asked for again meanwhile."""
     world = await World().start()
     client, other = await world.client(), await world.client()
     client.get("1")
     await world.cache.next()
-    connection = next(c for c in world.node._clients.all() if c.place.open)
+    connection = next(c for c in world.node._clients.open_connections() if c.session.pending_responses)
     connection.eof_received()
     assert not world.node._host._held
     other.put("1", b"v")
     got = await world.origin.next()
     connection.transport.abort()
-    await until(lambda: connection not in world.node._clients._connections.values())
+    await until(lambda: connection not in world.node._clients.context.connections.values())
     got.respond(b"r")
     assert (await other.line()).startswith(b"HD O1 ")
 
 
 @scenario
-async def test_small_answers_are_not_held_back_by_the_system() -> None:
+async def test_sockets_disable_the_nagle_algorithm() -> None:
     world = await World().start()
     client = await world.client()
     client.get("1")
--- a/tests/test_descriptors.py
+++ b/tests/net/downstream/test_descriptor_limits.py
@@ -1,4 +1,4 @@
-"""A process with few descriptors: idle clients, floods and pieces leave it what it needs to serve."""
+"""A process with few descriptors keeps enough of them to serve, whatever its clients do."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 from tests.test_process import ROOT, config, free_port
 from tests.test_signals import reach
 
-FEW = 64  # descriptors, the fewest that a configuration may name
+DESCRIPTOR_LIMIT = 64  # the lowest limit that a configuration may have
 P = b"Pc=read,t=x,d=5000"
 
 
@@ -31,21 +31,21 @@
     return limit
 
 
-class Few:
-    """A router that may open few, by the system's own limit, and what it goes to."""
+class LimitedRouter:
+    """A router under a low descriptor limit of the system, with its cache and discovery."""
 
-    def __init__(self, path: Path, told: int = FEW) -> None:
-        """`told`: as many as its configuration names."""
-        self.path, self.told, self.port = path, told, free_port()
+    def __init__(self, path: Path, configured: int = DESCRIPTOR_LIMIT) -> None:
+        """`configured`: the descriptor limit in its configuration."""
+        self.path, self.configured, self.port = path, configured, free_port()
         self.cache, self.discovery = Peer(), Peer(read_http)
         self.crowd: list[socket.socket] = []
 
-    async def start(self) -> Few:
+    async def start(self) -> LimitedRouter:
         await self.cache.start()
         await self.discovery.start()
         self.discovery.server.close()
         await self.discovery.server.wait_closed()  # down, and back at the same address
-        limits = {"cores": 1.0, "memory_mb": 192, "sockets": self.told}
+        limits = {"cores": 1.0, "memory_mb": 192, "sockets": self.configured}
         discovery = f"{LOCAL}:{self.discovery.port}"
         file = self.path / "config.json"
         file.write_text(json.dumps(config(self.port, limits=limits, discovery=discovery)))
@@ -55,7 +55,7 @@
             cwd=ROOT,
             env={**os.environ, "NODE_CONFIG": str(file)},
             stderr=(self.path / "log").open("wb"),
-            preexec_fn=limited(FEW),
+            preexec_fn=limited(DESCRIPTOR_LIMIT),
         )
         (await reach(self.port)).close()
         return self
@@ -123,68 +123,66 @@
 
 @scenario
 @pytest.mark.parametrize("sends", SENDS, ids=["idle", "half", "ready", "bad", "slow"])
-async def test_a_crowd_of_clients_leaves_descriptors_for_servers_and_discovery(
-    sends: bytes, tmp_path: Path
-) -> None:
-    """Discovery is down as they come; once it is back, the router finds it and its cache, and serves."""
-    few = await Few(tmp_path).start()
+async def test_many_clients_leave_descriptors_for_servers_and_discovery(sends: bytes, tmp_path: Path) -> None:
+    """Discovery is down meanwhile; once it is back, the router finds it and its cache, and serves."""
+    router = await LimitedRouter(tmp_path).start()
     most = 0
     for _ in range(15):
-        few.come(20, sends)
+        router.come(20, sends)
         for _ in range(5):
-            most = max(most, few.open())
+            most = max(most, router.open())
             await asyncio.sleep(0.002)
-    await few.back()
-    few.come(20, sends)
-    await few.serves("1")
-    assert max(most, few.open()) <= FEW
-    assert "accepting_pauses" not in few.log() and "Errno 24" not in few.log()  # EMFILE
-    await few.stop()
+    await router.back()
+    router.come(20, sends)
+    await router.serves("1")
+    assert max(most, router.open()) <= DESCRIPTOR_LIMIT
+    assert "accept_paused" not in router.log() and "Errno 24" not in router.log()  # EMFILE
+    await router.stop()
 
 
 @scenario
-async def test_told_of_more_than_there_are_it_pauses_and_service_returns_by_itself(tmp_path: Path) -> None:
+async def test_accepting_recovers_when_the_configured_limit_exceeds_the_systems(tmp_path: Path) -> None:
     """Its share for clients is more than all that the system gives: accept says so, and tries again."""
-    few = await Few(tmp_path, told=400).start()
-    few.come(200)
-    while "accepting_pauses" not in few.log():
+    router = await LimitedRouter(tmp_path, configured=400).start()
+    router.come(200)
+    while "accept_paused" not in router.log():
         await asyncio.sleep(0.01)
-    before = few.ticks()
+    before = router.ticks()
     await asyncio.sleep(0.5)  # of a spinning process half a second of processor time
-    assert few.ticks() - before < 25
-    for client in few.crowd[:150]:
+    assert router.ticks() - before < 25
+    for client in router.crowd[:150]:
         client.close()
-    await few.back()
-    await few.serves("1")
-    assert few.log().count("accepting_pauses") < 20
-    await few.stop()
+    await router.back()
+    await router.serves("1")
+    assert router.log().count("accept_paused") < 20
+    await router.stop()
 
 
 @scenario
-async def test_crowds_that_send_much_and_go_leave_nothing_behind(tmp_path: Path) -> None:
-    few = await Few(tmp_path).start()
-    await few.back()
-    await few.serves("0")
-    at_rest = few.open()
+async def test_clients_that_send_much_and_disconnect_leak_no_descriptors(tmp_path: Path) -> None:
+    router = await LimitedRouter(tmp_path).start()
+    await router.back()
+    await router.serves("0")
+    at_rest = router.open()
     for _ in range(20):
-        few.come(10, b"mg k v O1 " + P + b"\r\n" + b"x" * 100_000)
+        router.come(10, b"mg k v O1 " + P + b"\r\n" + b"x" * 100_000)
         await asyncio.sleep(0.005)
-        for client in few.crowd:
+        for client in router.crowd:
             client.close()
-        few.crowd.clear()
-    while not few.cache.messages.empty():
-        few.cache.messages.get_nowait()
-    await few.serves("last")
-    while few.open() > at_rest + 4:  # connections to the cache, at the most
+        router.crowd.clear()
+    while not router.cache.messages.empty():
+        router.cache.messages.get_nowait()
+    await router.serves("last")
+    while router.open() > at_rest + 4:  # connections to the cache, at the most
         await asyncio.sleep(0.01)
-    await few.stop()
+    await router.stop()
 
 
 @scenario
-async def test_a_request_in_pieces_of_a_byte_each_is_answered(tmp_path: Path) -> None:
-    few = await Few(tmp_path).start()
-    await few.back()
-    clients: list[Client] = [await connect((LOCAL, few.port)) for _ in range(3)]
+async def test_a_request_sent_byte_by_byte_is_answered(tmp_path: Path) -> None:
+    router = await LimitedRouter(tmp_path).start()
+    await router.back()
+    clients: list[Client] = [await connect((LOCAL, router.port)) for _ in range(3)]
     for byte in b"mg k v Oab Pc=read,t=x,d=5000\r\n":
         for n, client in enumerate(clients):
             client.send(bytes([byte]) if byte != ord("b") else b"%d" % n)
@@ -192,11 +190,11 @@
 
     async def answer() -> None:
         while True:
-            message = await few.cache.next()
+            message = await router.cache.next()
             message.reply_value(message.flag)
 
     answers = asyncio.ensure_future(answer())
     for n, client in enumerate(clients):
         assert await client.value(f"a{n}") == b"Oa%d" % n
     answers.cancel()
-    await few.stop()
+    await router.stop()
--- /dev/null
+++ b/tests/net/downstream/test_lingering_close.py
@@ -0,0 +1,107 @@
+"""Lingering connections: how long they last, and how many there may be."""
+
+from __future__ import annotations
+
+import pytest
+from ironrail.connections.downstream import lingering_close, session_timeouts
+from ironrail.connections.downstream.descriptor_budget import RESERVED_DESCRIPTORS_COUNT, allocate_descriptors
+from ironrail.net.downstream import client_listener
+
+from tests.net.downstream.test_client_admission import is_ready
+from tests.net.downstream.test_connection_close import CRUMBS, connection_of
+from tests.peers import World, scenario, until
+
+
+@scenario
+async def test_a_lingering_connection_is_aborted_after_its_timeout(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr("ironrail.net.downstream.half_closed.LINGER_SECONDS", 0.05)
+    world = await World().start()
+    client = await world.client()
+    assert await is_ready(client)
+    connection_of(world).close()
+    assert await client.reader.read() == b""
+    await until(lambda: not world.node._clients.context.connections)
+    assert not len(world.node._clients.context.lingering)
+
+
+@scenario
+async def test_the_oldest_lingering_connection_is_aborted_at_the_limit() -> None:
+    world = await World().start()
+    crowd = [await world.client() for _ in range(4)]
+    for client in crowd:
+        assert await is_ready(client)
+    world.node._clients.context.lingering.max_connections = 2
+    first, second, third, _ = world.node._clients.open_connections()
+    for connection in (first, second, third):
+        connection.close()
+    await until(lambda: len(world.node._clients.context.connections) == 3)
+    assert first not in world.node._clients.context.lingering
+    assert second in world.node._clients.context.lingering and third in world.node._clients.context.lingering
+    assert await is_ready(crowd[3])
+
+
+@scenario
+async def test_a_half_closed_client_that_never_reads_is_aborted(monkeypatch: pytest.MonkeyPatch) -> None:
+    """A close waits for unsent data, which must not take forever."""
+    monkeypatch.setattr("ironrail.net.downstream.half_closed.LINGER_SECONDS", 0.05)
+    monkeypatch.setattr("ironrail.net.downstream.half_closed.UNREAD_RESPONSE_TIMEOUT_SECONDS", 0.1)
+    world = await World().start()
+    client = await world.client()
+    client.writer.transport.pause_reading()  # type: ignore[attr-defined]
+    connection, n = connection_of(world), 0
+    while not connection.transport.get_write_buffer_size():
+        client.get(str(n))
+        (await world.cache.next()).reply_value(b"x" * 65536)
+        await until(lambda: not connection.session.pending_responses)
+        n += 1
+    client.get("waits")
+    await world.cache.next()
+    assert list(world.node._host._held) == ["waits"]
+    client.writer.write_eof()
+    await until(lambda: not world.node._host._held)  # at once: it has gone
+    await until(lambda: not world.node._clients.context.connections)
+
+
+@scenario
+async def test_an_idle_client_that_never_reads_its_last_response_is_aborted(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    """Below the high-water mark the transport does not report unsent data."""
+    monkeypatch.setattr("ironrail.net.downstream.half_closed.LINGER_SECONDS", 0.05)
+    monkeypatch.setattr("ironrail.net.downstream.half_closed.UNREAD_RESPONSE_TIMEOUT_SECONDS", 0.1)
+    monkeypatch.setattr(client_listener, "TIMEOUT_CHECK_INTERVAL_SECONDS", 0.02)
+    world = await World().start()
+    client = await world.client()
+    client.writer.transport.pause_reading()  # type: ignore[attr-defined]
+    connection, n = connection_of(world), 0
+    while not connection.transport.get_write_buffer_size():
+        client.get(str(n))
+        (await world.cache.next()).reply_value(b"x" * CRUMBS)
+        await until(lambda: not connection.session.pending_responses)
+        n += 1
+    assert connection.session.responses_unread_since is None
+    monkeypatch.setattr(session_timeouts, "IDLE_TIMEOUT_SECONDS", 0.1)
+    await until(lambda: not world.node._clients.context.connections)
+
+
+@pytest.mark.parametrize("sockets", [64, 65, 100, 256, 384, 1024, 4096])
+def test_the_descriptor_budget_stays_within_the_limit(sockets: int) -> None:
+    shares = allocate_descriptors(sockets)
+    assert min(shares.servers, shares.clients, shares.lingering, shares.accepts_per_turn) >= 1
+    # in one turn of the loop: so many taken, and so many closed whose descriptors are not yet free
+    assert (
+        RESERVED_DESCRIPTORS_COUNT
+        + shares.servers
+        + shares.clients
+        + shares.lingering
+        + 2 * shares.accepts_per_turn
+        <= sockets
+    )
+
+
+def test_the_registry_evicts_the_oldest_lingering_connection() -> None:
+    some = lingering_close.LingeringCloseRegistry[str](2)
+    assert some.add("a") is None and some.add("b") is None
+    assert some.add("c") == "a" and len(some) == 2
+    some.remove("b")
+    assert some.add("d") is None and "b" not in some
--- a/tests/test_long_values.py
+++ b/tests/net/downstream/test_long_values.py
@@ -1,4 +1,4 @@
-"""Values too long to be kept whole, both ways, on loopback sockets."""
+"""Values too long to be buffered, in both directions, on loopback sockets."""
 
 from __future__ import annotations
 
@@ -24,12 +24,12 @@
 
 
 @scenario
-async def test_a_connection_whose_last_piece_filled_its_client_is_read_again() -> None:
+async def test_a_server_connection_is_resumed_after_the_last_chunk_paused_it() -> None:
     world = await World().start()
     client, got = await asked(world)
     client.reader._transport.pause_reading()  # type: ignore[attr-defined]
     client.writer.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 65536)
-    for connection in world.node._clients._connections.values():
+    for connection in world.node._clients.context.connections.values():
         connection.transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 65536)
     value = LONG[: 600 * 1024]
     whole = b"VA %d O1 h1\r\n" % len(value) + value + b"\r\n"
@@ -47,7 +47,7 @@
 
 @pytest.mark.parametrize("cut", [1, len(HEAD) - 1, len(HEAD), len(HEAD) + 70_000, len(HEAD) + len(LONG) + 1])
 @scenario
-async def test_a_long_value_cut_at_any_point_comes_whole(cut: int) -> None:
+async def test_a_long_value_split_at_any_point_arrives_complete(cut: int) -> None:
     world = await World().start()
     client, got = await asked(world)
     whole = HEAD + LONG + b"\r\n"
@@ -60,11 +60,11 @@
     assert again.writer is got.writer  # nothing is left on it
     again.reply_value(b"v")
     assert await client.value("2") == b"v"
-    assert world.node._host.room.free == world.node._host.room._total
+    assert world.node._host.room.free_bytes == world.node._host.room.total_bytes
 
 
 @scenario
-async def test_the_first_bytes_are_timed_and_the_rest_is_not() -> None:
+async def test_only_the_first_bytes_of_a_long_value_have_a_deadline() -> None:
     world = await World().start()
     client, got = await asked(world, wait=1000)
     got.reply(HEAD + LONG[:1000])
@@ -75,7 +75,7 @@
 
 
 @scenario
-async def test_a_long_value_of_the_origin_is_passed_on_too() -> None:
+async def test_a_long_value_from_the_origin_is_streamed() -> None:
     world = await World().start()
     client, got = await asked(world)
     got.reply(b"EN O1\r\n")
@@ -85,7 +85,7 @@
 
 
 @scenario
-async def test_what_breaks_off_in_the_middle_ends_the_clients_connection() -> None:
+async def test_a_truncated_long_value_closes_the_client_connection() -> None:
     world = await World().start()
     client, got = await asked(world)
     got.reply(HEAD + LONG[:100_000])
@@ -97,14 +97,14 @@
 
 
 @scenario
-async def test_a_client_that_takes_nothing_stops_the_reading_and_nobody_elses() -> None:
+async def test_a_slow_reader_pauses_only_its_own_server_connection() -> None:
     world = await World().start()
     client, got = await asked(world)
     client.reader._transport.pause_reading()  # type: ignore[attr-defined]
     client.writer.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 65536)
-    for connection in world.node._clients._connections.values():  # or the system takes all of it
+    for connection in world.node._clients.context.connections.values():  # or the system takes all of it
         connection.transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 65536)
-    huge = bytes(meta_codec.MAX_VALUE)
+    huge = bytes(meta_codec.MAX_VALUE_BYTES)
     got.reply(b"VA %d O1 h1\r\n" % len(huge) + huge + b"\r\n")
     host = world.node._host
     await until(lambda: host._held and next(iter(host._held.values())).streaming)
@@ -120,7 +120,7 @@
 
 
 @scenario
-async def test_a_client_that_leaves_ends_what_it_was_given() -> None:
+async def test_a_long_value_is_cancelled_when_its_client_disconnects() -> None:
     world = await World().start()
     client, got = await asked(world)
     got.reply(HEAD + LONG[:100_000])
@@ -128,21 +128,21 @@
     client.close()
     assert await world.cache.ended.acquire()
     room = world.node._host.room
-    assert room.free == room._total and not world.node._host._open
+    assert room.free_bytes == room.total_bytes and not world.node._host._open
 
 
 @scenario
-async def test_without_room_a_long_value_is_a_failed_attempt() -> None:
+async def test_a_long_value_without_memory_is_a_failed_attempt() -> None:
     world = await World().start()
     room = world.node._host.room = MemoryBudget(STREAM_ROOM)
-    assert room.take("another", 1)
+    assert room.reserve("another", 1)
     client, got = await asked(world, wait=200)
     got.reply(HEAD + LONG + b"\r\n")
     assert (await client.line()).startswith(b"SERVER_ERROR")
 
 
 @scenario
-async def test_a_long_answer_waits_for_the_answers_before_it() -> None:
+async def test_a_long_response_waits_for_earlier_responses() -> None:
     world = await World().start()
     client = await world.client()
     client.get("0")
@@ -156,7 +156,7 @@
 
 
 @scenario
-async def test_a_reply_in_slow_pieces_is_no_broken_one(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_a_slowly_received_reply_is_not_a_failure(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(pool_manager, "HALF_READ", 1.0)
     world = await World().start()
     client, got = await asked(world)
@@ -168,7 +168,7 @@
 
 
 @scenario
-async def test_long_writes_wait_for_room_and_are_read_in_turn() -> None:
+async def test_long_writes_wait_for_memory_and_are_read_in_order() -> None:
     world = await World().start()
     world.node._host.room = MemoryBudget(len(LONG) + 1000)
     first, second = await world.client(), await world.client()
@@ -183,21 +183,21 @@
     assert put.value == LONG
     put.respond(b"r2")
     assert await second.line() == b"HD O2 cr2\r\n"
-    assert world.node._host.room.free == len(LONG) + 1000
+    assert world.node._host.room.free_bytes == len(LONG) + 1000
 
 
 @scenario
-async def test_who_waits_for_room_and_leaves_holds_up_nobody() -> None:
+async def test_a_client_that_disconnects_while_waiting_for_memory_blocks_no_other() -> None:
     world = await World().start()
     room = world.node._host.room = MemoryBudget(len(LONG))
-    assert room.take("another", len(LONG))
+    assert room.reserve("another", len(LONG))
     leaver, stays = await world.client(), await world.client()
     leaver.send(b"ms k %d O1 Pc=once,t=x,d=5000\r\n" % len(LONG) + LONG[:-1000])
-    await until(lambda: room._queue)
+    await until(lambda: room.waiting_count)
     stays.put("2", LONG)
-    await until(lambda: len(room._queue) == 2)
+    await until(lambda: room.waiting_count == 2)
     leaver.close()
-    room.give_back("another")
-    world.node._clients.let_in()  # the leaver, who is found to be gone
+    room.release("another")
+    world.node._clients.context.grant_memory()  # the leaver, who is found to be gone
     put = await world.origin.next()
     assert put.value == LONG
--- a/tests/test_accepting.py
+++ b/tests/net/test_listener.py
@@ -43,7 +43,7 @@
 
 
 @scenario
-async def test_one_that_has_gone_in_the_queue_does_not_end_those_behind_it_as_the_listener_closes() -> None:
+async def test_an_aborted_connection_does_not_stop_accepting_while_the_listener_closes() -> None:
     near, far = socket.socketpair()
     queue = Queue(ConnectionAbortedError(), near)
     taken: list[socket.socket] = []
@@ -56,10 +56,10 @@
 
 @scenario
 @pytest.mark.parametrize("what", [errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EPROTO])
-async def test_accepting_goes_on_after_a_shortage_and_neither_spins_nor_floods_the_log(
+async def test_accepting_resumes_after_a_shortage_without_spinning_or_flooding_the_log(
     what: int, monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
-    monkeypatch.setattr(listener, "FULL_PAUSE", 0.01)
+    monkeypatch.setattr(listener, "ACCEPT_RETRY_DELAY_SECONDS", 0.01)
     queue = Queue(*(OSError(what, "none left") for _ in range(20)))
     taken: list[socket.socket] = []
     acceptor = listener.Acceptor(System(queue), (LOCAL, 0), taken.append)  # type: ignore[arg-type]
@@ -68,7 +68,7 @@
     client = await connect(acceptor.address)
     await until(lambda: taken)
     assert loop.time() - began >= 20 * 0.009  # a pause for each
-    assert [record.getMessage() for record in caplog.records].count("accepting_pauses") == 1
+    assert [record.getMessage() for record in caplog.records].count("accept_paused") == 1
     client.close()
     taken[0].close()
     acceptor.close()
--- a/tests/outcomes/test_nobody_waits.py
+++ b/tests/outcomes/test_nobody_waits.py
@@ -8,8 +8,8 @@
 from dataclasses import dataclass
 
 import pytest
-from ironrail.connections.downstream import session_manager
-from ironrail.net.protocol.meta_codec import SHORT
+from ironrail.connections.downstream import client_session
+from ironrail.net.protocol.meta_codec import MAX_BUFFERED_VALUE_BYTES
 from ironrail.net.system import REAL
 from ironrail.net.upstream.cache_connection import CacheConnection
 from ironrail.net.upstream.connection_pool import Attempt
@@ -139,19 +139,19 @@
 async def test_a_client_that_ends_while_nothing_is_read_from_it_has_no_more_sent_on() -> None:
     world = await World(cancellation_allowed=False).start()
     client = await world.client()
-    many = session_manager.MOST_PIPELINED + 8
+    many = client_session.MAX_PIPELINED_COMMANDS + 8
     client.send(b"".join(b"ms k 1 O%d Pc=once,t=x,d=5000\r\nv\r\n" % n for n in range(many)))
-    await until(lambda: len(world.node._clients.places))
-    (place,) = world.node._clients.places
-    await until(lambda: not place.reading)
+    await until(lambda: len(world.node._clients.sessions))
+    (session,) = world.node._clients.sessions
+    await until(lambda: not session.is_reading)
     sent = [await world.origin.next()]
     origin = world.node._host._router.servers["o"]
     await until(lambda: len(sent) + world.origin.messages.qsize() == origin.in_flight)
     out = origin.in_flight
-    assert len(world.node._host._held) == session_manager.MOST_PIPELINED > out
-    (connection,) = world.node._clients.all()
+    assert len(world.node._host._held) == client_session.MAX_PIPELINED_COMMANDS > out
+    (connection,) = world.node._clients.open_connections()
     client.writer.write_eof()
-    await until(connection.left, False)
+    await until(connection.has_left, False)
     for _ in range(out):
         (sent.pop() if sent else await world.origin.next()).respond(b"r")
     await until(lambda: not world.node._host._held and not origin.in_flight)
@@ -208,7 +208,7 @@
     held.attempts.append(late)
     host._open["1", 1] = late, pool
     pool.send(late)  # dials
-    value = b"x" * (SHORT + 1)
+    value = b"x" * (MAX_BUFFERED_VALUE_BYTES + 1)
     got.reply(b"VA %d O1 h1\r\n" % len(value))
     await until(lambda: held.streaming)
     assert not late.open and late.link is None
--- a/tests/outcomes/test_once_at_a_time.py
+++ b/tests/outcomes/test_once_at_a_time.py
@@ -26,7 +26,7 @@
     first = await world.cache.next()
     fetch = await world.origin.next()
     assert first.flag == b"O1" and fetch.headers["request-id"] == "1"
-    assert first.writer.is_closing() or REAL.hung_up(cast(asyncio.Transport, first.writer.transport))
+    assert first.writer.is_closing() or REAL.has_hung_up(cast(asyncio.Transport, first.writer.transport))
     fetch.respond(b"v")
 
 
--- a/tests/readers_router.py
+++ b/tests/readers_router.py
@@ -50,7 +50,7 @@
         return self.node.together.readers
 
     def connections(self) -> list[ClientConnection]:
-        return self.node._clients.all()
+        return self.node._clients.open_connections()
 
     async def served(self, client: Client, name: str) -> None:
         client.get(name)
--- a/tests/rehearsal/links/test_switch.py
+++ b/tests/rehearsal/links/test_switch.py
@@ -97,5 +97,5 @@
     system = Drifting(REAL, Switch())
     assert abs(system.now() - REAL.now()) < 1.0 and abs(system.wall() - REAL.wall()) < 1.0
     listener = system.listen(("127.0.0.1", 0), 1)
-    assert system.served(listener.getsockname())
+    assert system.is_served(listener.getsockname())
     listener.close()
--- a/tests/rehearsal/virtual/test_transports.py
+++ b/tests/rehearsal/virtual/test_transports.py
@@ -99,7 +99,7 @@
         near, far = await world.pair()
         far.transport.pause_reading()
         near.transport.write(b"unread")
-        unread = world.system.unread(far.transport)
+        unread = world.system.unread_check(far.transport)
         while not unread():
             await asyncio.sleep(0.001)
         far.transport.close()
@@ -112,7 +112,7 @@
 def test_what_waits_unread_is_known_before_it_is_read(run: Run) -> None:
     async def test(world: World) -> None:
         near, far = await world.pair()
-        unread = world.system.unread(near.transport)
+        unread = world.system.unread_check(near.transport)
         assert not unread()
         near.transport.pause_reading()
         far.transport.write(b"surplus")
@@ -137,13 +137,13 @@
 
 def test_an_address_may_be_shared_and_connects_go_to_who_listens(run: Run) -> None:
     async def test(world: World) -> None:
-        assert world.system.served((LOCAL, world.port))
+        assert world.system.is_served((LOCAL, world.port))
         world.system.listen((LOCAL, world.port), 16).close()
         await world.pair()  # the one that is left takes it
-        assert world.system.served((LOCAL, world.port))
+        assert world.system.is_served((LOCAL, world.port))
         world.loop.remove_reader(world.listener)
         world.listener.close()
-        assert not world.system.served((LOCAL, world.port))
+        assert not world.system.is_served((LOCAL, world.port))
 
     run(test)
 
--- a/tests/test_readers.py
+++ b/tests/test_readers.py
@@ -10,6 +10,7 @@
 from typing import Any
 
 import pytest
+from ironrail.diagnostics.reasons import ClientCloseReason
 from ironrail.net.peers import readers as driver
 from ironrail.net.peers.link_evidence import One
 
@@ -102,7 +103,7 @@
     busy.get("busy")
     owed = await world.cache.next()
     half.send(b"mg k v Ohalf ")
-    while sum(c.place.idle() for c in world.connections()) > 2:
+    while sum(c.session.is_idle for c in world.connections()) > 2:
         await asyncio.sleep(0.01)
     there = world.connections()
     world.put_in_force(monkeypatch, {"north": ROW}, load=9.5)  # at its limit
@@ -112,12 +113,16 @@
     assert world.readers.let_go == 0 and world.connections() == there
     world.put_in_force(monkeypatch, {"north": ROW})
     world.readers._move(now + 120.0, world.node._clients)
-    (connection,) = (c for c in world.connections() if c.place.leaves)
+    (connection,) = (c for c in world.connections() if c.session.is_migrating)
     assert world.connections() == there  # it asks once more, and goes behind its answer
     owed.reply_value(b"v")
     assert await busy.value("busy") == b"v"
     await world.served(resting, "last")
-    assert await resting.ended() and connection.place.left and len(world.connections()) == 3
+    assert (
+        await resting.ended()
+        and connection.close_reason is ClientCloseReason.MIGRATED
+        and len(world.connections()) == 3
+    )
     world.readers._move(now + 121.0, world.node._clients)
     assert world.readers.let_go == 1
     half.send(b"Pc=read,t=x,d=5000\r\n")
@@ -141,7 +146,7 @@
     world.readers._follow(now)
     world.readers._move(now + 60.0, world.node._clients)
     (connection,) = world.connections()
-    assert connection.place.leaves
+    assert connection.session.is_migrating
     client.get("2")
     await world.cache.next()
     with socket.socket(fileno=os.dup(client.writer.get_extra_info("socket").fileno())) as raw:
@@ -166,16 +171,16 @@
     world.put_in_force(monkeypatch, {"north": ROW})
     world.readers._follow(now)
     world.readers._move(now + 60.0, world.node._clients)
-    assert connection.place.leaves
+    assert connection.session.is_migrating
     world.put_in_force(monkeypatch, {"north": ROW}, load=9.5)
     world.readers._move(now + 61.0, world.node._clients)
-    assert not connection.place.leaves
+    assert not connection.session.is_migrating
     world.put_in_force(monkeypatch, {"north": ROW})
     world.readers._move(now + 62.0, world.node._clients)
-    assert connection.place.leaves
+    assert connection.session.is_migrating
     world.put_in_force(monkeypatch, {"north": {"here": 1.0}}, version=8)
     world.readers._follow(now + 63.0)
-    assert not connection.place.leaves
+    assert not connection.session.is_migrating
     await world.served(client, "2")
 
 
@@ -196,7 +201,7 @@
 async def test_a_router_alone_asks_nobody_who_reads() -> None:
     world = await World().start()
     await world.client()
-    while not world.node._clients.all():
+    while not world.node._clients.open_connections():
         await asyncio.sleep(0.01)
-    (connection,) = world.node._clients.all()
+    (connection,) = world.node._clients.open_connections()
     assert connection.reader is None and world.node.together is None
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -8,14 +8,14 @@
 from typing import Any
 
 import pytest
-from ironrail.connections.downstream import session_manager
+from ironrail.connections.downstream import client_session
 from ironrail.net.lifecycle import graceful_shutdown
 from ironrail.net.lifecycle.graceful_shutdown import ShutdownSchedule, shutdown_schedule
 from ironrail.net.lifecycle.node import Node
 from ironrail.policy.settings import RequestClass
 
+from tests.net.downstream.test_client_admission import is_ready
 from tests.peers import LOCAL, ONCE, READ, SETTINGS, World, scenario, until
-from tests.test_clients import is_ready
 
 
 def of(*give_up: float) -> ShutdownSchedule:
@@ -88,7 +88,7 @@
     monkeypatch.setattr(world.node._host, "end_all", end)
     await world.node.stop()
     # here the process ends: all is answered, and said to be over
-    assert late and not world.node._host._held and not world.node._clients.all()
+    assert late and not world.node._host._held and not world.node._clients.open_connections()
     for _ in range(301 + late):
         assert (await client.line()).startswith(b"SERVER_ERROR ")
     assert await client.ended()
@@ -98,20 +98,20 @@
 async def test_what_is_read_and_not_yet_parsed_is_not_shut_over() -> None:
     """More than a connection may have in hand was parsed a turn later, and its end came between."""
     world = await World().start()
-    client, most = await world.client(), session_manager.MOST_PIPELINED
+    client, most = await world.client(), client_session.MAX_PIPELINED_COMMANDS
     client.send(b"mn\r\n" * (most + 2))
     looked = 0
 
     def look() -> None:
         nonlocal looked
         looked += 1
-        world.node._clients.end_waiting(True)
+        world.node._clients.close_idle(True)
         if looked < 2000:
             loop.call_soon(look)
 
     loop = asyncio.get_running_loop()
     loop.call_soon(look)
-    world.node._clients.drain()
+    world.node._clients.start_draining()
     for _ in range(most + 2):
         assert await client.line() == b"SERVER_ERROR not ready\r\n"
 
@@ -121,11 +121,11 @@
     world = await World().start()
     client = await world.client()
     client.writer.transport.pause_reading()  # type: ignore[attr-defined]
-    connection, n = world.node._clients.all()[0], 0
+    connection, n = world.node._clients.open_connections()[0], 0
     while not connection.transport.get_write_buffer_size():
         client.get(str(n))
         (await world.cache.next()).reply_value(b"x" * 65536)
-        await until(lambda: not connection.place.open)
+        await until(lambda: not connection.session.pending_responses)
         n += 1
     ending = asyncio.ensure_future(world.node.stop())
     await asyncio.sleep(of(9.0).rest + 2 * graceful_shutdown.LOOK)  # resting ones were shut since
@@ -179,6 +179,6 @@
     world = await World().start()
     world.node._reread = lambda: replace(world.config(), discovery=(LOCAL, 9))
     task = world.node._discovery._task
-    world.node._clients.drain()
+    world.node._clients.start_draining()
     world.node.reload()
     assert world.node._discovery._task is task and world.node._config.discovery[1] != 9
