--- a/ironrail/connections/downstream/client_session.py
+++ b/ironrail/connections/downstream/client_session.py
@@ -19,7 +19,7 @@
     MIGRATING = "migrating"
     """It closes after its next response, because another zone serves its client."""
     ENDING = "ending"
-    """No further command is accepted."""
+    """No more commands are accepted."""
 
 
 class CommandProgress(Enum):
@@ -28,7 +28,7 @@
     NONE = "none"
     PARTIAL = "partial"
     LONG_VALUE = "long_value"
-    """The rest of a long value is being received."""
+    """A long value is being received."""
     AWAITING_MEMORY = "awaiting_memory"
     """A long value follows, which is not read before memory is reserved for it."""
 
@@ -63,7 +63,7 @@
 
     @property
     def is_ending(self) -> bool:
-        """Whether no further command is accepted."""
+        """Whether no more commands are accepted."""
         return self.state is _ENDING
 
     @property
@@ -96,7 +96,7 @@
         """Whether to read from the client.
 
         Bounds the memory used by clients that send and never read, and the CPU used for commands
-        whose responses nobody takes.
+        whose responses are not taken.
         """
         return (
             self.accepts_commands
@@ -105,7 +105,7 @@
         )
 
     def end(self) -> None:
-        """Accept no further command."""
+        """Accept no more commands."""
         self.state = _ENDING
 
     def start_migration(self) -> None:
--- a/ironrail/connections/downstream/descriptor_budget.py
+++ b/ironrail/connections/downstream/descriptor_budget.py
@@ -14,7 +14,7 @@
 """Of all descriptors: what the clients together open for requests at most."""
 
 RETAINED_CLIENT_FRACTION = 5 / 8
-"""Of the clients' descriptors: idle sessions beyond it are evicted, and the rest serves bursts."""
+"""Of the clients' descriptors: idle sessions beyond it are evicted to leave some for bursts."""
 
 
 @dataclass(frozen=True, slots=True)
--- a/ironrail/connections/downstream/memory_budget.py
+++ b/ironrail/connections/downstream/memory_budget.py
@@ -8,8 +8,8 @@
 class MemoryBudget:
     """The memory for all long values of one router. Sizes are bytes.
 
-    Reservations that don't fit wait or fail, as their owners decide. A reservation is released by
-    whoever owns it at that time.
+    Reservations that don't fit wait or fail, as their owners decide. The present owner of a
+    reservation releases it.
     """
 
     def __init__(self, total_bytes: int) -> None:
--- a/ironrail/connections/downstream/session_manager.py
+++ b/ironrail/connections/downstream/session_manager.py
@@ -57,11 +57,11 @@
         self.max_sessions = max_sessions
         self.retention = IdleRetention(max_retained_sessions)
         self.is_draining = False
-        # Without a valid command yet; the one that was silent for longest comes first.
+        # Without a valid command yet; the one that was silent for longest is first.
         self._unused: dict[ClientSession, None] = {}
-        # The least recently used comes first.
+        # The least recently used is first.
         self._used: dict[ClientSession, None] = {}
-        # Used ones without a pending response; the one that was idle for longest comes first.
+        # Used ones without a pending response; the one that was idle for longest is first.
         self._idle = OrderedDict[ClientSession, None]()
         self._opening = 0
         self._eviction_checks_left = 0
--- a/ironrail/net/downstream/response_slots.py
+++ b/ironrail/net/downstream/response_slots.py
@@ -68,7 +68,7 @@
 
     @property
     def reader(self) -> Reader | None:
-        """The client at the other end, where regions are told apart."""
+        """The client, if the router distinguishes regions of clients."""
         return self._connection.reader
 
     @property
--- a/ironrail/net/downstream/session_context.py
+++ b/ironrail/net/downstream/session_context.py
@@ -75,7 +75,7 @@
         self.lingering = LingeringCloseRegistry[LingeringConnection](max_lingering)
         self.connections: dict[ClientSession, Connection] = {}
         self.identify_reader: Callable[[asyncio.Transport], Reader] | None = None
-        """Finds out who a client is, where regions of clients are told apart."""
+        """Identifies a client where the router distinguishes regions of clients."""
         self.rejects_all = False
         """Whether all new requests are rejected, as the time for the shutdown is over."""
         self._is_ready = is_ready
@@ -87,7 +87,7 @@
         return self._is_ready() and not self.sessions.is_draining
 
     def reader_for(self, transport: asyncio.Transport) -> Reader | None:
-        """The client at the other end, where regions are told apart."""
+        """Identify the client if the router distinguishes regions of clients."""
         if self.identify_reader is None:
             return None
         return self.identify_reader(transport)
@@ -108,7 +108,7 @@
             self._all_closed.set()
 
     def start_linger(self, connection: LingeringConnection) -> None:
-        """Let a connection linger until its client closes, and abort the oldest beyond the limit."""
+        """Let a connection linger until its client closes; abort the oldest at the limit."""
         oldest = self.lingering.add(connection)
         if oldest is not None:
             oldest.transport.abort()
--- a/ironrail/net/listener.py
+++ b/ironrail/net/listener.py
@@ -64,7 +64,7 @@
 
     def _pause(self, error: OSError) -> None:
         """Stop accepting for a while, as the socket stays readable and would spin the loop."""
-        if not self._is_paused:  # logged once for the whole shortage
+        if not self._is_paused:  # logged once in a shortage
             log.error("accept_paused", extra={"error": str(error)})
         self._is_paused = True
         self._loop.remove_reader(self._socket)
--- a/ironrail/net/protocol/commands.py
+++ b/ironrail/net/protocol/commands.py
@@ -1,136 +1,191 @@
-"""What clients send, parsed piece by piece as bytes arrive. No I/O."""
+"""Parsing of the commands that clients send, piece by piece as bytes arrive."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
+from enum import Enum
 
-from ironrail.net.protocol.fields import is_printable, read_fields
+from ironrail.net.protocol.errors import CommandError, FramingError, ProtocolError
+from ironrail.net.protocol.fields import is_printable, parse_fields
 from ironrail.net.protocol.framing import (
     MAX_BUFFERED_VALUE_BYTES,
     MAX_LINE_BYTES,
-    FramingError,
     ReceiveBuffer,
-    read_length,
+    parse_value_length,
 )
 
 MAX_KEY_BYTES = 250
-UNKNOWN_COMMAND = b"ERROR\r\n"  # the answer to what is no command
+MAX_REQUEST_ID_BYTES = 64
+
+UNKNOWN_COMMAND = b"ERROR\r\n"
+"""The response to a line that is no command."""
+
+REQUEST_ID_FLAG = b"O"
+FIELDS_FLAG = b"P"
+VALUE_FLAG = b"v"
+
+READ_FLAGS = {REQUEST_ID_FLAG, FIELDS_FLAG, VALUE_FLAG}
+WRITE_FLAGS = {REQUEST_ID_FLAG, FIELDS_FLAG}
+"""The flags of each command: others would change the form of the response."""
+
+REQUIRED_FIELDS = ("c", "d")
 
 
 @dataclass(slots=True, frozen=True)
 class Command:
-    """A client's `mg` or `ms`; `info` is its list of names and values as it came."""
+    """A client's `mg` or `ms`."""
 
     key: bytes
     request_id: bytes
-    info: bytes
+    raw_fields: bytes
+    """The list of names and values as received."""
     fields: dict[str, str]
-    value: bytes | None  # None for a read
+    value: bytes | None
+    """None for a read."""
 
     @property
     def is_write(self) -> bool:
+        """Whether the command stores a value."""
         return self.value is not None
 
 
 @dataclass(slots=True, frozen=True)
 class Noop:
-    """`mn`: is the router able to serve?"""
+    """`mn`, by which a client asks whether the router can serve."""
 
 
 @dataclass(slots=True, frozen=True)
 class BadCommand:
-    """Something that gets `answer` and goes no further; the connection ends where framing is lost."""
+    """An invalid command; the connection closes where the framing is lost."""
 
     response: bytes
     is_fatal: bool = False
 
 
-def _bad(reason: object, fatal: bool = False) -> BadCommand:
-    return BadCommand(f"CLIENT_ERROR {reason}\r\n".encode(), fatal)
+class CommandState(Enum):
+    """What the parser expects next."""
 
+    COMMAND_LINE = "command_line"
+    VALUE = "value"
 
-def _read_command(words: list[bytes], value: bytes | None) -> Command:
-    """Check the words of an `mg` or `ms` line; a ValueError tells what is wrong."""
-    flags = words[2 if value is None else 3 :]
-    if not is_printable(words[1], MAX_KEY_BYTES):
-        raise ValueError("bad key")
-    given = {flag[:1]: flag[1:] for flag in flags}
-    # guards against flags that would change what an answer looks like
-    if given.keys() != ({b"O", b"P", b"v"} if value is None else {b"O", b"P"}) or len(given) != len(
-        flags
-    ):
-        raise ValueError("bad flags")
-    # guards against bytes that would not fit into the headers for the origin
-    if not (
-        is_printable(given[b"O"], 64) and is_printable(given[b"P"], MAX_LINE_BYTES)
-    ) or given.get(b"v"):
-        raise ValueError("bad flags")
-    fields = read_fields(given[b"P"])
-    for name in ("c", "d"):
-        if name not in fields:
-            raise ValueError(f"missing {name}")
-    return Command(words[1], given[b"O"], given[b"P"], fields, value)
+
+_COMMAND_LINE = CommandState.COMMAND_LINE
+_VALUE = CommandState.VALUE
 
 
 class CommandParser:
-    """What clients send."""
+    """Parses the commands of one client."""
 
     def __init__(self) -> None:
+        """Expect a command line."""
         self._buffer = ReceiveBuffer()
-        # an `ms` line whose value is still to come: its words, and the bytes of that value
-        self._pending: tuple[list[bytes], int] | None = None
+        self._state = _COMMAND_LINE
+        self._write_line: list[bytes] = []  # words of the line whose value is expected
+        self._value_bytes = 0
 
     @property
     def has_partial_command(self) -> bool:
-        """Whether a part of a command has come."""
-        return self._pending is not None or len(self._buffer) > 0
+        """Whether a part of a command was received."""
+        return self._state is _VALUE or len(self._buffer) > 0
 
     @property
     def long_value_bytes(self) -> int:
-        """Bytes of the value that is to come, if it is a long one; else 0."""
-        length = 0 if self._pending is None else self._pending[1]
-        return length if length > MAX_BUFFERED_VALUE_BYTES else 0
+        """Size of the value that is expected, if it is a long one; else 0."""
+        if self._state is _VALUE and self._value_bytes > MAX_BUFFERED_VALUE_BYTES:
+            return self._value_bytes
+        return 0
 
     def feed(self, data: bytes) -> None:
+        """Add received bytes."""
         self._buffer.append(data)
 
     def next_command(self) -> Command | Noop | BadCommand | None:
-        """Take what is whole; after a fatal one nothing more makes sense."""
+        """Take the next complete command; None if there is none.
+
+        After a fatal one the parser must not be used any more.
+        """
         try:
-            return self._next()
-        except FramingError as e:
-            return _bad(e, fatal=True)
+            if self._state is _VALUE:
+                return self._take_value()
+            return self._take_command_line()
+        except FramingError as error:
+            return _bad_command(error, is_fatal=True)
 
-    def _next(self) -> Command | Noop | BadCommand | None:
-        if self._pending is not None:
-            return self._finish_write(*self._pending)
+    def _take_command_line(self) -> Command | Noop | BadCommand | None:
         line = self._buffer.take_line()
         if line is None:
             return None
         words = line.split(b" ")
-        match words[0]:
-            case b"mg" if len(words) >= 2:
-                return self._checked(words, None)
-            case b"ms" if len(words) >= 3:
-                self._pending = words, read_length(words[2])
-                return self._finish_write(*self._pending)
-            case b"mn" if len(words) == 1:
+        match words:
+            case [b"mg", _, *_]:
+                return _validated(words, None)
+            case [b"ms", _, length, *_]:
+                self._value_bytes = parse_value_length(length)
+                self._write_line = words
+                self._state = _VALUE
+                return self._take_value()
+            case [b"mn"]:
                 return Noop()
-            case b"mg":
-                return _bad("bad command line")
-            case b"ms":  # no length: where the value ends is not known
-                return _bad("bad command line", fatal=True)
+            case [b"mg"]:
+                return _bad_command("bad command line")
+            case [b"ms", *_]:  # without a length the end of the value is unknown
+                return _bad_command("bad command line", is_fatal=True)
         return BadCommand(UNKNOWN_COMMAND)
 
-    def _finish_write(self, words: list[bytes], length: int) -> Command | BadCommand | None:
-        value = self._buffer.take_block(length)
+    def _take_value(self) -> Command | BadCommand | None:
+        value = self._buffer.take_block(self._value_bytes)
         if value is None:
             return None
-        self._pending = None
-        return self._checked(words, value)
+        self._state = _COMMAND_LINE
+        return _validated(self._write_line, value)
 
-    def _checked(self, words: list[bytes], value: bytes | None) -> Command | BadCommand:
-        try:
-            return _read_command(words, value)
-        except ValueError as e:
-            return _bad(e)
+
+def _bad_command(reason: object, is_fatal: bool = False) -> BadCommand:
+    return BadCommand(f"CLIENT_ERROR {reason}\r\n".encode(), is_fatal)
+
+
+def _validated(words: list[bytes], value: bytes | None) -> Command | BadCommand:
+    try:
+        return _read_command(words, value)
+    except ProtocolError as error:
+        return _bad_command(error)
+
+
+def _read_command(words: list[bytes], value: bytes | None) -> Command:
+    """Build the command of an `mg` or `ms` line.
+
+    Raises:
+        ProtocolError: The key, a flag or a field is bad.
+    """
+    key = words[1]
+    if not is_printable(key, MAX_KEY_BYTES):
+        raise CommandError("bad key")
+    if value is None:
+        flags = _read_flags(words[2:], READ_FLAGS)
+    else:
+        flags = _read_flags(words[3:], WRITE_FLAGS)
+    raw_fields = flags[FIELDS_FLAG]
+    fields = parse_fields(raw_fields)
+    for name in REQUIRED_FIELDS:
+        if name not in fields:
+            raise CommandError(f"missing {name}")
+    return Command(key, flags[REQUEST_ID_FLAG], raw_fields, fields, value)
+
+
+def _read_flags(words: list[bytes], expected: set[bytes]) -> dict[bytes, bytes]:
+    """Read the flags of a command, each of which is expected once.
+
+    Raises:
+        CommandError: A flag is missing, unknown, repeated or malformed.
+    """
+    flags = {word[:1]: word[1:] for word in words}
+    if flags.keys() != expected or len(flags) != len(words):
+        raise CommandError("bad flags")
+    # Both are sent to the origin in HTTP headers.
+    if not is_printable(flags[REQUEST_ID_FLAG], MAX_REQUEST_ID_BYTES):
+        raise CommandError("bad flags")
+    if not is_printable(flags[FIELDS_FLAG], MAX_LINE_BYTES):
+        raise CommandError("bad flags")
+    if flags.get(VALUE_FLAG):
+        raise CommandError("bad flags")
+    return flags
--- a/ironrail/net/protocol/fields.py
+++ b/ironrail/net/protocol/fields.py
@@ -1,44 +1,54 @@
-"""The list of names and values that goes with a command: each known, once, in its form."""
+"""The list of names and values that a command carries in its `P` flag."""
 
 from __future__ import annotations
 
 import re
 
+from ironrail.net.protocol.errors import FieldError
+
 PRINTABLE = re.compile(rb"[!-~]+")
-# guards caches against signs, "_" and exponents, and timers against overflow
-FIGURE = re.compile(r"(0|[1-9][0-9]{0,8})(\.[0-9]{1,6})?")
-WORD = re.compile(r"[!-+.-<>-~-]{1,250}")  # printable, without what separates names and values
-# all that a list of names and values may hold: a cache closes on what it can't read, whoever waits there
-FORMS = {
+
+NUMBER = re.compile(r"(0|[1-9][0-9]{0,8})(\.[0-9]{1,6})?")
+"""Without sign, "_" or exponent, which servers may not parse; bounded to keep timers in range."""
+
+WORD = re.compile(r"[!-+.-<>-~-]{1,250}")
+"""Printable characters without the "," and "=" that separate names and values."""
+
+FIELD_PATTERNS = {
     "c": WORD,
     "t": WORD,
     "k": WORD,
     "r": re.compile("[01]"),
-    "d": FIGURE,
-    "h": FIGURE,
-    "size": FIGURE,
+    "d": NUMBER,
+    "h": NUMBER,
+    "size": NUMBER,
 }
+"""All known fields: a cache server closes the shared connection on a field that it can't parse."""
+
 
+def parse_fields(raw_fields: bytes) -> dict[str, str]:
+    """Parse a list of names and values.
 
-def read_fields(info: bytes) -> dict[str, str]:
-    """The names and values of a `P` list: each known, once, in its form; a ValueError tells which is not."""
+    Raises:
+        FieldError: A field is unknown, repeated or malformed.
+    """
     fields: dict[str, str] = {}
-    for pair in info.decode("ascii").split(","):
+    for pair in raw_fields.decode("ascii").split(","):
         name, _, value = pair.partition("=")
-        form = FORMS.get(name)
-        if form is None or name in fields:
-            raise ValueError("bad list of names and values")
-        if form.fullmatch(value) is None:
-            raise ValueError(f"bad {name}")
+        pattern = FIELD_PATTERNS.get(name)
+        if pattern is None or name in fields:
+            raise FieldError("bad list of names and values")
+        if pattern.fullmatch(value) is None:
+            raise FieldError(f"bad {name}")
         fields[name] = value
     return fields
 
 
 def read_figure(fields: dict[str, str], name: str) -> float | None:
-    """A figure of a `P` list; None when absent."""
+    """The value of a numeric field; None if it is absent."""
     return float(fields[name]) if name in fields else None
 
 
-def is_printable(token: bytes, most: int) -> bool:
-    """Whether a token fits into a line, or into a header."""
-    return len(token) <= most and PRINTABLE.fullmatch(token) is not None
+def is_printable(token: bytes, max_bytes: int) -> bool:
+    """Whether a token fits into a command line, or into an HTTP header."""
+    return len(token) <= max_bytes and PRINTABLE.fullmatch(token) is not None
--- a/ironrail/net/protocol/framing.py
+++ b/ironrail/net/protocol/framing.py
@@ -1,61 +1,79 @@
-"""Bytes as they come, taken line by line and block by block. No I/O."""
+"""Received bytes, taken line by line and block by block."""
 
 from __future__ import annotations
 
+from ironrail.net.protocol.errors import FramingError
+
+LINE_END = b"\r\n"
+
 MAX_VALUE_BYTES = 4 * 1024 * 1024
-MAX_BUFFERED_VALUE_BYTES = (
-    64 * 1024
-)  # bytes of a value up to which it is kept whole; a longer one is passed on in pieces
-MAX_LINE_BYTES = 4096
 
+MAX_BUFFERED_VALUE_BYTES = 64 * 1024
+"""Longer values are streamed in chunks instead of being buffered whole."""
+
+MAX_LINE_BYTES = 4096
 
-class FramingError(ValueError):
-    """Bytes after which the start of the next message is not known."""
+MAX_LENGTH_DIGITS = 7
 
 
 class ReceiveBuffer:
-    """Bytes not yet used, with a bound on a line."""
+    """Received bytes that are not parsed."""
 
     def __init__(self) -> None:
+        """Begin empty."""
         self._data = bytearray()
 
     def __len__(self) -> int:
         return len(self._data)
 
     def append(self, data: bytes) -> None:
+        """Add received bytes."""
         self._data += data
 
     def take_line(self) -> bytes | None:
-        """Take the next line, without its end; None until it is whole."""
-        end = self._data.find(b"\r\n", 0, MAX_LINE_BYTES + 2)
+        """Take the next line without its end; None until it is complete.
+
+        Raises:
+            FramingError: The line is too long, which bounds the memory for incomplete ones.
+        """
+        end = self._data.find(LINE_END, 0, MAX_LINE_BYTES + len(LINE_END))
         if end < 0:
-            if len(self._data) > MAX_LINE_BYTES:  # guards memory against a line that never ends
+            if len(self._data) > MAX_LINE_BYTES:
                 raise FramingError("line too long")
             return None
         line = bytes(self._data[:end])
-        del self._data[: end + 2]
+        del self._data[: end + len(LINE_END)]
         return line
 
-    def take_available(self, most: int) -> bytes:
-        """Take what there is, up to so many bytes."""
-        data = bytes(self._data[:most])
-        del self._data[:most]
+    def take_available(self, max_bytes: int) -> bytes:
+        """Take what was received, up to a number of bytes."""
+        data = bytes(self._data[:max_bytes])
+        del self._data[:max_bytes]
         return data
 
     def take_block(self, size: int) -> bytes | None:
-        """Take a block of data, without the line end behind it; None until it is whole."""
-        if len(self._data) < size + 2:
+        """Take a data block without the line end behind it; None until both are complete.
+
+        Raises:
+            FramingError: No line end follows the block.
+        """
+        end = size + len(LINE_END)
+        if len(self._data) < end:
             return None
-        if self._data[size : size + 2] != b"\r\n":
+        if self._data[size:end] != LINE_END:
             raise FramingError("bad data chunk")
         block = bytes(self._data[:size])
-        del self._data[: size + 2]
+        del self._data[:end]
         return block
 
 
-def read_length(token: bytes) -> int:
-    """The length of a value; without a usable one the framing is lost."""
-    if not (token.isdigit() and len(token) <= 7):
+def parse_value_length(token: bytes) -> int:
+    """Parse the length of a value in bytes.
+
+    Raises:
+        FramingError: It is no length, or above the limit; the end of the value is unknown.
+    """
+    if not (token.isdigit() and len(token) <= MAX_LENGTH_DIGITS):
         raise FramingError("bad data length")
     length = int(token)
     if length > MAX_VALUE_BYTES:
--- a/ironrail/net/protocol/meta_codec.py
+++ b/ironrail/net/protocol/meta_codec.py
@@ -1,54 +1,63 @@
-"""The memcache meta commands, as they are parsed and as they are written. No I/O."""
+"""The memcache meta commands and responses as they are written, and their parsers."""
 
 from __future__ import annotations
 
 import math
 
 from ironrail.net.protocol.commands import BadCommand, Command, CommandParser, Noop
-from ironrail.net.protocol.fields import is_printable, read_fields, read_figure
-from ironrail.net.protocol.framing import MAX_BUFFERED_VALUE_BYTES, MAX_VALUE_BYTES, FramingError
+from ironrail.net.protocol.errors import FramingError
+from ironrail.net.protocol.fields import is_printable, parse_fields, read_figure
+from ironrail.net.protocol.framing import LINE_END, MAX_BUFFERED_VALUE_BYTES, MAX_VALUE_BYTES
 from ironrail.net.protocol.replies import Reply, ReplyKind, ReplyParser, ValueChunk, ValueHeader
 
 __all__ = [
-    "MAX_VALUE_BYTES",
+    "LINE_END",
     "MAX_BUFFERED_VALUE_BYTES",
+    "MAX_VALUE_BYTES",
     "BadCommand",
     "Command",
     "CommandParser",
     "FramingError",
     "Noop",
-    "ValueHeader",
-    "ValueChunk",
     "Reply",
     "ReplyKind",
     "ReplyParser",
+    "ValueChunk",
+    "ValueHeader",
     "info_with_wait",
     "is_printable",
-    "read_fields",
+    "parse_fields",
     "read_figure",
     "write_busy",
     "write_command",
-    "write_value_header",
     "write_served",
+    "write_value_header",
 ]
 
-LINE_END = b"\r\n"
-READY, FAILED = b"MN\r\n", b"SERVER_ERROR failed\r\n"
+MILLISECONDS_PER_SECOND = 1000
+
+READY = b"MN\r\n"
+FAILED = b"SERVER_ERROR failed\r\n"
 NOT_READY = b"SERVER_ERROR not ready\r\n"
-COMMAND_TIMEOUT, TOO_MANY_CONNECTIONS = (
-    b"CLIENT_ERROR no whole command in time\r\n",
-    b"SERVER_ERROR too many connections\r\n",
-)
+COMMAND_TIMEOUT = b"CLIENT_ERROR no whole command in time\r\n"
+TOO_MANY_CONNECTIONS = b"SERVER_ERROR too many connections\r\n"
+
+WAIT_FIELD = b"d="
 
 
 def info_with_wait(command: Command, wait_ms: int) -> bytes:
-    """The list of names and values for a server: as it came, but for how long the router will wait."""
-    pairs = command.info.split(b",")
-    return b",".join(b"d=%d" % wait_ms if pair[:2] == b"d=" else pair for pair in pairs)
+    """The list of names and values for a server.
+
+    Args:
+        command: Its list is passed on unchanged, apart from the wait.
+        wait_ms: Milliseconds for which the router waits for the server.
+    """
+    pairs = command.raw_fields.split(b",")
+    return b",".join(b"d=%d" % wait_ms if pair.startswith(WAIT_FIELD) else pair for pair in pairs)
 
 
 def write_command(command: Command, wait_ms: int) -> bytes:
-    """The command for a cache server: as it came, but for how long the router will wait."""
+    """The command for a cache server, for which the router waits `wait_ms` milliseconds."""
     flags = b"O%b P%b" % (command.request_id, info_with_wait(command, wait_ms))
     if command.value is None:
         return b"mg %b v %b\r\n" % (command.key, flags)
@@ -56,19 +65,19 @@
 
 
 def write_value_header(request_id: bytes, length: int) -> bytes:
-    """The head of the answer with a long value; the value and a line end follow."""
+    """The header of a response with a value of `length` bytes, which a line end follows."""
     return b"VA %d O%b\r\n" % (length, request_id)
 
 
 def write_served(command: Command, body: bytes) -> bytes:
-    """The answer to a request that was served: its value, or the receipt of a write."""
+    """The response to a served request: its value, or the receipt of a write."""
     if command.value is None:
         return b"%b%b\r\n" % (write_value_header(command.request_id, len(body)), body)
     return b"HD O%b c%b\r\n" % (command.request_id, body)
 
 
 def write_busy(retry_after: float | None) -> bytes:
-    """A refusal, with the milliseconds after which to come back where they are known."""
+    """The rejection of a request; `retry_after`: seconds until a retry, if known."""
     if retry_after is None:
         return b"SERVER_ERROR busy\r\n"
-    return b"SERVER_ERROR busy %d\r\n" % math.ceil(retry_after * 1000)
+    return b"SERVER_ERROR busy %d\r\n" % math.ceil(retry_after * MILLISECONDS_PER_SECOND)
--- a/ironrail/net/protocol/replies.py
+++ b/ironrail/net/protocol/replies.py
@@ -1,4 +1,4 @@
-"""What cache servers answer, parsed piece by piece as bytes arrive. No I/O."""
+"""Parsing of the replies of cache servers, piece by piece as bytes arrive."""
 
 from __future__ import annotations
 
@@ -6,16 +6,22 @@
 from dataclasses import dataclass
 from enum import Enum
 
+from ironrail.net.protocol.errors import FramingError
 from ironrail.net.protocol.framing import (
     MAX_BUFFERED_VALUE_BYTES,
-    FramingError,
     ReceiveBuffer,
-    read_length,
+    parse_value_length,
 )
 
+REQUEST_ID_FLAG = b"O"
+RECEIPT_FLAG = b"c"
+
+MAX_QUOTED_BYTES = 80
+"""Of a line that is no reply, in the error."""
+
 
 class ReplyKind(Enum):
-    """What a cache server said."""
+    """What a cache server replied."""
 
     VALUE = "VA"
     STORED = "HD"
@@ -26,7 +32,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Reply:
-    """A cache server's reply; `request_id` is None where the line carries none."""
+    """A complete reply; `request_id` is None if the line carries none."""
 
     kind: ReplyKind
     request_id: bytes | None
@@ -35,7 +41,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ValueHeader:
-    """The head of a value that is too long to be kept whole: its pieces follow."""
+    """The header of a long value, whose chunks follow."""
 
     request_id: bytes | None
     length: int
@@ -43,74 +49,113 @@
 
 @dataclass(slots=True, frozen=True)
 class ValueChunk:
-    """Some of a long value; the last one has nothing in it and tells that the value was whole."""
+    """A part of a long value; the last one is empty and confirms that the value was complete."""
 
     data: bytes
     is_last: bool = False
 
 
+class ReplyState(Enum):
+    """What the parser expects next."""
+
+    REPLY_LINE = "reply_line"
+    VALUE = "value"
+    LONG_VALUE = "long_value"
+
+
+_REPLY_LINE = ReplyState.REPLY_LINE
+_VALUE = ReplyState.VALUE
+_LONG_VALUE = ReplyState.LONG_VALUE
+
+
 class ReplyParser:
-    """What cache servers answer."""
+    """Parses the replies of one cache server."""
 
     def __init__(self) -> None:
+        """Expect a reply line."""
         self._buffer = ReceiveBuffer()
-        # length and id of a value still to come
-        self._pending: tuple[int, bytes | None] | None = None
-        self._rest: int | None = None  # of a long value that is passed on
+        self._state = _REPLY_LINE
+        self._request_id: bytes | None = None  # of the value that is expected
+        self._remaining_bytes = 0
 
     @property
     def has_partial_reply(self) -> bool:
-        """Whether a part of a reply has come."""
-        return self._pending is not None or self._rest is not None or len(self._buffer) > 0
+        """Whether a part of a reply was received."""
+        return self._state is not _REPLY_LINE or len(self._buffer) > 0
 
     def feed(self, data: bytes) -> Iterator[Reply | ValueHeader | ValueChunk]:
-        """Yield whole replies, and long values in pieces; raises FramingError on anything that is neither."""
+        """Yield complete replies, and long values in chunks.
+
+        Raises:
+            FramingError: The bytes are no reply.
+        """
         self._buffer.append(data)
         while (reply := self._next()) is not None:
             yield reply
 
-    def _next_piece(self, rest: int) -> ValueChunk | None:
-        if rest == 0:
-            if self._buffer.take_block(0) is None:
-                return None
-            self._rest = None
-            return ValueChunk(b"", is_last=True)
-        data = self._buffer.take_available(rest)
-        self._rest = rest - len(data)
-        return ValueChunk(data) if data else None
-
     def _next(self) -> Reply | ValueHeader | ValueChunk | None:
-        if self._rest is not None:
-            return self._next_piece(self._rest)
-        if self._pending is None:
-            line = self._buffer.take_line()
-            if line is None:
-                return None
-            words = line.split(b" ")
-            if words[0] != b"VA" or len(words) < 2:
+        if self._state is _REPLY_LINE:
+            return self._take_reply_line()
+        if self._state is _VALUE:
+            return self._take_value()
+        return self._take_chunk()
+
+    def _take_reply_line(self) -> Reply | ValueHeader | None:
+        line = self._buffer.take_line()
+        if line is None:
+            return None
+        words = line.split(b" ")
+        match words:
+            case [b"VA", length, *flags]:
+                self._remaining_bytes = parse_value_length(length)
+                self._request_id = _find_flag(flags, REQUEST_ID_FLAG)
+            case _:
                 return _read_reply(line, words)
-            self._pending = read_length(words[1]), _flag(words[2:], b"O")
-        length, request_id = self._pending
-        if length > MAX_BUFFERED_VALUE_BYTES:
-            self._pending, self._rest = None, length
-            return ValueHeader(request_id, length)
-        value = self._buffer.take_block(length)
+        if self._remaining_bytes > MAX_BUFFERED_VALUE_BYTES:
+            self._state = _LONG_VALUE
+            return ValueHeader(self._request_id, self._remaining_bytes)
+        self._state = _VALUE
+        return self._take_value()
+
+    def _take_value(self) -> Reply | None:
+        value = self._buffer.take_block(self._remaining_bytes)
         if value is None:
             return None
-        self._pending = None
-        return Reply(ReplyKind.VALUE, request_id, value)
+        self._state = _REPLY_LINE
+        return Reply(ReplyKind.VALUE, self._request_id, value)
+
+    def _take_chunk(self) -> ValueChunk | None:
+        if self._remaining_bytes == 0:
+            if self._buffer.take_block(0) is None:
+                return None
+            self._state = _REPLY_LINE
+            return ValueChunk(b"", is_last=True)
+        data = self._buffer.take_available(self._remaining_bytes)
+        if not data:
+            return None
+        self._remaining_bytes -= len(data)
+        return ValueChunk(data)
 
 
-def _flag(words: list[bytes], letter: bytes) -> bytes | None:
+def _find_flag(words: list[bytes], letter: bytes) -> bytes | None:
+    """The argument of a flag; None if it is absent."""
     return next((word[1:] for word in words if word[:1] == letter), None)
 
 
 def _read_reply(line: bytes, words: list[bytes]) -> Reply:
+    """Read a reply without a value.
+
+    Raises:
+        FramingError: The line is no reply.
+    """
+    flags = words[1:]
     match words[0]:
         case b"HD":
-            return Reply(ReplyKind.STORED, _flag(words[1:], b"O"), _flag(words[1:], b"c") or b"")
+            receipt = _find_flag(flags, RECEIPT_FLAG) or b""
+            return Reply(ReplyKind.STORED, _find_flag(flags, REQUEST_ID_FLAG), receipt)
         case b"EN":
-            return Reply(ReplyKind.MISS, _flag(words[1:], b"O"))
+            return Reply(ReplyKind.MISS, _find_flag(flags, REQUEST_ID_FLAG))
         case b"SERVER_ERROR":
-            return Reply(ReplyKind.BUSY if words[1:2] == [b"busy"] else ReplyKind.ERROR, None)
-    raise FramingError(f"not a reply: {line[:80]!r}")
+            is_busy = flags[:1] == [b"busy"]
+            return Reply(ReplyKind.BUSY if is_busy else ReplyKind.ERROR, None)
+    raise FramingError(f"not a reply: {line[:MAX_QUOTED_BYTES]!r}")
--- a/ironrail/net/system.py
+++ b/ironrail/net/system.py
@@ -48,7 +48,7 @@
         """Whether another process listens on an address already."""
 
     def unread_check(self, transport: asyncio.Transport) -> Callable[[], bool]:
-        """Return a function that tells whether data, or the end, is ready to be read."""
+        """Return a function that checks whether data, or the end, is ready to be read."""
 
     def has_hung_up(self, transport: asyncio.Transport) -> bool:
         """Whether the peer sends nothing more, detected even while nothing is read."""
@@ -89,7 +89,7 @@
         return False
 
     def unread_check(self, transport: asyncio.Transport) -> Callable[[], bool]:
-        """Return a function that tells whether data, or the end, is ready to be read."""
+        """Return a function that checks whether data, or the end, is ready to be read."""
         poll = select.poll()
         poll.register(transport.get_extra_info("socket").fileno(), select.POLLIN)
         return lambda: bool(poll.poll(0))
--- a/tests/mutants/drops_key.py
+++ b/tests/mutants/drops_key.py
@@ -17,7 +17,7 @@
     def keyless(
         self: RequestDispatcher, command: Command, answer: Answer, passage: ResponseStream | None = None
     ) -> str | None:
-        info = re.sub(rb",k=[^,]*", b"", command.info)
-        return take(self, dataclasses.replace(command, info=info), answer)
+        info = re.sub(rb",k=[^,]*", b"", command.raw_fields)
+        return take(self, dataclasses.replace(command, raw_fields=info), answer)
 
     RequestDispatcher.take = keyless  # type: ignore[method-assign]
--- a/tests/outcomes/bench.py
+++ b/tests/outcomes/bench.py
@@ -9,7 +9,7 @@
 from ironrail.connections.upstream.pool_manager import UpstreamConnection
 from ironrail.net.dispatch.dispatcher import RequestDispatcher
 from ironrail.net.dispatch.pending_request import ResponseStream
-from ironrail.net.protocol.meta_codec import Command, read_fields
+from ironrail.net.protocol.meta_codec import Command, parse_fields
 from ironrail.net.upstream.cache_connection import CacheConnection
 from ironrail.net.upstream.connection_pool import Connection, ConnectionPool
 from ironrail.policy.actions import Action, FailRequest, SendAttempt
@@ -79,7 +79,7 @@
         request_class: str = "once",
     ) -> None:
         info = f"c={request_class},t=x,d={wait}".encode()
-        command = Command(b"k", name.encode(), info, read_fields(info), value)
+        command = Command(b"k", name.encode(), info, parse_fields(info), value)
         answers = self.answers[name] = []
         self.host.take(command, answers.append, passage)
 
--- a/tests/outcomes/test_ends.py
+++ b/tests/outcomes/test_ends.py
@@ -7,7 +7,7 @@
 
 import pytest
 from ironrail.net.dispatch.dispatcher import RequestDispatcher
-from ironrail.net.protocol.meta_codec import Command, read_fields
+from ironrail.net.protocol.meta_codec import Command, parse_fields
 from ironrail.net.system import RealSystem
 from ironrail.net.upstream.cache_connection import CacheConnection
 from ironrail.net.upstream.connection_pool import ConnectionPool
@@ -170,7 +170,7 @@
     now[0] += 2.0  # as after SIGSTOP
     for name, wait in (("1", 20), ("2", 5000)):
         info = b"c=once,t=x,d=%d" % wait
-        command = Command(b"k", name.encode(), info, read_fields(info), None)
+        command = Command(b"k", name.encode(), info, parse_fields(info), None)
         host.take(command, answers.append)
     assert asked == ["list"]
     await until(lambda: answers)
--- a/tests/test_halls.py
+++ b/tests/test_halls.py
@@ -12,7 +12,7 @@
 from ironrail.net.peers.node_identity import NodeIdentity
 from ironrail.net.peers.transport import Peering, Tier
 from ironrail.net.peers.zone_latency import HallsMap
-from ironrail.net.protocol.meta_codec import Command, read_fields
+from ironrail.net.protocol.meta_codec import Command, parse_fields
 from ironrail.net.system import REAL
 from ironrail.net.upstream.cache_connection import CacheConnection
 from ironrail.net.upstream.connection_pool import Attempt, ConnectionPool
@@ -101,7 +101,7 @@
     ended: asyncio.Future[AttemptStatus] = loop.create_future()
     info = b"c=read,t=x,d=900"
     attempt = Attempt(
-        "r", 0, loop.time(), loop.time() + wait, Command(b"k", b"1", info, read_fields(info), None),
+        "r", 0, loop.time(), loop.time() + wait, Command(b"k", b"1", info, parse_fields(info), None),
         lambda attempt, status, body: ended.set_result(status),
     )  # fmt: skip
     pool.send(attempt)
