--- a/ironrail/connections/__init__.py
+++ b/ironrail/connections/__init__.py
@@ -1,1 +1,1 @@
-"""Every decision about connections, upstream and downstream: pure modules without I/O and without a clock."""
+"""Rules for connections, upstream and downstream: pure, without I/O or a clock."""
--- a/tests/connections/downstream/test_session_invariants.py
+++ b/tests/connections/downstream/test_session_invariants.py
@@ -13,41 +13,42 @@
 class SessionLifecycle(RuleBasedStateMachine):
     """Sessions of all kinds under random events: limits hold, and closed ones are forgotten."""
 
-    MOST, KEPT = 6, 3
+    MAX_SESSIONS = 6
+    MAX_RETAINED_SESSIONS = 3
 
     def __init__(self) -> None:
         super().__init__()
-        self.sessions = ClientSessionManager(self.MOST, self.KEPT)
-        self.there: list[ClientSession] = []
-        self.coming = 0
+        self.sessions = ClientSessionManager(self.MAX_SESSIONS, self.MAX_RETAINED_SESSIONS)
+        self.open_sessions: list[ClientSession] = []
+        self.admitted = 0
         self.now = 0.0
 
     def pick(self, n: int) -> ClientSession:
-        return self.there[n % len(self.there)]
+        return self.open_sessions[n % len(self.open_sessions)]
 
     @rule()
     def arrive(self) -> None:
         admission = self.sessions.admit()
         if admission.evicted is not None:
             assert admission.evicted.is_idle or not admission.evicted.has_been_used, (
-                "one with a request open lost its session"
+                "a session with a pending response was evicted"
             )
-            self.there.remove(admission.evicted)
+            self.open_sessions.remove(admission.evicted)
         if admission.admitted:
-            self.coming += 1
+            self.admitted += 1
         else:
-            assert all(p.has_been_used and not p.is_idle for p in self.there)
+            assert all(one.has_been_used and not one.is_idle for one in self.open_sessions)
 
-    @precondition(lambda self: self.coming)
+    @precondition(lambda self: self.admitted)
     @rule(ended=st.booleans())
     def open(self, ended: bool) -> None:
-        self.coming -= 1
+        self.admitted -= 1
         if ended:
             self.sessions.cancel_admission()
         else:
-            self.there.append(self.sessions.add(self.now))
+            self.open_sessions.append(self.sessions.add(self.now))
 
-    @precondition(lambda self: self.there)
+    @precondition(lambda self: self.open_sessions)
     @rule(n=st.integers(0, 9), good=st.booleans(), more=st.booleans())
     def command(self, n: int, good: bool, more: bool) -> None:
         session = self.pick(n)
@@ -56,9 +57,9 @@
         self.sessions.record_data(self.now, session)
         self.sessions.record_command(self.now, session, good)
         self.sessions.record_progress(session, 0, more)
-        self.make_way()
+        self.evict_idle()
 
-    @precondition(lambda self: self.there)
+    @precondition(lambda self: self.open_sessions)
     @rule(n=st.integers(0, 9), count=st.integers(1, 3))
     def answer(self, n: int, count: int) -> None:
         session = self.pick(n)
@@ -66,45 +67,45 @@
             session, min(count, session.pending_responses), session.has_partial_command
         )
         if due in (NextAction.FINISH, NextAction.CLOSE):
-            self.leave(session)
-        self.make_way()
+            self.close(session)
+        self.evict_idle()
 
-    def make_way(self) -> None:
+    def evict_idle(self) -> None:
         while (session := self.sessions.next_idle_to_evict()) is not None:
             assert session.has_been_used and session.is_idle
-            self.leave(session)
+            self.close(session)
 
-    def leave(self, session: ClientSession) -> None:
+    def close(self, session: ClientSession) -> None:
         self.sessions.remove(session)
-        self.there.remove(session)
+        self.open_sessions.remove(session)
 
-    @precondition(lambda self: self.there)
+    @precondition(lambda self: self.open_sessions)
     @rule(n=st.integers(0, 9))
-    def go(self, n: int) -> None:
-        self.leave(self.pick(n))
+    def disconnect(self, n: int) -> None:
+        self.close(self.pick(n))
 
     @rule(seconds=st.sampled_from([0.1, 3.0, 40.0]))
     def wait(self, seconds: float) -> None:
         self.now += seconds
         for session in self.sessions:
-            fate = timeout_action(session, self.now)
-            if fate is TimeoutAction.REJECT_COMMAND:
+            action = timeout_action(session, self.now)
+            if action is TimeoutAction.REJECT_COMMAND:
                 session.reject_partial_command()
-            elif fate is not TimeoutAction.KEEP:
-                self.leave(session)
+            elif action is not TimeoutAction.KEEP:
+                self.close(session)
 
     @invariant()
-    def bounds(self) -> None:
-        assert set(self.sessions) == set(self.there)
-        assert len(self.sessions) + self.coming <= self.MOST
-        resting = [p for p in self.there if p.has_been_used and p.is_idle and not p.is_ending]
-        used = [p for p in self.there if p.has_been_used]
-        assert len(used) <= self.KEPT or len(resting) <= 1
-        assert all(p.pending_responses <= MAX_PIPELINED_COMMANDS + 1 for p in self.there)
+    def limits_hold(self) -> None:
+        assert set(self.sessions) == set(self.open_sessions)
+        assert len(self.sessions) + self.admitted <= self.MAX_SESSIONS
+        idle = [one for one in self.open_sessions if one.has_been_used and one.is_idle and not one.is_ending]
+        used = [one for one in self.open_sessions if one.has_been_used]
+        assert len(used) <= self.MAX_RETAINED_SESSIONS or len(idle) <= 1
+        assert all(one.pending_responses <= MAX_PIPELINED_COMMANDS + 1 for one in self.open_sessions)
 
     def teardown(self) -> None:
-        for session in list(self.there):
-            self.leave(session)
+        for session in list(self.open_sessions):
+            self.close(session)
         assert len(self.sessions) == 0 and not self.sessions._idle
 
 
--- a/tests/connections/downstream/test_session_manager.py
+++ b/tests/connections/downstream/test_session_manager.py
@@ -50,15 +50,15 @@
 
 def test_unused_sessions_are_evicted_before_idle_ones_and_busy_ones_never() -> None:
     sessions = ClientSessionManager(max_sessions=3, max_retained_sessions=9)
-    resting, silent, busy = use_once(sessions), open_session(sessions), open_session(sessions)
+    idle, silent, busy = use_once(sessions), open_session(sessions), open_session(sessions)
     receive_command(sessions, busy)
     assert sessions.admit().evicted is silent
     sessions.add(0.0)
     newest = sessions.admit().evicted
-    assert newest not in (resting, busy, None)
+    assert newest not in (idle, busy, None)
     sessions.cancel_admission()
     assert use_once(sessions) in sessions
-    assert sessions.admit().evicted is resting
+    assert sessions.admit().evicted is idle
 
 
 def test_a_connection_is_rejected_when_all_sessions_are_busy() -> None:
@@ -108,11 +108,11 @@
     sessions = ClientSessionManager(max_sessions=1000, max_retained_sessions=5)
     for _ in range(500):
         use_once(sessions)
-    looked = 0
+    checked = 0
     while (session := sessions.next_idle_to_evict()) is not None:
         sessions.defer_eviction(session)
-        looked += 1
-    assert looked == MAX_EVICTION_CHECKS
+        checked += 1
+    assert checked == MAX_EVICTION_CHECKS
 
 
 def test_pipelined_commands_beyond_the_limit_wait_for_responses() -> None:
@@ -142,7 +142,7 @@
 
 
 @pytest.mark.parametrize(
-    ("used", "begun", "open_", "after", "fate"),
+    ("has_been_used", "has_partial_command", "pending", "after", "action"),
     [
         (False, False, 0, COMMAND_TIMEOUT_SECONDS - 0.1, TimeoutAction.KEEP),
         (False, False, 0, COMMAND_TIMEOUT_SECONDS + 0.1, TimeoutAction.REJECT_COMMAND),
@@ -160,32 +160,32 @@
     ],
 )
 def test_each_state_of_a_session_has_its_timeout(
-    used: bool, begun: bool, open_: int, after: float, fate: TimeoutAction
+    has_been_used: bool, has_partial_command: bool, pending: int, after: float, action: TimeoutAction
 ) -> None:
     sessions = ClientSessionManager(max_sessions=9, max_retained_sessions=9)
     session = open_session(sessions, 1.0)
-    if used:
+    if has_been_used:
         sessions.record_command(1.0, session, True)
-        sessions.record_progress(session, 1 - open_, begun)
-    sessions.record_progress(session, 0, begun)
-    assert timeout_action(session, 1.0 + after) is fate
+        sessions.record_progress(session, 1 - pending, has_partial_command)
+    sessions.record_progress(session, 0, has_partial_command)
+    assert timeout_action(session, 1.0 + after) is action
 
 
 @pytest.mark.parametrize(
-    ("after", "fate"),
+    ("after", "action"),
     [
         (UNREAD_RESPONSE_TIMEOUT_SECONDS - 0.1, TimeoutAction.KEEP),
         (UNREAD_RESPONSE_TIMEOUT_SECONDS + 0.1, TimeoutAction.ABORT),
     ],
 )
 def test_a_session_with_unread_responses_is_aborted_after_its_timeout(
-    after: float, fate: TimeoutAction
+    after: float, action: TimeoutAction
 ) -> None:
     sessions = ClientSessionManager(max_sessions=9, max_retained_sessions=9)
     session = use_once(sessions)
     session.set_responses_unread(1.0, True)
     assert not session.should_read
-    assert timeout_action(session, 1.0 + after) is fate
+    assert timeout_action(session, 1.0 + after) is action
     session.set_responses_unread(1.0, False)
     assert timeout_action(session, 1.0 + after) is TimeoutAction.KEEP
 
@@ -212,18 +212,18 @@
 
 def test_a_slow_command_is_not_evicted_before_a_silent_session() -> None:
     sessions = ClientSessionManager(max_sessions=3, max_retained_sessions=2)
-    slow, silent, half = (open_session(sessions, float(n)) for n in range(3))
-    sessions.record_data(2.1, half)
+    slow, silent, partial = (open_session(sessions, float(n)) for n in range(3))
+    sessions.record_data(2.1, partial)
     sessions.record_data(2.2, slow)  # the oldest, and it goes on
     assert sessions.admit().evicted is silent
-    assert sessions.admit().evicted is half
+    assert sessions.admit().evicted is partial
 
 
 def test_idle_sessions_are_retained_by_the_learned_reuse_ratio() -> None:
     """Idle sessions that are never used again are evicted, and retained where they are."""
     sessions = ClientSessionManager(max_sessions=200, max_retained_sessions=40)
 
-    def ask_once(now: float) -> ClientSession:
+    def open_and_use_once(now: float) -> ClientSession:
         session = open_session(sessions, now)
         sessions.record_data(now, session)
         sessions.record_command(now, session, True)
@@ -233,7 +233,7 @@
         return session
 
     for n in range(300):
-        ask_once(n / 100)
+        open_and_use_once(n / 100)
     assert len(sessions) == MIN_RETAINED_SESSIONS
     for n in range(60):  # the idle ones are used again
         for session in list(sessions):
@@ -241,25 +241,25 @@
             sessions.record_command(3.0 + n, session, True)
             sessions.record_progress(session, 1, False)
     for n in range(40):
-        ask_once(100.0 + n)
+        open_and_use_once(100.0 + n)
     assert len(sessions) > 20
 
 
 def test_graceful_shutdown_does_not_wait_for_a_stalled_command() -> None:
     sessions = ClientSessionManager(max_sessions=8, max_retained_sessions=2)
-    silent, stopped, slow = (open_session(sessions) for _ in range(3))
+    silent, stalled, slow = (open_session(sessions) for _ in range(3))
     busy = open_session(sessions)
     receive_command(sessions, busy)
-    for session in (stopped, slow):
+    for session in (stalled, slow):
         sessions.record_data(0.5, session)
         sessions.record_progress(session, 0, has_partial_command=True)
     sessions.record_data(1.0, slow)
     assert sessions.sessions_to_close(1.4, close_partial=False) == [silent]
     assert set(sessions.sessions_to_close(0.5 + SHUTDOWN_STALL_TIMEOUT_SECONDS, close_partial=False)) == {
         silent,
-        stopped,
+        stalled,
     }
-    assert set(sessions.sessions_to_close(1.5, close_partial=True)) == {silent, stopped, slow}
+    assert set(sessions.sessions_to_close(1.5, close_partial=True)) == {silent, stalled, slow}
 
 
 def test_a_long_value_has_a_longer_timeout_while_bytes_arrive() -> None:
--- a/tests/net/downstream/test_client_admission.py
+++ b/tests/net/downstream/test_client_admission.py
@@ -14,10 +14,10 @@
 P = b"Pc=read,t=x,d=5000"
 
 
-async def crowded(most: int) -> World:
+async def router_with_limit(max_sessions: int) -> World:
     """A router with a limit on its sessions."""
     world = await World().start()
-    world.node._clients.sessions.max_sessions = most
+    world.node._clients.sessions.max_sessions = max_sessions
     return world
 
 
@@ -27,34 +27,34 @@
 
 
 @pytest.fixture
-def impatient(monkeypatch: pytest.MonkeyPatch) -> None:
+def short_timeouts(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(session_timeouts, "COMMAND_TIMEOUT_SECONDS", 0.1)
     monkeypatch.setattr(client_listener, "TIMEOUT_CHECK_INTERVAL_SECONDS", 0.02)
 
 
-HALVES = [b"", b"mg", b"mg k v O1 " + P, b"mg k v O1 " + P + b"\r", b"ms k 5 O1 " + P + b"\r\nhal"]
+PARTIAL_COMMANDS = [b"", b"mg", b"mg k v O1 " + P, b"mg k v O1 " + P + b"\r", b"ms k 5 O1 " + P + b"\r\nhal"]
 
 
 @scenario
-@pytest.mark.parametrize("half", HALVES)
+@pytest.mark.parametrize("partial", PARTIAL_COMMANDS)
 @pytest.mark.parametrize("before", [False, True])
 async def test_a_partial_command_is_rejected_after_its_timeout(
-    half: bytes, before: bool, impatient: None
+    partial: bytes, before: bool, short_timeouts: None
 ) -> None:
     world = await World().start()
-    usual, client = await world.client(), await world.client()
-    assert await is_ready(usual)
-    if before and half:
+    other, client = await world.client(), await world.client()
+    assert await is_ready(other)
+    if before and partial:
         assert await is_ready(client)
-    client.send(half)
+    client.send(partial)
     assert await client.line() == b"CLIENT_ERROR no whole command in time\r\n"
     assert await client.ended()
-    assert await is_ready(usual)  # which was between two requests all the while
+    assert await is_ready(other)  # its idle timeout is longer
     assert world.cache.messages.empty()
 
 
 @scenario
-async def test_a_slowly_sent_value_does_not_extend_the_command_timeout(impatient: None) -> None:
+async def test_a_slowly_sent_value_does_not_extend_the_command_timeout(short_timeouts: None) -> None:
     world = await World().start()
     client = await world.client()
     client.send(b"ms k 60000 O1 " + P + b"\r\n")
@@ -70,7 +70,7 @@
 
 
 @scenario
-async def test_a_partial_command_is_rejected_behind_pending_responses(impatient: None) -> None:
+async def test_a_partial_command_is_rejected_behind_pending_responses(short_timeouts: None) -> None:
     world = await World().start()
     client = await world.client()
     client.send(b"mg k v O1 " + P + b"\r\nmg k v O2")
@@ -84,7 +84,7 @@
 
 
 @scenario
-async def test_waiting_for_a_slow_response_does_not_count_as_client_delay(impatient: None) -> None:
+async def test_waiting_for_a_slow_response_does_not_count_as_client_delay(short_timeouts: None) -> None:
     world = await World().start()
     client = await world.client()
     client.get("1")
@@ -97,20 +97,20 @@
 
 @scenario
 async def test_unused_connections_are_evicted_before_used_ones() -> None:
-    world = await crowded(4)
-    usual = [await world.client() for _ in "12"]
-    for client in usual:
+    world = await router_with_limit(4)
+    other = [await world.client() for _ in "12"]
+    for client in other:
         assert await is_ready(client)
-    crowd = [await world.client() for _ in range(40)]
-    for silent in crowd[:-2]:
+    clients = [await world.client() for _ in range(40)]
+    for silent in clients[:-2]:
         assert await silent.ended()
-    for client in usual:
+    for client in other:
         assert await is_ready(client)
 
 
 @scenario
 async def test_the_least_recently_used_idle_connection_is_evicted() -> None:
-    world = await crowded(3)
+    world = await router_with_limit(3)
     first, second, busy = [await world.client() for _ in "123"]
     for client in (first, second, first):
         assert await is_ready(client)
@@ -130,30 +130,30 @@
 ) -> None:
     monkeypatch.setattr(
         session_timeouts, "COMMAND_TIMEOUT_SECONDS", 60.0
-    )  # for the half command, however slow the machine is
+    )  # for the partial command, however slow the machine is
     world = await World(sockets=384).start()
-    third, stay = (
+    client_quota, retained = (
         384 // 3,
         idle_retention.MIN_RETAINED_SESSIONS - 2,
-    )  # beside the busy one and the half command
+    )  # beside the busy one and the partial command
     asked: list[Client] = []
     busy = await world.client()
-    busy.put("busy", b"v")  # no second copy of a write disturbs what the cache is asked
+    busy.put("busy", b"v")  # no hedged request of a write disturbs what the cache is asked
     got = await world.origin.next()
-    half = await world.client()
-    assert await is_ready(half)
-    half.send(b"mg")  # rests longest of all, but for this
-    for _ in range(2 * third):
+    partial = await world.client()
+    assert await is_ready(partial)
+    partial.send(b"mg")  # it would be idle for longest otherwise
+    for _ in range(2 * client_quota):
         client = await world.client()
         assert await is_ready(client)
         asked.append(client)
-    for early in asked[:-stay]:
-        assert await early.ended()  # those that rested longest, in time for clients to open others
-    for late in asked[-stay:]:
-        assert await is_ready(late)  # nobody ever came back: few are kept, to see whether anyone does
-    half.send(b" k v Ohalf " + P + b"\r\n")
+    for early in asked[:-retained]:
+        assert await early.ended()  # the longest idle ones, before new ones are rejected
+    for late in asked[-retained:]:
+        assert await is_ready(late)  # none was used again: only the least number is retained
+    partial.send(b" k v Opartial " + P + b"\r\n")
     (await world.cache.next()).reply_value(b"v")
-    assert await half.value("half") == b"v"
+    assert await partial.value("partial") == b"v"
     got.respond(b"receipt")
     assert await busy.line() == b"HD Obusy creceipt\r\n"
 
@@ -161,10 +161,10 @@
 @scenario
 async def test_the_last_used_connection_is_retained_beside_many_busy_ones() -> None:
     world = await World(sockets=64).start()
-    kept = world.node._clients.sessions.retention.max_sessions
-    busy = [await world.client() for _ in range(kept + 2)]
+    retained = world.node._clients.sessions.retention.max_sessions
+    busy = [await world.client() for _ in range(retained + 2)]
     for n, client in enumerate(busy):
-        client.put(str(n), b"v")  # which the module holds till the origin has answered
+        client.put(str(n), b"v")  # which the policy queues until the origin has answered
     while len(world.node._host._held) < len(busy):
         await asyncio.sleep(0)
     last = await world.client()
@@ -175,25 +175,25 @@
 @scenario
 async def test_eviction_checks_of_connections_are_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
     world = await World(sockets=384).start()
-    looked = 0
+    checked = 0
 
     def unsettled(_: ClientConnection) -> bool:
-        nonlocal looked
-        looked += 1
+        nonlocal checked
+        checked += 1
         return False
 
     monkeypatch.setattr(ClientConnection, "can_close_cleanly", unsettled)
-    crowd = [await world.client() for _ in range(100)]
-    for client in crowd:
+    clients = [await world.client() for _ in range(100)]
+    for client in clients:
         assert await is_ready(client)
-    looked = 0
-    assert await is_ready(crowd[0])
-    assert looked == session_manager.MAX_EVICTION_CHECKS
+    checked = 0
+    assert await is_ready(clients[0])
+    assert checked == session_manager.MAX_EVICTION_CHECKS
 
 
 @scenario
 async def test_a_new_connection_is_rejected_when_all_have_requests_in_flight() -> None:
-    world = await crowded(2)
+    world = await router_with_limit(2)
     busy = [await world.client() for _ in "12"]
     for n, client in enumerate(busy):
         client.get(str(n))
--- a/tests/net/downstream/test_client_timeouts.py
+++ b/tests/net/downstream/test_client_timeouts.py
@@ -43,7 +43,7 @@
 async def test_pipelined_commands_beyond_the_limit_are_parsed_later() -> None:
     world = await World().start()
     client, other = await world.client(), await world.client()
-    # writes, which the module holds till the origin has a place for them
+    # writes, which the policy queues until the origin has capacity
     client.send(b"".join(b"ms k 1 O%d Pc=once,t=x,d=5000\r\nv\r\n" % n for n in range(300)))
     assert await is_ready(other)
 
@@ -54,7 +54,7 @@
             message.respond(b"r")
 
     task = asyncio.ensure_future(answer())
-    for n in range(300):  # in order; the module may refuse some of so many
+    for n in range(300):  # in order; the policy may shed some of so many
         line = await client.line()
         assert line == b"HD O%d cr\r\n" % n or line.startswith(b"SERVER_ERROR busy ")
     assert not task.done()
--- a/tests/net/downstream/test_connection_close.py
+++ b/tests/net/downstream/test_connection_close.py
@@ -12,24 +12,24 @@
 from tests.net.downstream.test_client_admission import P, is_ready
 from tests.peers import Client, World, scenario, until
 
-ASKED = b"mg k v O1 " + P + b"\r\n"
+REQUEST = b"mg k v O1 " + P + b"\r\n"
 ESTABLISHED, FIN_WAIT1, FIN_WAIT2 = 1, 4, 5  # states of a connection (linux/tcp_states.h)
-CRUMBS = 50_000  # bytes: more than the client takes at once
+RESPONSE_BYTES = 50_000  # bytes: more than the client takes at once
 
 
 def connection_of(world: World) -> ClientConnection:
     return world.node._clients.open_connections()[0]
 
 
-async def crosses(world: World, client: Client, monkeypatch: pytest.MonkeyPatch) -> None:
-    """Have a request come between the look at what is unread and the shutdown."""
-    looked = ClientConnection.can_close_cleanly
+async def send_during_close(world: World, client: Client, monkeypatch: pytest.MonkeyPatch) -> None:
+    """Have a request arrive between the check for unread input and the shutdown of the socket."""
+    can_close_cleanly = ClientConnection.can_close_cleanly
     raw = client.writer.get_extra_info("socket")
 
     def clear(connection: ClientConnection) -> bool:
-        is_clear = looked(connection)
+        is_clear = can_close_cleanly(connection)
         if is_clear and not connection.is_closing:
-            client.writer.transport.write(ASKED)  # out at once, as nothing is before it
+            client.writer.transport.write(REQUEST)  # out at once, as nothing is before it
             assert not client.writer.transport.get_write_buffer_size()
             assert raw.fileno() >= 0
         return is_clear
@@ -37,8 +37,8 @@
     monkeypatch.setattr(ClientConnection, "can_close_cleanly", clear)
 
 
-async def ends_in_order(client: Client, world: World) -> None:
-    """It sees an end, no reset, and nothing that it asked for was sent on."""
+async def expect_orderly_close(client: Client, world: World) -> None:
+    """Expect an end without a reset, and no forwarded request."""
     assert await client.reader.read() == b""  # a reset would raise
     client.close()
     await until(lambda: not len(world.node._clients.context.lingering))
@@ -49,14 +49,14 @@
 async def test_a_request_that_crosses_a_drained_close_is_dropped_without_a_reset(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Drained: shut where it rests, as whoever waits for the others does not hear from it."""
+    """An idle connection is closed while draining."""
     world = await World().start()
     client = await world.client()
     assert await is_ready(client)
-    await crosses(world, client, monkeypatch)
+    await send_during_close(world, client, monkeypatch)
     world.node._clients.start_draining()
     world.node._clients.close_idle(False)
-    await ends_in_order(client, world)
+    await expect_orderly_close(client, world)
 
 
 @scenario
@@ -68,10 +68,10 @@
     client.get("0")
     got = await world.cache.next()
     world.node._clients.start_draining()
-    await crosses(world, client, monkeypatch)
+    await send_during_close(world, client, monkeypatch)
     got.reply_value(b"v" * 60_000)
     assert await client.value("0") == b"v" * 60_000
-    await ends_in_order(client, world)
+    await expect_orderly_close(client, world)
 
 
 @scenario
@@ -83,9 +83,9 @@
     client, other = await world.client(), await world.client()
     assert await is_ready(client)
     world.node._clients.sessions.retention.reuse_ratio = 0.0
-    await crosses(world, client, monkeypatch)
+    await send_during_close(world, client, monkeypatch)
     assert await is_ready(other)
-    await ends_in_order(client, world)
+    await expect_orderly_close(client, world)
 
 
 @scenario
@@ -100,19 +100,19 @@
     close = connection.close
 
     def crossed(*_: object) -> None:
-        client.send(ASKED)
+        client.send(REQUEST)
         close()
 
     monkeypatch.setattr(connection, "close", crossed)
     connection.check_timeouts(world.node._system.now())
-    await ends_in_order(client, world)
+    await expect_orderly_close(client, world)
 
 
 @scenario
 async def test_nothing_is_read_between_the_close_decision_and_the_shutdown_of_the_socket(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """What was read before the shutdown was taken: dropped then, it would be lost and not sent again."""
+    """Input dropped before the shutdown of the socket would be lost without a retry."""
     states: list[int] = []
     received = ClientConnection.data_received
 
@@ -125,11 +125,11 @@
     world = await World().start()
     client = await world.client()
     assert await is_ready(client)
-    await crosses(world, client, monkeypatch)
-    await asyncio.sleep(0.01)  # a timer's turn of the loop: what comes is looked for before the next one
+    await send_during_close(world, client, monkeypatch)
+    await asyncio.sleep(0.01)  # a timer's turn of the loop, after which sockets are polled
     world.node._clients.start_draining()
     world.node._clients.close_idle(False)
-    await ends_in_order(client, world)
+    await expect_orderly_close(client, world)
     assert states in ([ESTABLISHED, FIN_WAIT2], [ESTABLISHED, FIN_WAIT1])
 
 
@@ -145,25 +145,25 @@
     arrived = session_manager.ClientSessionManager.admit
 
     def crossed(sessions: session_manager.ClientSessionManager) -> session_manager.Admission:
-        client.writer.transport.write(ASKED)
+        client.writer.transport.write(REQUEST)
         return arrived(sessions)
 
     monkeypatch.setattr(session_manager.ClientSessionManager, "admit", crossed)
     other = await world.client()
     assert await is_ready(other)
-    await ends_in_order(client, world)
+    await expect_orderly_close(client, world)
     assert await is_ready(other)
 
 
 @scenario
 async def test_a_rejected_client_that_has_sent_requests_receives_the_error() -> None:
-    """A close over its unread request was a reset, which took the line along."""
+    """A close with unread input would be a reset, which destroys the error."""
     world = await World().start()
     world.node._clients.sessions.max_sessions = 0
     raw = socket.create_connection(world.address)
-    raw.sendall(ASKED * 20)  # before it is accepted
+    raw.sendall(REQUEST * 20)  # before it is accepted
     client = Client(*await asyncio.open_connection(sock=raw))
-    await asyncio.sleep(0.05)  # a slow reader: what a reset destroys is gone by now
+    await asyncio.sleep(0.05)  # a slow reader: a reset would have destroyed the error by now
     assert await client.line() == b"SERVER_ERROR too many connections\r\n"
     assert await client.ended()
     client.close()
@@ -183,7 +183,7 @@
 
 @scenario
 async def test_a_reused_request_id_on_another_connection_is_not_cancelled() -> None:
-    """Told twice that the client had gone, the router forgot what it had asked for again meanwhile."""
+    """The close of the first connection must not cancel the request again."""
     world = await World().start()
     client, other = await world.client(), await world.client()
     client.get("1")
--- a/tests/net/downstream/test_descriptor_limits.py
+++ b/tests/net/downstream/test_descriptor_limits.py
@@ -38,7 +38,7 @@
         """`configured`: the descriptor limit in its configuration."""
         self.path, self.configured, self.port = path, configured, free_port()
         self.cache, self.discovery = Peer(), Peer(read_http)
-        self.crowd: list[socket.socket] = []
+        self.clients: list[socket.socket] = []
 
     async def start(self) -> LimitedRouter:
         await self.cache.start()
@@ -60,13 +60,13 @@
         (await reach(self.port)).close()
         return self
 
-    def come(self, number: int, sends: bytes = b"") -> None:
-        """So many clients come and stay, whatever becomes of them."""
+    def connect_clients(self, number: int, sends: bytes = b"") -> None:
+        """Open connections that stay, accepted or not."""
         for _ in range(number):
             client = socket.socket()
             client.setblocking(False)
             client.connect_ex((LOCAL, self.port))
-            self.crowd.append(client)
+            self.clients.append(client)
             if sends:
                 with contextlib.suppress(BlockingIOError, ConnectionError):
                     client.send(sends)
@@ -83,7 +83,7 @@
         return (self.path / "log").read_text()
 
     async def serves(self, name: str) -> None:
-        """A client that comes now is served, as often as it has to try."""
+        """Wait until a new client is served, with retries."""
         while True:
             client = await connect((LOCAL, self.port))
             client.send(b"mg k v O" + name.encode() + b" " + P + b"\r\n")
@@ -97,16 +97,16 @@
                 return
             taken.cancel()
             client.close()
-            await asyncio.sleep(0.02)  # a client that was refused comes again after a while
+            await asyncio.sleep(0.02)  # a rejected client retries after a delay
 
-    async def back(self) -> None:
-        """Discovery is back, and tells of the cache."""
+    async def restore_discovery(self) -> None:
+        """Bring discovery back with the cache on its endpoint list."""
         await self.discovery.start()
         (await self.discovery.next()).respond_list(1, self.cache.row("c"))
         await self.discovery.next()
 
     async def stop(self) -> None:
-        for client in self.crowd:
+        for client in self.clients:
             client.close()
         self.process.kill()
         await self.process.wait()
@@ -128,12 +128,12 @@
     router = await LimitedRouter(tmp_path).start()
     most = 0
     for _ in range(15):
-        router.come(20, sends)
+        router.connect_clients(20, sends)
         for _ in range(5):
             most = max(most, router.open())
             await asyncio.sleep(0.002)
-    await router.back()
-    router.come(20, sends)
+    await router.restore_discovery()
+    router.connect_clients(20, sends)
     await router.serves("1")
     assert max(most, router.open()) <= DESCRIPTOR_LIMIT
     assert "accept_paused" not in router.log() and "Errno 24" not in router.log()  # EMFILE
@@ -144,15 +144,15 @@
 async def test_accepting_recovers_when_the_configured_limit_exceeds_the_systems(tmp_path: Path) -> None:
     """Its share for clients is more than all that the system gives: accept says so, and tries again."""
     router = await LimitedRouter(tmp_path, configured=400).start()
-    router.come(200)
+    router.connect_clients(200)
     while "accept_paused" not in router.log():
         await asyncio.sleep(0.01)
     before = router.ticks()
-    await asyncio.sleep(0.5)  # of a spinning process half a second of processor time
+    await asyncio.sleep(0.5)  # a spinning process would use all of it
     assert router.ticks() - before < 25
-    for client in router.crowd[:150]:
+    for client in router.clients[:150]:
         client.close()
-    await router.back()
+    await router.restore_discovery()
     await router.serves("1")
     assert router.log().count("accept_paused") < 20
     await router.stop()
@@ -161,19 +161,19 @@
 @scenario
 async def test_clients_that_send_much_and_disconnect_leak_no_descriptors(tmp_path: Path) -> None:
     router = await LimitedRouter(tmp_path).start()
-    await router.back()
+    await router.restore_discovery()
     await router.serves("0")
-    at_rest = router.open()
+    idle_descriptors = router.open()
     for _ in range(20):
-        router.come(10, b"mg k v O1 " + P + b"\r\n" + b"x" * 100_000)
+        router.connect_clients(10, b"mg k v O1 " + P + b"\r\n" + b"x" * 100_000)
         await asyncio.sleep(0.005)
-        for client in router.crowd:
+        for client in router.clients:
             client.close()
-        router.crowd.clear()
+        router.clients.clear()
     while not router.cache.messages.empty():
         router.cache.messages.get_nowait()
     await router.serves("last")
-    while router.open() > at_rest + 4:  # connections to the cache, at the most
+    while router.open() > idle_descriptors + 4:  # connections to the cache, at the most
         await asyncio.sleep(0.01)
     await router.stop()
 
@@ -181,7 +181,7 @@
 @scenario
 async def test_a_request_sent_byte_by_byte_is_answered(tmp_path: Path) -> None:
     router = await LimitedRouter(tmp_path).start()
-    await router.back()
+    await router.restore_discovery()
     clients: list[Client] = [await connect((LOCAL, router.port)) for _ in range(3)]
     for byte in b"mg k v Oab Pc=read,t=x,d=5000\r\n":
         for n, client in enumerate(clients):
--- a/tests/net/downstream/test_lingering_close.py
+++ b/tests/net/downstream/test_lingering_close.py
@@ -8,7 +8,7 @@
 from ironrail.net.downstream import client_listener
 
 from tests.net.downstream.test_client_admission import is_ready
-from tests.net.downstream.test_connection_close import CRUMBS, connection_of
+from tests.net.downstream.test_connection_close import RESPONSE_BYTES, connection_of
 from tests.peers import World, scenario, until
 
 
@@ -27,8 +27,8 @@
 @scenario
 async def test_the_oldest_lingering_connection_is_aborted_at_the_limit() -> None:
     world = await World().start()
-    crowd = [await world.client() for _ in range(4)]
-    for client in crowd:
+    clients = [await world.client() for _ in range(4)]
+    for client in clients:
         assert await is_ready(client)
     world.node._clients.context.lingering.max_connections = 2
     first, second, third, _ = world.node._clients.open_connections()
@@ -37,7 +37,7 @@
     await until(lambda: len(world.node._clients.context.connections) == 3)
     assert first not in world.node._clients.context.lingering
     assert second in world.node._clients.context.lingering and third in world.node._clients.context.lingering
-    assert await is_ready(crowd[3])
+    assert await is_ready(clients[3])
 
 
 @scenario
@@ -76,7 +76,7 @@
     connection, n = connection_of(world), 0
     while not connection.transport.get_write_buffer_size():
         client.get(str(n))
-        (await world.cache.next()).reply_value(b"x" * CRUMBS)
+        (await world.cache.next()).reply_value(b"x" * RESPONSE_BYTES)
         await until(lambda: not connection.session.pending_responses)
         n += 1
     assert connection.session.responses_unread_since is None
