--- a/tests/mutants/never_ready.py
+++ b/tests/mutants/never_ready.py
@@ -4,10 +4,10 @@
 
 from ironrail.net.downstream.session_context import SessionContext
 
-from tests.mutants import replace
+from tests.mutants import replace_method
 
 RULE = "routers never ready"
 
 
 def break_it() -> None:
-    replace(SessionContext, "can_serve", lambda self: False)
+    replace_method(SessionContext, "can_serve", lambda self: False)
--- a/tests/mutants/serves_the_gone.py
+++ b/tests/mutants/serves_the_gone.py
@@ -5,11 +5,11 @@
 from ironrail.net.dispatch.dispatcher import RequestDispatcher
 from ironrail.net.downstream.client_connection import ClientConnection
 
-from tests.mutants import replace
+from tests.mutants import replace_method
 
 RULE, SCENARIO = "rule gone-clients", "leaves.toml"
 
 
 def break_it() -> None:
-    replace(RequestDispatcher, "gone", lambda self, name: None)
-    replace(ClientConnection, "has_left", lambda self, waited: False)
+    replace_method(RequestDispatcher, "gone", lambda self, name: None)
+    replace_method(ClientConnection, "has_left", lambda self, waited: False)
