--- a/ironrail/net/dispatch/attempt_sender.py
+++ b/ironrail/net/dispatch/attempt_sender.py
@@ -107,7 +107,7 @@
         attempt.is_still_wanted = self._is_still_wanted
         attempt.may_write = self._may_write
         attempt.is_exclusive = (
-            request.command.write
+            request.command.is_write
         )  # a write is not exposed to the faults of others
         attempt.server = action.server
         return attempt
--- a/ironrail/net/dispatch/dispatcher.py
+++ b/ironrail/net/dispatch/dispatcher.py
@@ -223,6 +223,6 @@
         time_left,
         command.key.decode(),
         None if hint is None else hint / MICROSECONDS_PER_SECOND,
-        command.write,
+        command.is_write,
         command.fields.get("t", ""),
     )
--- a/ironrail/net/dispatch/response_tracker.py
+++ b/ironrail/net/dispatch/response_tracker.py
@@ -93,7 +93,7 @@
         del self.by_id[request.request_id]
         request.timer.cancel()
         self._attempts.withdraw_unsent(request)
-        value_bytes = 0 if request.command.write else request.value_bytes
+        value_bytes = 0 if request.command.is_write else request.value_bytes
         self._report_end(request, outcome, value_bytes)
 
     def remove_disconnected(self, request_id: str) -> InFlightRequest | None:
--- a/ironrail/net/dispatch/value_streamer.py
+++ b/ironrail/net/dispatch/value_streamer.py
@@ -43,7 +43,7 @@
         if (
             request is None
             or stream is None
-            or not self.memory_budget.take(attempt, STREAM_BUFFER_BYTES)
+            or not self.memory_budget.reserve(attempt, STREAM_BUFFER_BYTES)
         ):
             self._attempts.abandon(id_of(attempt), AttemptStatus.CANCELLED)
             return
@@ -56,7 +56,7 @@
             attempt.timer.cancel()
         self._attempts.withdraw_unsent(request)
         stream.begin(
-            meta_codec.write_opening(request.command.request_id, length), connection.set_paused
+            meta_codec.write_value_header(request.command.request_id, length), connection.set_paused
         )
         self._submit(StreamingStarted(attempt.request_id, attempt.number))
 
@@ -81,7 +81,7 @@
     def release(self, attempt: Attempt) -> None:
         """Return the memory of an attempt that has ended."""
         if attempt.holds_stream_memory:
-            self.memory_budget.give_back(attempt)
+            self.memory_budget.release(attempt)
 
 
 def _free_stream(request: InFlightRequest | None) -> ResponseStream | None:
--- a/ironrail/net/upstream/cache_connection.py
+++ b/ironrail/net/upstream/cache_connection.py
@@ -5,7 +5,7 @@
 from ironrail.connections.upstream.connection import UpstreamConnection
 from ironrail.connections.upstream.reply_handler import AttemptReply
 from ironrail.net.protocol import meta_codec
-from ironrail.net.protocol.meta_codec import Opening, Piece, Reply, ReplyKind
+from ironrail.net.protocol.meta_codec import Reply, ReplyKind, ValueChunk, ValueHeader
 from ironrail.net.upstream.connection import Attempt, Connection, ConnectionObserver
 from ironrail.policy.events import AttemptStatus
 
@@ -41,7 +41,7 @@
                 if replies:  # what follows belongs to the next attempt
                     self.report_read(replies, True)
                     replies = []
-                if isinstance(item, Opening):
+                if isinstance(item, ValueHeader):
                     self._start_stream(item)
                     if self.transport.is_closing():
                         return
@@ -49,18 +49,18 @@
                     replies += self._read_piece(item)
         except meta_codec.FramingError as e:
             fault = e
-        self.report_read(replies, self._parser.begun, fault)
+        self.report_read(replies, self._parser.has_partial_reply, fault)
 
-    def _read_piece(self, piece: Piece) -> list[AttemptReply]:
+    def _read_piece(self, piece: ValueChunk) -> list[AttemptReply]:
         """Forward a part of a long value; returns its outcome once it is complete."""
-        if piece.last:
+        if piece.is_last:
             return [AttemptReply(AttemptStatus.OK)]
         self.pool.on_stream_data(self.upstream, piece.data)
         return []
 
-    def _start_stream(self, opening: Opening) -> None:
+    def _start_stream(self, opening: ValueHeader) -> None:
         self._check_id(opening.request_id, 0)
-        if opening.request_id is None or self.in_flight[0].command.write:
+        if opening.request_id is None or self.in_flight[0].command.is_write:
             raise meta_codec.FramingError("a long value does not fit the command")
         self.pool.on_stream_started(self.upstream, opening.length)
 
@@ -76,7 +76,7 @@
         self._check_id(reply.request_id, position)
         command = self.in_flight[position].command
         if reply.kind not in (ReplyKind.BUSY, ReplyKind.ERROR):
-            misfit = ReplyKind.VALUE if command.write else ReplyKind.STORED
+            misfit = ReplyKind.VALUE if command.is_write else ReplyKind.STORED
             lacks_receipt = reply.kind is ReplyKind.STORED and not reply.body
             if reply.request_id is None or reply.kind is misfit or lacks_receipt:
                 raise meta_codec.FramingError(f"{reply.kind.value} does not fit the command")
--- a/ironrail/net/upstream/connection.py
+++ b/ironrail/net/upstream/connection.py
@@ -12,7 +12,7 @@
 from ironrail.connections.upstream.connection import UpstreamConnection
 from ironrail.connections.upstream.connection_fault import Fault
 from ironrail.connections.upstream.reply_handler import AttemptReply
-from ironrail.net.protocol.meta_codec import SHORT, Command
+from ironrail.net.protocol.meta_codec import MAX_BUFFERED_VALUE_BYTES, Command
 from ironrail.net.system import Address, System
 from ironrail.policy.events import AttemptStatus
 
@@ -92,7 +92,7 @@
             self.timer.cancel()
         if on_ended is not None:
             on_ended(self, status, body)
-        if self.command.value and len(self.command.value) > SHORT:
+        if self.command.value and len(self.command.value) > MAX_BUFFERED_VALUE_BYTES:
             # an abandoned attempt is kept until its reply, which does not take its value
             self.command = replace(self.command, value=b"")
 
@@ -116,7 +116,7 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Set up a new transport."""
         self.transport = cast(asyncio.Transport, transport)  # uvloop's is no subclass
-        self._has_unread_bytes = self.pool.system.unread(self.transport)
+        self._has_unread_bytes = self.pool.system.unread_check(self.transport)
         # with a high-water mark of 0 writing is paused until the kernel has the last byte: so long
         # the latest attempt has not run
         self.transport.set_write_buffer_limits(high=0)
--- a/ironrail/net/upstream/origin_connection.py
+++ b/ironrail/net/upstream/origin_connection.py
@@ -10,7 +10,13 @@
 
 from ironrail.connections.upstream.connection import UpstreamConnection
 from ironrail.connections.upstream.reply_handler import AttemptReply
-from ironrail.net.protocol.meta_codec import MAX_VALUE, SHORT, Command, info_with, is_printable
+from ironrail.net.protocol.meta_codec import (
+    MAX_BUFFERED_VALUE_BYTES,
+    MAX_VALUE_BYTES,
+    Command,
+    info_with_wait,
+    is_printable,
+)
 from ironrail.net.upstream.connection import Attempt, Connection, ConnectionObserver
 from ironrail.policy.events import AttemptStatus
 
@@ -35,7 +41,7 @@
         command = attempt.command
         body = command.value or b""
         http = self._http
-        info = info_with(command, self.remaining_milliseconds(attempt))
+        info = info_with_wait(command, self.remaining_milliseconds(attempt))
         host = "{}:{}".format(*self.pool.address)
         head = http.send(_request_of(command, info, host, len(body))) or b""
         if body:
@@ -97,16 +103,18 @@
             self.pool.on_stream_data(self.upstream, bytes(event.data))
             return
         self._body += event.data
-        if len(self._body) > MAX_VALUE:  # a body without a length may be endless
+        if len(self._body) > MAX_VALUE_BYTES:  # a body without a length may be endless
             raise h11.RemoteProtocolError("value too large")
 
     def _start_stream_if_long(self, response: h11.Response) -> None:
         """Forward a long value while it arrives; one without a length is buffered."""
         length = int(_header(response, b"content-length") or b"0")
-        if length > MAX_VALUE:
+        if length > MAX_VALUE_BYTES:
             raise h11.RemoteProtocolError("value too large")
-        is_value = status_of(response) is AttemptStatus.OK and not self.in_flight[0].command.write
-        if length > SHORT and is_value:
+        is_value = (
+            status_of(response) is AttemptStatus.OK and not self.in_flight[0].command.is_write
+        )
+        if length > MAX_BUFFERED_VALUE_BYTES and is_value:
             self._is_streaming = True
             self.pool.on_stream_started(self.upstream, length)
 
@@ -117,7 +125,7 @@
         if response is None:
             raise h11.RemoteProtocolError("a response to nothing")
         status = status_of(response)
-        is_receipt = status is AttemptStatus.OK and self.in_flight[0].command.write
+        is_receipt = status is AttemptStatus.OK and self.in_flight[0].command.is_write
         if is_receipt and not is_printable(body, MAX_RECEIPT_BYTES):
             raise h11.RemoteProtocolError("a receipt that fits no line")
         self._response = None
@@ -143,10 +151,10 @@
         (b"Request-Id", command.request_id),
         (b"Request-Info", info),
     ]
-    if command.write:
+    if command.is_write:
         headers.append((b"Content-Length", b"%d" % length))
     target = "/" + quote_from_bytes(command.key, SAFE_IN_PATH)
-    return h11.Request(method="PUT" if command.write else "GET", target=target, headers=headers)
+    return h11.Request(method="PUT" if command.is_write else "GET", target=target, headers=headers)
 
 
 def _header(response: h11.Response, wanted: bytes) -> bytes | None:
--- a/tests/mutants/drops_key.py
+++ b/tests/mutants/drops_key.py
@@ -18,7 +18,7 @@
     def keyless(
         self: RequestDispatcher, command: Command, respond: Respond, stream: ResponseStream | None = None
     ) -> str | None:
-        info = re.sub(rb",k=[^,]*", b"", command.info)
-        return accept(self, dataclasses.replace(command, info=info), respond)
+        info = re.sub(rb",k=[^,]*", b"", command.raw_fields)
+        return accept(self, dataclasses.replace(command, raw_fields=info), respond)
 
     RequestDispatcher.accept = keyless  # type: ignore[method-assign]
--- a/tests/mutants/sends_after_answer.py
+++ b/tests/mutants/sends_after_answer.py
@@ -34,7 +34,7 @@
         self: ResponseTracker, request: InFlightRequest, outcome: RequestOutcome, response: bytes
     ) -> None:
         respond(self, request, outcome, response)
-        if not request.command.write and next(count) % 20 == 0:
+        if not request.command.is_write and next(count) % 20 == 0:
             asyncio.get_running_loop().call_later(0.4, again, self, request)
 
     RequestDispatcher.__init__ = known  # type: ignore[method-assign]
--- a/tests/mutants/serves_from_memory.py
+++ b/tests/mutants/serves_from_memory.py
@@ -18,14 +18,14 @@
     kept: dict[bytes, bytes] = {}
 
     def remember(self: AttemptSender, attempt: Attempt, status: AttemptStatus, body: bytes) -> None:
-        if status is AttemptStatus.OK and not attempt.command.write:
+        if status is AttemptStatus.OK and not attempt.command.is_write:
             kept[attempt.command.key] = body
         on_outcome(self, attempt, status, body)
 
     def recall(
         self: RequestDispatcher, command: Command, respond: Respond, stream: ResponseStream | None = None
     ) -> str | None:
-        if command.write or command.key not in kept:
+        if command.is_write or command.key not in kept:
             return accept(self, command, respond, stream)
         respond(meta_codec.write_served(command, kept[command.key]))
         return None
--- a/tests/net/dispatch/harness.py
+++ b/tests/net/dispatch/harness.py
@@ -10,7 +10,7 @@
 from ironrail.connections.upstream.pool_settings import PoolSettings
 from ironrail.net.dispatch.dispatcher import RequestDispatcher
 from ironrail.net.dispatch.pending_request import ResponseStream
-from ironrail.net.protocol.meta_codec import Command, read_fields
+from ironrail.net.protocol.meta_codec import Command, parse_fields
 from ironrail.net.upstream.cache_connection import CacheConnection
 from ironrail.net.upstream.connection_pool import Connection, ConnectionPool
 from ironrail.policy.actions import Action, FailRequest, SendAttempt
@@ -82,7 +82,7 @@
         request_class: str = "once",
     ) -> None:
         info = f"c={request_class},t=x,d={wait}".encode()
-        command = Command(b"k", name.encode(), info, read_fields(info), value)
+        command = Command(b"k", name.encode(), info, parse_fields(info), value)
         answers = self.answers[name] = []
         self.host.accept(command, answers.append, stream)
 
