--- a/tests/policy/test_hash_ring.py
+++ b/tests/policy/test_hash_ring.py
@@ -169,13 +169,3 @@
     d = Driver(settings())
     d.update_endpoints(*(endpoint(n) for n in "abcd"))
     assert len({sent_to(d, f"r{n}", "k") for n in range(3)}) == 1
-
-
-def test_requests_leave_the_retry_budget_after_its_window() -> None:
-    """Without retries the record of requests must not grow."""
-    d = Driver(settings())
-    d.update_endpoints(endpoint("a"), endpoint("b"))
-    for n in range(200):
-        d.receive(f"r{n}", key=f"k{n}", finish=True)
-        d.now += 1.0
-    assert len(d.router.retry_budget._request_times) <= d.router.retry_budget.settings.window + 1
--- a/tests/policy/test_retry_budget.py
+++ b/tests/policy/test_retry_budget.py
@@ -5,7 +5,7 @@
 from ironrail.policy.events import AttemptStatus
 from ironrail.policy.settings import RetryBudgetSettings
 
-from tests.driver import Driver, Outcome, settings
+from tests.driver import Driver, Outcome, endpoint, settings
 from tests.policy.fleets import CACHE_ASIDE, fleet
 
 
@@ -40,3 +40,13 @@
     assert d.end_attempt("r", AttemptStatus.MISS) == "o"
     d.end_attempt("r", AttemptStatus.BUSY)
     assert d.outcomes["r"] == Outcome.REJECTED
+
+
+def test_requests_leave_the_retry_budget_after_its_window() -> None:
+    """Without retries the record of requests must not grow."""
+    d = Driver(settings())
+    d.update_endpoints(endpoint("a"), endpoint("b"))
+    for n in range(200):
+        d.receive(f"r{n}", key=f"k{n}", finish=True)
+        d.now += 1.0
+    assert len(d.router.retry_budget._request_times) <= d.router.retry_budget.settings.window + 1
