--- a/ironrail/net/access_log_writer.py
+++ b/ironrail/net/access_log_writer.py
@@ -119,7 +119,7 @@
             tenant=fields.get("t", ""),
             key=command.key,
             value_bytes=value_bytes or len(command.value or b""),
-            is_write=command.write,
+            is_write=command.is_write,
             outcome=outcome,
             idempotency_key=fields.get("k", ""),
             expected_seconds=0.0 if hint is None else hint / MICROSECONDS_PER_SECOND,
--- a/ironrail/net/discovery/watcher.py
+++ b/ironrail/net/discovery/watcher.py
@@ -23,7 +23,7 @@
 )
 from ironrail.net.discovery.http_client import DiscoveryClient
 from ironrail.net.discovery.timeouts import MILLISECONDS_PER_SECOND, Timeout, WatchTiming
-from ironrail.net.io_timeout import READ_ON
+from ironrail.net.io_timeout import STALL_GRACE_SECONDS
 from ironrail.net.system import Address
 from ironrail.policy.endpoints import EndpointListKind, EndpointState
 from ironrail.policy.events import EndpointListUpdate
@@ -98,7 +98,9 @@
         if self._task is not None:
             loop = asyncio.get_running_loop()
             # behind callbacks that are ready then, as the task may be about to take a change
-            self._relist_timer = loop.call_later(READ_ON, loop.call_soon, self._relist_if_scheduled)
+            self._relist_timer = loop.call_later(
+                STALL_GRACE_SECONDS, loop.call_soon, self._relist_if_scheduled
+            )
 
     def _relist_if_scheduled(self) -> None:
         if self._relist_timer is not None:  # stop() may have come between
--- /dev/null
+++ b/ironrail/net/dispatch/request_summary.py
@@ -0,0 +1,48 @@
+"""Descriptions of a request in flight for the log, the metrics and the invariant guard."""
+
+from __future__ import annotations
+
+from ironrail.diagnostics.daemon import AttemptSummary, RequestSummary
+from ironrail.diagnostics.invariants import EarlierAttempt
+from ironrail.diagnostics.reasons import RejectionReason
+from ironrail.net.dispatch.pending_request import InFlightRequest, client_timeout
+
+
+def written_attempts(request: InFlightRequest, count: int) -> list[EarlierAttempt]:
+    """Return those of the first `count` attempts that were written to a connection."""
+    return [
+        EarlierAttempt(attempt.written_at, attempt.status, attempt in attempt.connection.in_flight)
+        for attempt in request.attempts[:count]
+        if attempt.connection is not None
+    ]
+
+
+def refusal_reason(request: InFlightRequest, now: float, is_shutting_down: bool) -> RejectionReason:
+    """Return why a request was not served."""
+    if is_shutting_down:
+        return RejectionReason.SHUTDOWN
+    if now >= request.deadline:
+        return RejectionReason.DEADLINE_EXCEEDED
+    if request.attempts:
+        return RejectionReason.ATTEMPT_FAILED
+    return RejectionReason.NOT_SENT
+
+
+def summarize(request: InFlightRequest, now: float) -> RequestSummary:
+    """Summarize a request that got its response late or not at all."""
+    attempts = tuple(
+        AttemptSummary(
+            attempt.server,
+            attempt.sent_at - request.received_at,
+            attempt.status.value if attempt.status is not None else "open",
+        )
+        for attempt in request.attempts
+    )
+    return RequestSummary(
+        request.request_id,
+        request.command.fields["c"],
+        client_timeout(request.command),
+        request.read_delay,
+        now - request.received_at + request.read_delay,
+        attempts,
+    )
--- a/ironrail/net/lifecycle/admin_pages.py
+++ b/ironrail/net/lifecycle/admin_pages.py
@@ -49,7 +49,7 @@
     def _ready(self) -> Response:
         if self._is_listening() and self._clients.can_serve():
             return Response(HTTPStatus.OK, b"ready\n")
-        reason = b"stopping\n" if self._clients.places.draining else b"not ready\n"
+        reason = b"stopping\n" if self._clients.sessions.is_draining else b"not ready\n"
         return Response(HTTPStatus.SERVICE_UNAVAILABLE, reason)
 
     def _metrics(self) -> Response:
--- a/ironrail/net/lifecycle/assembly.py
+++ b/ironrail/net/lifecycle/assembly.py
@@ -6,7 +6,7 @@
 from dataclasses import replace
 from typing import TYPE_CHECKING
 
-from ironrail.connections.downstream.descriptor_budget import share_descriptors
+from ironrail.connections.downstream.descriptor_budget import allocate_descriptors
 from ironrail.connections.downstream.memory_budget import MemoryBudget
 from ironrail.connections.downstream.session_manager import ClientSessionManager
 from ironrail.diagnostics.counters import ReasonCounter
@@ -68,12 +68,12 @@
     system: System,
 ) -> ClientListener:
     """Return the listener for clients, with its share of the file descriptors."""
-    descriptors = share_descriptors(config.max_sockets)
+    descriptors = allocate_descriptors(config.max_sockets)
     return ClientListener(
         dispatcher,
         can_serve,
-        ClientSessionManager(descriptors.clients, descriptors.kept),
+        ClientSessionManager(descriptors.clients, descriptors.retained_clients),
         system,
-        lingering=descriptors.lingering,
-        accepts=descriptors.accepts,
+        max_lingering=descriptors.lingering,
+        accepts_per_turn=descriptors.accepts_per_turn,
     )
--- a/ironrail/net/lifecycle/graceful_shutdown.py
+++ b/ironrail/net/lifecycle/graceful_shutdown.py
@@ -84,11 +84,11 @@
         self.clients.stop_listening()
         serves_alone = not is_served_by_other()
         await self._sleep_until(self.schedule.idle_close_at)
-        drained = asyncio.create_task(self.clients.drained())
+        drained = asyncio.create_task(self.clients.wait_closed())
         await self._wait_for_responses(drained, serves_alone)
         if not drained.done():
             log.warning("shutdown_deadline_reached")
-            self.clients.end_all()
+            self.clients.reject_all()
         await self._wait_for_flush(drained)
         drained.cancel()
 
@@ -103,12 +103,12 @@
         deadline = self.started_at + self.schedule.response_deadline
         while not drained.done() and (left := deadline - self.now()) > 0:
             partial_commands_expired = self._elapsed() >= self.schedule.partial_command_deadline
-            self.clients.end_waiting(serves_alone and partial_commands_expired)
+            self.clients.close_idle(serves_alone and partial_commands_expired)
             timeout = max(MIN_POLL_INTERVAL_SECONDS, min(POLL_INTERVAL_SECONDS, left))
             await asyncio.wait([drained], timeout=timeout)
 
     async def _wait_for_flush(self, drained: asyncio.Task[None]) -> None:
         """Let clients read the last responses, until `exit_at`."""
         while not drained.done() and self._elapsed() < self.schedule.exit_at:
-            self.clients.end_waiting(hurry=True)
+            self.clients.close_idle(close_partial=True)
             await asyncio.wait([drained], timeout=MIN_POLL_INTERVAL_SECONDS)
--- a/ironrail/net/lifecycle/node.py
+++ b/ironrail/net/lifecycle/node.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING
 
-from ironrail.connections.downstream.descriptor_budget import share_descriptors
+from ironrail.connections.downstream.descriptor_budget import allocate_descriptors
 from ironrail.diagnostics.daemon import DaemonDiagnostics
 from ironrail.net.config import Config, ConfigError
 from ironrail.net.discovery.endpoint_list import EndpointListReader
@@ -102,7 +102,7 @@
             Router(config.settings, config.seed, self._system.now()),
             self._pool_factory.make,
             self._endpoint_watcher.poll,
-            share_descriptors(config.max_sockets).servers,
+            allocate_descriptors(config.max_sockets).servers,
             self._system,
             self._endpoint_watcher.refresh,
             make_value_memory(config),
@@ -118,8 +118,10 @@
         # imported late: saves memory without peers
         from ironrail.net.peers.runtime import PeerRuntime  # noqa: PLC0415
 
-        runtime = PeerRuntime(self._config, operator, self._system, self._dispatcher.guide, store)
-        self._dispatcher.before = runtime.check
+        runtime = PeerRuntime(
+            self._config, operator, self._system, self._dispatcher.driver.apply_now, store
+        )
+        self._dispatcher.driver.before_event = runtime.check
         runtime.serve(self._client_listener)
         return runtime
 
@@ -152,7 +154,7 @@
         Where another process serves the address, this one listens once it has the endpoint list.
         """
         address = self._config.listen_address
-        if self._system.served(address):
+        if self._system.is_served(address):
             self._handover.start()
         else:
             address = self._listen()
@@ -169,7 +171,7 @@
         return address
 
     def _apply_list_update(self, update: EndpointListUpdate, addresses: dict[str, Address]) -> None:
-        self._dispatcher.servers(update, addresses)
+        self._dispatcher.update_endpoints(update, addresses)
         if self.peer_runtime is not None:
             self.peer_runtime.servers(update)
         if update.kind is EndpointListKind.FULL:
@@ -183,7 +185,7 @@
             await self.peer_runtime.open()
         self.start()
         log.info("listening", extra={"address": "{}:{}".format(*self._config.listen_address)})
-        self._system.settled()
+        self._system.startup_complete()
         shutdown = asyncio.create_task(shutdown_requested.wait())
         await self._handover.wait(shutdown)
         await shutdown
@@ -207,14 +209,14 @@
 
     def reload(self) -> None:
         """Read the configuration again, unless the router is shutting down."""
-        if self._client_listener.places.draining:
+        if self._client_listener.sessions.is_draining:
             log.info("reload_rejected", extra={"error": "the router is shutting down"})
             return
         self._reloader.reload()
 
     async def stop(self) -> None:
         """Shut down gracefully: answer all pending requests, then close every part."""
-        self._client_listener.drain()
+        self._client_listener.start_draining()
         self._handover.cancel()
         if self._is_listening:
             await self._shut_down_gracefully()
@@ -233,7 +235,7 @@
             now,
             started_at=now() if requested_at is None else requested_at,
         )
-        await shutdown.run(lambda: self._system.served(self._config.listen_address))
+        await shutdown.run(lambda: self._system.is_served(self._config.listen_address))
 
 
 async def serve(config: Config, operator: OperatorSettings = NO_OPERATOR_FILE) -> None:
--- a/ironrail/operator_file.py
+++ b/ironrail/operator_file.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 
 from ironrail.access_log.pseudonyms import MAX_SECRET_BYTES, MIN_SECRET_BYTES
-from ironrail.connections.upstream.socket_budget import places_each
+from ironrail.connections.upstream.socket_budget import connections_per_router
 from ironrail.errors import InputError
 
 RANDOM_SECRET_BYTES = 32
@@ -40,7 +40,7 @@
         """Return the connections of one router, of `routers`, to one cache."""
         if self.per_router is not None:
             return self.per_router
-        return places_each(self.total_per_cache, routers)
+        return connections_per_router(self.total_per_cache, routers)
 
 
 @dataclass(frozen=True, slots=True)
--- a/tests/mutants/__main__.py
+++ b/tests/mutants/__main__.py
@@ -10,12 +10,12 @@
 import sys
 from typing import Any, NoReturn
 
+from tests.mutants import replace_method
+
 name, rest = sys.argv[1], sys.argv[2:]
 if name != "true":
     from ironrail.diagnostics.invariants import InvariantGuard
 
-    from tests.mutants import replace_method
-
     def allow(self: InvariantGuard, *facts: Any, **more: Any) -> bool:
         """The kit is tried by what the guard would refuse: `tests/diagnostics` tries the guard itself."""
         return True
--- a/tests/net/lifecycle/test_graceful_shutdown.py
+++ b/tests/net/lifecycle/test_graceful_shutdown.py
@@ -8,14 +8,14 @@
 from typing import Any
 
 import pytest
-from ironrail.connections.downstream import session_manager
+from ironrail.connections.downstream import client_session
 from ironrail.net.lifecycle import graceful_shutdown
 from ironrail.net.lifecycle.graceful_shutdown import ShutdownSchedule, shutdown_schedule
 from ironrail.net.lifecycle.node import Node
 from ironrail.policy.settings import RequestClass
 
+from tests.net.downstream.test_client_admission import is_ready
 from tests.peers import LOCAL, ONCE, READ, SETTINGS, World, scenario, until
-from tests.test_clients import is_ready
 
 
 def of(*give_up: float) -> ShutdownSchedule:
@@ -74,7 +74,7 @@
     client.get("held", wait=400)
     await world.cache.next()
     client.send(b"".join(b"mg k v Or%d Pc=read,t=x,d=400\r\n" % n for n in range(300)))
-    end_all, late = world.node._dispatcher.end_all, 0
+    expire_all, late = world.node._dispatcher.expire_all, 0
 
     def end() -> None:
         nonlocal late
@@ -84,12 +84,16 @@
             late = 300
             writes = b"".join(b"ms k 1 Os%d Pc=once,t=x,d=400\r\nv\r\n" % n for n in range(late))
             client.writer.transport.write(writes)
-        end_all()
+        expire_all()
 
-    monkeypatch.setattr(world.node._dispatcher, "end_all", end)
+    monkeypatch.setattr(world.node._dispatcher, "expire_all", end)
     await world.node.stop()
     # here the process ends: all is answered, and said to be over
-    assert late and not world.node._dispatcher._held and not world.node._client_listener.all()
+    assert (
+        late
+        and not world.node._dispatcher.requests.by_id
+        and not world.node._client_listener.open_connections()
+    )
     for _ in range(301 + late):
         assert (await client.line()).startswith(b"SERVER_ERROR ")
     assert await client.ended()
@@ -99,20 +103,20 @@
 async def test_a_connection_with_unparsed_commands_is_not_closed() -> None:
     """More than a connection may have in hand was parsed a turn later, and its end came between."""
     world = await World().start()
-    client, most = await world.client(), session_manager.MOST_PIPELINED
+    client, most = await world.client(), client_session.MAX_PIPELINED_COMMANDS
     client.send(b"mn\r\n" * (most + 2))
     looked = 0
 
     def look() -> None:
         nonlocal looked
         looked += 1
-        world.node._client_listener.end_waiting(True)
+        world.node._client_listener.close_idle(True)
         if looked < 2000:
             loop.call_soon(look)
 
     loop = asyncio.get_running_loop()
     loop.call_soon(look)
-    world.node._client_listener.drain()
+    world.node._client_listener.start_draining()
     for _ in range(most + 2):
         assert await client.line() == b"SERVER_ERROR not ready\r\n"
 
@@ -122,11 +126,11 @@
     world = await World().start()
     client = await world.client()
     client.writer.transport.pause_reading()  # type: ignore[attr-defined]
-    connection, n = world.node._client_listener.all()[0], 0
+    connection, n = world.node._client_listener.open_connections()[0], 0
     while not connection.transport.get_write_buffer_size():
         client.get(str(n))
         (await world.cache.next()).reply_value(b"x" * 65536)
-        await until(lambda: not connection.place.open)
+        await until(lambda: not connection.session.pending_responses)
         n += 1
     ending = asyncio.ensure_future(world.node.stop())
     poll_interval = graceful_shutdown.POLL_INTERVAL_SECONDS
@@ -179,7 +183,7 @@
     world = await World().start()
     world.node._reloader._read = lambda: replace(world.config(), discovery_address=(LOCAL, 9))
     task = world.node._endpoint_watcher._task
-    world.node._client_listener.drain()
+    world.node._client_listener.start_draining()
     world.node.reload()
     assert (
         world.node._endpoint_watcher._task is task and world.node._reloader.config.discovery_address[1] != 9
--- a/tests/readers_router.py
+++ b/tests/readers_router.py
@@ -50,7 +50,7 @@
         return self.node.peer_runtime.readers
 
     def connections(self) -> list[ClientConnection]:
-        return self.node._client_listener.all()
+        return self.node._client_listener.open_connections()
 
     async def served(self, client: Client, name: str) -> None:
         client.get(name)
--- a/tests/test_halls.py
+++ b/tests/test_halls.py
@@ -9,10 +9,11 @@
 
 import orjson
 import pytest
+from ironrail.connections.upstream.pool_settings import PoolSettings
 from ironrail.net.peers.node_identity import NodeIdentity
 from ironrail.net.peers.transport import Peering, Tier
 from ironrail.net.peers.zone_latency import HallsMap
-from ironrail.net.protocol.meta_codec import Command, read_fields
+from ironrail.net.protocol.meta_codec import Command, parse_fields
 from ironrail.net.system import REAL
 from ironrail.net.upstream.cache_connection import CacheConnection
 from ironrail.net.upstream.connection_pool import Attempt, ConnectionPool
@@ -96,12 +97,12 @@
     """One read there, given up after so many seconds."""
     loop = asyncio.get_running_loop()
     pool = ConnectionPool(
-        "s", (LOCAL, port), CacheConnection, most=1, streams=1, connect_timeout=0.1, idle=9.0, watch=noted
+        "s", (LOCAL, port), CacheConnection, PoolSettings(1, 1, 9.0), connect_timeout=0.1, link_observer=noted
     )
     ended: asyncio.Future[AttemptStatus] = loop.create_future()
     info = b"c=read,t=x,d=900"
     attempt = Attempt(
-        "r", 0, loop.time(), loop.time() + wait, Command(b"k", b"1", info, read_fields(info), None),
+        "r", 0, loop.time(), loop.time() + wait, Command(b"k", b"1", info, parse_fields(info), None),
         lambda attempt, status, body: ended.set_result(status),
     )  # fmt: skip
     pool.send(attempt)
--- a/tests/test_operator_file.py
+++ b/tests/test_operator_file.py
@@ -90,10 +90,10 @@
 @scenario
 async def test_connection_limits_follow_the_file() -> None:
     node = Node(World().config(), OperatorSettings(ConnectionSettings(per_router=5, max_in_flight=3)))
-    cache = node._pool_factory.make(Endpoint("c", kind="std"), ("127.0.0.1", 1)).upstream
-    origin = node._pool_factory.make(Endpoint("o", kind="origin"), ("127.0.0.1", 1)).upstream
-    assert (cache.wanted, cache.streams) == (5, 3)
-    assert (origin.wanted, origin.streams) == (32, 1)  # which bears one request at a time
+    cache = node._pool_factory.make(Endpoint("c", kind="std"), ("127.0.0.1", 1)).manager.state
+    origin = node._pool_factory.make(Endpoint("o", kind="origin"), ("127.0.0.1", 1)).manager.state
+    assert (cache.wanted_connections, cache.max_streams) == (5, 3)
+    assert (origin.wanted_connections, origin.max_streams) == (32, 1)  # which bears one request at a time
 
 
 @scenario
@@ -101,5 +101,9 @@
     settings = World().config().settings
     for routers, each in ((3, 12), (4, 9)):
         config = replace(World().config(), settings=replace(settings, router_count=routers))
-        pool = Node(config)._pool_factory.make(Endpoint("c", kind="std"), ("127.0.0.1", 1))
-        assert pool.upstream.wanted == each
+        assert (
+            Node(config)
+            ._pool_factory.make(Endpoint("c", kind="std"), ("127.0.0.1", 1))
+            .manager.state.wanted_connections
+            == each
+        )
