--- a/ironrail/rehearsal/virtual/play.py
+++ b/ironrail/rehearsal/virtual/play.py
@@ -107,7 +107,7 @@
     return Virtual(result, faults, lines, seconds, events, awaits, ground.decided)
 
 
-ALARMS = ('"module_failed"', '"request_lost_sight_of"', '"endpoint_list_call_crashed"')  # events of its log
+ALARMS = ('"policy_failed"', '"request_dropped_by_policy"', '"endpoint_list_call_crashed"')
 
 
 def _alarms(log: bytes) -> list[str]:
