--- a/ironrail/access_log/record.py
+++ b/ironrail/access_log/record.py
@@ -122,5 +122,5 @@
         return self.file_bytes > 0 and self.file_bytes + size > self.max_bytes
 
     def add(self, size: int) -> None:
-        """Note that `size` bytes are written to the file."""
+        """Record that `size` bytes are written to the file."""
         self.file_bytes += size
--- a/ironrail/admin/connection_limit.py
+++ b/ironrail/admin/connection_limit.py
@@ -58,7 +58,7 @@
         return next(iter(self._connections))
 
     def answered(self, now: float, connection: AdminConnection) -> None:
-        """Note that the response was sent; the client has a moment to read it."""
+        """Record that the response was sent; the client has a moment to read it."""
         connection.answered = True
         connection.waiting_since = now
 
--- a/ironrail/connections/downstream/client_session.py
+++ b/ironrail/connections/downstream/client_session.py
@@ -119,7 +119,7 @@
             self.state = SessionState.OPEN
 
     def long_value_started(self, now: float, is_memory_reserved: bool) -> None:
-        """Note that the header of a long value was received, in time."""
+        """Record that the header of a long value was received, in time."""
         self.progress = _LONG_VALUE if is_memory_reserved else _AWAITING_MEMORY
         self.wait_started_at = now
 
@@ -129,7 +129,7 @@
         self.wait_started_at = now
 
     def long_value_received(self) -> None:
-        """Note that a long value is complete."""
+        """Record that a long value is complete."""
         self.progress = _PARTIAL
 
     def update_progress(self, has_partial_command: bool) -> None:
@@ -145,5 +145,5 @@
         self.state = _ENDING
 
     def set_responses_unread(self, now: float, is_unread: bool) -> None:
-        """Note whether the client has stopped taking responses."""
+        """Record whether the client has stopped taking responses."""
         self.responses_unread_since = now if is_unread else None
--- a/ironrail/connections/downstream/idle_retention.py
+++ b/ironrail/connections/downstream/idle_retention.py
@@ -25,11 +25,11 @@
         self.reuse_ratio = 1.0
 
     def session_reused(self) -> None:
-        """Note that an idle session was used again."""
+        """Record that an idle session was used again."""
         self.reuse_ratio += REUSE_SMOOTHING_FACTOR * (1 - self.reuse_ratio)
 
     def session_evicted(self) -> None:
-        """Note that an idle session is evicted unused."""
+        """Record that an idle session is evicted unused."""
         self.reuse_ratio += REUSE_SMOOTHING_FACTOR * (0 - self.reuse_ratio)
 
     def session_limit(self) -> int:
--- a/ironrail/connections/downstream/session_manager.py
+++ b/ironrail/connections/downstream/session_manager.py
@@ -111,7 +111,7 @@
     # Commands
 
     def record_data(self, now: float, session: ClientSession) -> None:
-        """Note that bytes were received."""
+        """Record that bytes were received."""
         session.last_received_at = now
         if session in self._idle:
             del self._idle[session]
@@ -123,7 +123,7 @@
             session.wait_started_at = now
 
     def record_command(self, now: float, session: ClientSession, is_valid: bool) -> None:
-        """Note a complete command, and end a session that sends only invalid ones."""
+        """Record a complete command, and end a session that sends only invalid ones."""
         session.pending_responses += 1
         if is_valid:
             session.consecutive_bad_commands = 0
@@ -149,7 +149,7 @@
         has_partial_command: bool,
         is_closing: bool = False,
     ) -> NextAction:
-        """Note written responses and the parser's state, and return the action that is due.
+        """Record written responses and the parser's state, and return the action that is due.
 
         Args:
             session: The session whose input was parsed or whose responses were written.
--- a/ironrail/connections/upstream/connection_opener.py
+++ b/ironrail/connections/upstream/connection_opener.py
@@ -42,7 +42,7 @@
         return self._queueing_time < self._cost
 
     def note_opened(self) -> None:
-        """Note that one more is being opened."""
+        """Record that one more is being opened."""
         self._queueing_time = 0.0
 
     def record_reply_time(self, seconds: float) -> None:
@@ -51,7 +51,7 @@
         self._reply_time += weight * (seconds - self._reply_time)
 
     def note_broken(self, now: float) -> None:
-        """Note that a connection broke with attempts in flight."""
+        """Record that a connection broke with attempts in flight."""
         self._cooldown_until = now + BREAK_COOLDOWN_SECONDS
 
     def is_server_full(self, now: float) -> bool:
@@ -64,5 +64,5 @@
         self._full_backoff = min(MAX_FULL_BACKOFF_SECONDS, 2 * self._full_backoff)
 
     def note_served(self) -> None:
-        """Note that a new connection is served."""
+        """Record that a new connection is served."""
         self._full_backoff = MIN_FULL_BACKOFF_SECONDS
--- a/ironrail/connections/upstream/reply_handler.py
+++ b/ironrail/connections/upstream/reply_handler.py
@@ -81,7 +81,7 @@
             self._lifecycle.abort_with_attempts(now, connection, fault)
 
     def on_client_paused(self, now: float, connection: UpstreamConnection, is_paused: bool) -> None:
-        """Note that the client of a long value is too slow, or has caught up.
+        """Record that the client of a long value is too slow, or has caught up.
 
         The replies to the other attempts are not read meanwhile, so they go elsewhere; not where
         hedging is forbidden, for they are in flight as long as the connection.
@@ -104,7 +104,7 @@
     def _check_capacity(
         self, now: float, connection: UpstreamConnection, first: AttemptStatus
     ) -> None:
-        """Note from the first reply on a connection whether the server has capacity for it.
+        """Learn from the first reply on a connection whether the server has capacity for it.
 
         A cache that holds too many connections, of all routers, rejects all requests on one.
         """
--- a/ironrail/diagnostics/hold_up.py
+++ b/ironrail/diagnostics/hold_up.py
@@ -43,7 +43,7 @@
         self.longest = 0.0
 
     def beat(self, now: float) -> HoldUp | None:
-        """Note a heartbeat; return the hold-up that it ends, if it is late."""
+        """Record a heartbeat; return the hold-up that it ends, if it is late."""
         hold_up = None
         if self._overdue(now):
             hold_up = HoldUp(self._last_beat, now)
@@ -55,7 +55,7 @@
         return hold_up
 
     def caught_up(self, hold_up: HoldUp) -> None:
-        """Note that all data that arrived during a hold-up has been read."""
+        """Record that all data that arrived during a hold-up has been read."""
         if self._unread is hold_up:
             self._unread = None
 
--- a/ironrail/net/admin_server.py
+++ b/ironrail/net/admin_server.py
@@ -115,7 +115,7 @@
         return True
 
     def answered(self, connection: AdminConnection) -> None:
-        """Note that a connection has its response."""
+        """Record that a connection has its response."""
         self._limit.answered(self._system.now(), connection)
 
     def closed(self, connection: AdminConnection) -> None:
--- a/ironrail/net/discovery/endpoint_list.py
+++ b/ironrail/net/discovery/endpoint_list.py
@@ -65,8 +65,7 @@
             EndpointListError: The message can't be used; nothing of it was taken.
         """
         try:
-            if kind is None:
-                kind = _kind_of(message)
+            kind = kind or _kind_of(message)
             rows = [(self._endpoint(row), read_address(row["addr"])) for row in message["servers"]]
             version = int(message["version"])
         except (KeyError, TypeError, ValueError, AttributeError) as error:
--- a/ironrail/net/discovery/timeouts.py
+++ b/ironrail/net/discovery/timeouts.py
@@ -1,6 +1,6 @@
 """Timeouts of calls to discovery: to an agent on this machine, and to a shared service.
 
-Together they keep two bounds, even if one call is lost: an agent's change is known within 0.85 s,
+They keep two bounds, even if one call is lost: an agent's change is known within 0.85 s,
 a service's change within 6 s.
 """
 
--- a/ironrail/net/downstream/client_connection.py
+++ b/ironrail/net/downstream/client_connection.py
@@ -56,11 +56,11 @@
         self.arrived_at = None
 
     def pause_writing(self) -> None:
-        """Note that the client has stopped taking responses."""
+        """Record that the client has stopped taking responses."""
         self._set_responses_unread(True)
 
     def resume_writing(self) -> None:
-        """Note that the client takes responses again."""
+        """Record that the client takes responses again."""
         self._set_responses_unread(False)
 
     def _set_responses_unread(self, is_unread: bool) -> None:
@@ -150,7 +150,7 @@
         return ClientCloseReason.SHUTDOWN
 
     def close(self, reason: ClientCloseReason | None = None, peer_closed: bool = False) -> None:
-        """Shut the connection down behind what is written, and drop what still arrives.
+        """Half-close the connection behind what is written, and drop what still arrives.
 
         Args:
             reason: Why the router closes it; None if the client does.
--- a/ironrail/net/downstream/command_pipeline.py
+++ b/ironrail/net/downstream/command_pipeline.py
@@ -50,7 +50,7 @@
     def _parse(self) -> None:
         """Handle complete commands up to the limit.
 
-        Others wait for the next turn, as one client would delay all others otherwise.
+        The rest waits for the next turn, so that one client does not delay the others.
         """
         self.is_parse_scheduled = False
         session = self._connection.session
--- a/ironrail/net/downstream/half_closed.py
+++ b/ironrail/net/downstream/half_closed.py
@@ -16,7 +16,7 @@
     """One connection between its shutdown for writing and its close."""
 
     def __init__(self, transport: asyncio.Transport, *, peer_closed: bool = False) -> None:
-        """Shut the transport down behind what is written.
+        """Half-close the transport behind what is written.
 
         Args:
             transport: The connection.
--- a/ironrail/net/downstream/session_context.py
+++ b/ironrail/net/downstream/session_context.py
@@ -36,7 +36,7 @@
         """Whether a close now loses neither received input nor unwritten responses."""
 
     def close(self, reason: ClientCloseReason) -> None:
-        """Shut the connection down behind what is written."""
+        """Half-close the connection behind what is written."""
 
 
 class MemoryWaiter(Protocol):
--- a/ironrail/net/lifecycle/handover.py
+++ b/ironrail/net/lifecycle/handover.py
@@ -30,7 +30,7 @@
         self._task = asyncio.create_task(self._take_over())
 
     def endpoint_list_received(self) -> None:
-        """Note that a full endpoint list was taken."""
+        """Record that a full endpoint list was taken."""
         self._list_received.set()
 
     def cancel(self) -> None:
--- a/ironrail/net/lifecycle/node.py
+++ b/ironrail/net/lifecycle/node.py
@@ -196,13 +196,13 @@
         """Register handlers: shutdown, reload of the configuration, rotation of the access log."""
         loop = asyncio.get_running_loop()
 
-        def request_shutdown() -> None:
+        def _request_shutdown() -> None:
             if not shutdown_requested.is_set():
                 self._shutdown_requested_at = self._dispatcher.monitor.earliest_event()
                 shutdown_requested.set()
 
         for number in (signal.SIGTERM, signal.SIGINT):
-            loop.add_signal_handler(number, request_shutdown)
+            loop.add_signal_handler(number, _request_shutdown)
         loop.add_signal_handler(signal.SIGHUP, self.reload)
         if self._access_log is not None:
             loop.add_signal_handler(signal.SIGUSR1, self._access_log.reopen)
@@ -215,7 +215,7 @@
         self._reloader.reload()
 
     async def stop(self) -> None:
-        """Shut down gracefully: answer all pending requests, then close every part."""
+        """Run the graceful shutdown: answer all pending requests, then close every part."""
         self._client_listener.start_draining()
         self._handover.cancel()
         if self._is_listening:
--- a/ironrail/net/system.py
+++ b/ironrail/net/system.py
@@ -57,7 +57,7 @@
         """Round-trip time in seconds as estimated by the system; None if it is unknown."""
 
     def startup_complete(self) -> None:
-        """Note that the objects of the router which exist now are permanent."""
+        """Record that the objects of the router which exist now are permanent."""
 
 
 def _family(address: Address) -> socket.AddressFamily:
--- a/ironrail/net/upstream/connection.py
+++ b/ironrail/net/upstream/connection.py
@@ -122,11 +122,11 @@
         self.transport.set_write_buffer_limits(high=0)
 
     def pause_writing(self) -> None:
-        """Note that the kernel has not taken all bytes."""
+        """Record that the kernel has not taken all bytes."""
         self.upstream.has_unsent_bytes = True
 
     def resume_writing(self) -> None:
-        """Note that the kernel has taken all bytes."""
+        """Record that the kernel has taken all bytes."""
         self.upstream.has_unsent_bytes = False
 
     def connection_lost(self, exc: Exception | None) -> None:
--- a/ironrail/policy/discovery_freshness.py
+++ b/ironrail/policy/discovery_freshness.py
@@ -128,7 +128,7 @@
         return min(backoff, max_interval)
 
     def mark_uncertain(self, since: float, staleness: float) -> None:
-        """Note a possibly missed change since then, which takes effect `staleness` s later."""
+        """Record a possibly missed change since then, which takes effect `staleness` s later."""
         if self._stale_at == math.inf:
             self._uncertain_since = since
         self._stale_at = min(self._stale_at, since + staleness)
--- a/ironrail/policy/events.py
+++ b/ironrail/policy/events.py
@@ -20,14 +20,14 @@
 
     OK = "ok"
     ERROR = "error"  # the server answered with an error, or with what can't be read
-    BUSY = "full"  # the server rejected it
+    BUSY = "busy"  # the server rejected it
     TIMEOUT = "timeout"
     CONNECT_FAILED = "connect_failed"
     RESET = "reset"  # the connection was closed before the answer was complete
     CANCELLED = "cancelled"
-    CANCELLED_BEFORE_SEND = "moot"  # cancelled while it waited for a connection
+    CANCELLED_BEFORE_SEND = "cancelled_before_send"  # cancelled while it waited for a connection
     MISS = "miss"
-    NOT_SENT = "unsent"  # withdrawn by the host; says nothing of the server
+    NOT_SENT = "not_sent"  # withdrawn by the host; says nothing of the server
 
 
 class LinkState(Enum):
