--- a/ironrail/admin/connection_limit.py
+++ b/ironrail/admin/connection_limit.py
@@ -67,7 +67,7 @@
         self._connections.pop(connection, None)
 
     def expired(self, now: float) -> list[AdminConnection]:
-        """Return the connections past their timeout: to be answered so, or closed if answered."""
+        """Return the connections past their timeout: to be sent 408, or closed if answered."""
         return [
             connection
             for connection in self._connections
--- a/ironrail/connections/downstream/descriptor_budget.py
+++ b/ironrail/connections/downstream/descriptor_budget.py
@@ -10,8 +10,11 @@
 MAX_ACCEPTS_PER_TURN = 16
 """Connections accepted in one turn of the event loop: a burst must not delay responses."""
 
-CLIENT_DESCRIPTOR_FRACTION = 1 / 3
-"""Of all descriptors: what the clients together open for requests at most."""
+EXPECTED_CLIENT_USE_FRACTION = 1 / 3
+"""Of all descriptors: what clients, by their own limit, keep open for requests together.
+
+The sessions that are retained follow from it. How many may be open is `clients` below.
+"""
 
 RETAINED_CLIENT_FRACTION = 5 / 8
 """Of the clients' descriptors: idle sessions beyond it are evicted to leave some for bursts."""
@@ -41,14 +44,14 @@
     """
     available = descriptor_limit - RESERVED_DESCRIPTORS_COUNT
     servers = available // 3
-    clients = (available - servers) * 3 // 4
+    clients = (available - servers) * 3 // 4  # half of all; the rest is for closing connections
     transient = available - servers - clients
     accepts_per_turn = max(1, min(MAX_ACCEPTS_PER_TURN, transient // 4))
     return DescriptorBudget(
         servers=servers,
         clients=clients,
         retained_clients=int(
-            descriptor_limit * CLIENT_DESCRIPTOR_FRACTION * RETAINED_CLIENT_FRACTION
+            descriptor_limit * EXPECTED_CLIENT_USE_FRACTION * RETAINED_CLIENT_FRACTION
         ),
         lingering=transient - 2 * accepts_per_turn,
         accepts_per_turn=accepts_per_turn,
--- a/ironrail/connections/upstream/attempt_canceller.py
+++ b/ironrail/connections/upstream/attempt_canceller.py
@@ -12,7 +12,11 @@
 
 
 class AttemptCanceller:
-    """Gives up attempts: waiting, written in part, or in flight."""
+    """Gives up attempts: waiting, written in part, or in flight.
+
+    `abandon` stops waiting for a reply and leaves the connection to it. `revoke` makes sure that
+    the attempt is not in flight any more. `withdraw` takes back what is unsent, and nothing else.
+    """
 
     def __init__(
         self,
@@ -27,7 +31,11 @@
         self._lifecycle = lifecycle
 
     def abandon(self, now: float, attempt: Attempt, status: AttemptStatus) -> None:
-        """Stop waiting for an attempt; if written, its connection is busy until its reply."""
+        """Stop waiting for an attempt; if written, its connection is busy until its reply.
+
+        The connection is aborted instead if the attempt is not completely written, if its long
+        value is being streamed, or if the attempt timed out and nothing was read since its write.
+        """
         if attempt in self._state.waiting:
             self._state.waiting.remove(attempt)
             status = self._status_of_unserved()
--- a/ironrail/connections/upstream/connection_opener.py
+++ b/ironrail/connections/upstream/connection_opener.py
@@ -9,14 +9,16 @@
 
 import math
 
-BREAK_COOLDOWN_SECONDS = (
-    10.0  # after a break, in which attempts share a connection only if they must
-)
-MIN_FULL_BACKOFF_SECONDS = 0.1  # without opening one while other routers hold the server's capacity
+# After a connection broke, attempts share one only if no other may be opened.
+BREAK_COOLDOWN_SECONDS = 10.0
+# While other routers use all of a server's capacity none is opened for this backoff, which doubles.
+MIN_FULL_BACKOFF_SECONDS = 0.1
 MAX_FULL_BACKOFF_SECONDS = 10.0  # bounded, as connects also fail for other reasons
-CONNECTION_COST_SECONDS = 0.03  # the server's work for a new connection, as time lost in queues
+# The server's work for a new connection. The operator's file has the value in service.
+CONNECTION_COST_SECONDS = 0.03
 LATEST_REPLY_FRACTION = 0.1  # weight of the latest reply in the mean reply time
-QUEUE_DELAY_FRACTION = 0.5  # of a reply time, per attempt ahead: both are worked on at once
+# Expected delay for each attempt ahead, as a fraction of the mean reply time: servers work on both.
+QUEUE_DELAY_FRACTION = 0.5
 
 
 class ConnectionOpener:
--- a/ironrail/connections/upstream/pool_actions.py
+++ b/ironrail/connections/upstream/pool_actions.py
@@ -21,7 +21,7 @@
 
 @dataclass(slots=True)
 class CheckIdle:
-    """Check that nothing has arrived on an idle connection. Emitted before it is used again.
+    """Check that nothing has arrived on a connection without attempts. Emitted before it is used.
 
     The host reports `on_idle_checked` at once, before it carries out any other action.
     """
@@ -55,7 +55,10 @@
 
 @dataclass(slots=True)
 class AbortConnection:
-    """End a connection at once. Emitted when its replies can't be matched or are overdue.
+    """End a connection at once. Emitted when it must not be used any more.
+
+    Its replies can't be matched or are overdue, an attempt on it is revoked, it came up late, or
+    the server was restarted or moved.
 
     The host reports `on_closed`, as at any other end.
     """
--- a/ironrail/connections/upstream/pool_manager.py
+++ b/ironrail/connections/upstream/pool_manager.py
@@ -28,9 +28,9 @@
 from ironrail.connections.upstream.stream_scheduler import StreamScheduler
 from ironrail.policy.events import AttemptStatus
 
-# without a byte of a reply that has begun; the attempts behind it get no reply meanwhile
+# A connection is aborted when a partial reply got no byte for so long: it blocks those behind it.
 PARTIAL_REPLY_TIMEOUT_SECONDS = 1.2
-STREAM_TIMEOUT_SECONDS = 5.0  # the same of a long value, which its client already receives
+STREAM_TIMEOUT_SECONDS = 5.0  # the same for a long value, which blocks only its own client
 
 
 class UpstreamPoolManager:
@@ -149,7 +149,7 @@
     def on_stream_started(
         self, now: float, connection: UpstreamConnection, length: int
     ) -> list[PoolAction]:
-        """Handle the begin of a long value in reply to the oldest attempt."""
+        """Handle the start of a long value in reply to the oldest attempt."""
         self._replies.on_stream_started(now, connection, length)
         return self.actions.take()
 
@@ -201,7 +201,7 @@
         return self.actions.take()
 
     def on_server_restarted(self, now: float, started_at: float) -> list[PoolAction]:
-        """Abort the connections to the process before, which lead nowhere."""
+        """Abort the connections to the previous process of the server, which are dead."""
         for connection in [c for c in self.state.connected if c.opened_at < started_at]:
             self._lifecycle.remove(now, connection)
             self.actions.add(AbortConnection(connection))
--- a/ironrail/connections/upstream/stream_scheduler.py
+++ b/ironrail/connections/upstream/stream_scheduler.py
@@ -13,7 +13,8 @@
 from ironrail.connections.upstream.pool_state import PoolState
 from ironrail.policy.events import AttemptStatus
 
-# of an attempt's time: the lead of a reply elsewhere after which its connection is suspect
+# A connection is suspect once another one has replied to an attempt that was written later, by this
+# fraction of the older attempt's timeout.
 OVERTAKEN_FRACTION = 0.4
 
 
--- a/ironrail/diagnostics/counters.py
+++ b/ironrail/diagnostics/counters.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterator
 from enum import StrEnum
 
-MAX_LOGGED_PER_SECOND = 4  # lines of one event
+MAX_LOGGED_PER_SECOND = 4  # lines of one sampler
 
 
 class ReasonCounter:
@@ -34,7 +34,7 @@
 
 
 class LogSampler:
-    """Limits an event to a few log lines a second, and counts the suppressed ones.
+    """Limits the events that share it to a few log lines a second, and counts the suppressed ones.
 
     Attributes:
         suppressed: Lines that were not logged since the last `take_suppressed`.
--- a/ironrail/diagnostics/hold_up.py
+++ b/ironrail/diagnostics/hold_up.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 
 HEARTBEAT_INTERVAL_SECONDS = 0.02
-# After a hold-up, in which events that take some turns of the event loop are noticed.
+# Events that need some turns of the event loop to be noticed may date from a hold-up for so long.
 SETTLING_SECONDS = 0.02
 TOLERANCE_SECONDS = 0.01  # by which a heartbeat may be late in ordinary operation
 
--- a/ironrail/diagnostics/invariants.py
+++ b/ironrail/diagnostics/invariants.py
@@ -20,9 +20,11 @@
 
 log = logging.getLogger(__name__)
 
-# Maximal hold-up of the process between a decision and the write.
-MAX_HOLD_UP_SECONDS = 0.15
-NEVER_RAN = frozenset(
+# Between a decision and its write the process may be held up for so long without a violation.
+HOLD_UP_TOLERANCE_SECONDS = 0.15
+# Outcomes that prove that an attempt had no effect, so that it may be repeated; a miss changes
+# nothing. Kept apart from the policy's list: these checks don't rely on the policy.
+WITHOUT_EFFECT = frozenset(
     {
         AttemptStatus.BUSY,
         AttemptStatus.CONNECT_FAILED,
@@ -43,7 +45,7 @@
 
     def may_have_run(self) -> bool:
         """Return whether its effect may have happened, or may still happen."""
-        return self.outcome is None or self.outcome not in NEVER_RAN
+        return self.outcome is None or self.outcome not in WITHOUT_EFFECT
 
 
 @dataclass(frozen=True, slots=True)
@@ -126,7 +128,7 @@
 def _broken_by(sending: Sending) -> Iterator[Violation]:
     if not sending.pending:
         yield Violation.SENT_AFTER_END
-    if sending.now > sending.deadline + MAX_HOLD_UP_SECONDS:
+    if sending.now > sending.deadline + HOLD_UP_TOLERANCE_SECONDS:
         yield Violation.SENT_AFTER_DEADLINE
     if not sending.server_ready:
         yield Violation.SENT_TO_DRAINED
@@ -142,7 +144,7 @@
         first = min((attempt.written_at for attempt in ran), default=math.inf)
         if (
             sending.now
-            > min(sending.begin_by, first + sending.idempotency_window) + MAX_HOLD_UP_SECONDS
+            > min(sending.begin_by, first + sending.idempotency_window) + HOLD_UP_TOLERANCE_SECONDS
         ):
             yield Violation.RETRIED_AFTER_WINDOW
     in_flight = any(
--- a/ironrail/diagnostics/reasons.py
+++ b/ironrail/diagnostics/reasons.py
@@ -1,4 +1,8 @@
-"""Reasons why requests, attempts and connections ended, for the metrics and the log."""
+"""Reasons why requests, attempts and connections ended, for the metrics and the log.
+
+The values are parts of metric names, which operators' tools read: they stay as they are, also where
+the member has a clearer name.
+"""
 
 from __future__ import annotations
 
@@ -8,11 +12,14 @@
 
 
 class RejectionReason(StrEnum):
-    """Why a request got no value and no receipt."""
+    """Why a request was rejected or failed, as far as the dispatcher can tell.
+
+    It is derived from the state of the request when it ends, in `net/dispatch/request_summary.py`.
+    """
 
-    NOT_SENT = "not_sent"  # shed, over its limit, or no server was usable
+    NO_ATTEMPT = "not_sent"  # shed, over its tenant's rate, or no server was usable
     DEADLINE_EXCEEDED = "time_up"  # its deadline passed
-    ATTEMPT_FAILED = "attempt_failed"  # an attempt failed, and no retry was allowed
+    ATTEMPT_FAILED = "attempt_failed"  # attempts failed, or the origin had no capacity
     SHUTDOWN = "shutdown"  # the router exits
 
 
--- a/ironrail/net/config.py
+++ b/ironrail/net/config.py
@@ -23,7 +23,7 @@
 
     advice = (
         "correct the file that NODE_CONFIG names and start again;"
-        " a running router keeps the one before"
+        " a running router keeps its present configuration"
     )
 
 
@@ -31,6 +31,10 @@
 class Config:
     """The configuration that the deployment sets.
 
+    The fields of the file, in order: `listen`, `discovery`, `seed`, `limits.sockets`,
+    `limits.memory_mb`, `settings.limits.multiplex`, `known`, `settings`, `operator` (the address of
+    the admin endpoint, not the operator's file), and `peer_listen`, `peers`, `peers_all`.
+
     Attributes:
         listen_address: Where clients connect.
         discovery_address: Where discovery answers.
--- a/ironrail/net/discovery/endpoint_list.py
+++ b/ironrail/net/discovery/endpoint_list.py
@@ -52,7 +52,7 @@
         kind: EndpointListKind | None = None,
         min_delta_version: float = -math.inf,
     ) -> EndpointListMessage:
-        """Parse one message as a whole.
+        """Parse one message, completely or not at all.
 
         A full list may have any version, as a restarted discovery may number anew.
 
--- a/ironrail/net/discovery/timeouts.py
+++ b/ironrail/net/discovery/timeouts.py
@@ -1,15 +1,19 @@
 """Timeouts of calls to discovery: to an agent on this machine, and to a shared service.
 
-They keep two bounds, even if one call is lost: an agent's change is known within 0.85 s,
-a service's change within 6 s.
+They keep two bounds on the staleness of the endpoint list while discovery can be reached, even if
+one call is lost. An agent's change is known within 0.85 s: a lost watch is detected after 0.45 s,
+then the list is requested every 0.2 s, and hedged calls overlap, so that no single timeout has to
+fit into the bound. A service's change is known within 6 s of a failed call, and within 2 s of a
+watch that timed out; until then the policy sends to proven servers only.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-# Two attempts fit into the second in which sends to a draining server must cease.
+# Two connects fit into the second in which sends to a draining server must cease.
 AGENT_CONNECT_TIMEOUT_SECONDS = 0.3
+# Longer than the bound: later calls run beside a slow one, whose response still counts.
 AGENT_FIRST_BYTE_TIMEOUT_SECONDS = 1.2
 # An agent answers at once and calls to it are cheap, so a lost watch is detected early.
 AGENT_WATCH_WAIT_SECONDS = 0.3
--- a/ironrail/net/dispatch/action_executor.py
+++ b/ironrail/net/dispatch/action_executor.py
@@ -6,10 +6,10 @@
 import logging
 from collections.abc import Callable, Mapping
 
-from ironrail.net.dispatch.attempt_sender import AttemptSender
+from ironrail.net.dispatch.attempt_dispatcher import AttemptDispatcher
 from ironrail.net.dispatch.open_attempts import AttemptId, OpenAttempts
 from ironrail.net.dispatch.policy_driver import PolicyDriver, request_id_of
-from ironrail.net.dispatch.request_lifecycle import RequestLifecycle
+from ironrail.net.dispatch.request_termination import RequestTermination
 from ironrail.net.dispatch.response_tracker import ResponseTracker
 from ironrail.net.upstream.connection_pool import ConnectionPool
 from ironrail.policy.actions import (
@@ -36,8 +36,8 @@
         driver: PolicyDriver,
         requests: ResponseTracker,
         attempts: OpenAttempts,
-        lifecycle: RequestLifecycle,
-        sender: AttemptSender,
+        lifecycle: RequestTermination,
+        sender: AttemptDispatcher,
         pools: Mapping[str, ConnectionPool],
         fetch_endpoint_list: Callable[[], None],
     ) -> None:
--- a/ironrail/net/dispatch/attempt_sender.py
+++ b/ironrail/net/dispatch/attempt_dispatcher.py
@@ -8,11 +8,11 @@
 from ironrail.diagnostics.daemon import DaemonDiagnostics
 from ironrail.diagnostics.invariants import Sending
 from ironrail.diagnostics.reasons import retry_reason
+from ironrail.net.dispatch.in_flight_request import InFlightRequest
 from ironrail.net.dispatch.open_attempts import OpenAttempts
-from ironrail.net.dispatch.pending_request import InFlightRequest
 from ironrail.net.dispatch.policy_driver import PolicyDriver
-from ironrail.net.dispatch.request_lifecycle import RequestLifecycle
 from ironrail.net.dispatch.request_summary import written_attempts
+from ironrail.net.dispatch.request_termination import RequestTermination
 from ironrail.net.dispatch.response_tracker import ResponseTracker
 from ironrail.net.dispatch.value_streamer import ValueStreamer
 from ironrail.net.upstream.connection_pool import Attempt, ConnectionPool
@@ -23,7 +23,7 @@
 SAME_TURN_SECONDS = 0.01
 
 
-class AttemptSender:
+class AttemptDispatcher:
     """Starts attempts, checks each before it is written, and takes its outcome."""
 
     def __init__(
@@ -32,7 +32,7 @@
         driver: PolicyDriver,
         requests: ResponseTracker,
         attempts: OpenAttempts,
-        lifecycle: RequestLifecycle,
+        lifecycle: RequestTermination,
         streamer: ValueStreamer,
         pools: Mapping[str, ConnectionPool],
         diagnostics: DaemonDiagnostics,
@@ -65,6 +65,7 @@
         if pool is not None:
             self._hand_to_pool(attempt, pool, action, now)
         else:
+            # removed from the endpoint list after the policy chose it: like a failed connect
             status = AttemptStatus.CONNECT_FAILED
             self._driver.submit(AttemptEnded(attempt.request_id, attempt.number, status))
 
@@ -86,7 +87,7 @@
         """Whether the client of a request still waits for an attempt that would start now."""
         age = now - request.received_at + request.read_delay
         waited = bool(request.attempts) or age > SAME_TURN_SECONDS
-        if self._requests.is_shutting_down:
+        if self._requests.has_expired_all:
             return False
         return not self._lifecycle.end_if_disconnected(request, waited)
 
@@ -106,9 +107,8 @@
         attempt.on_stream_data = self._streamer.forward
         attempt.is_still_wanted = self._is_still_wanted
         attempt.may_write = self._may_write
-        attempt.is_exclusive = (
-            request.command.is_write
-        )  # a write is not exposed to the faults of others
+        # a write is not exposed to the faults of other attempts
+        attempt.is_exclusive = request.command.is_write
         attempt.server = action.server
         return attempt
 
@@ -120,7 +120,7 @@
         return not self._lifecycle.end_if_disconnected(request, True)
 
     def _may_write(self, attempt: Attempt, server_ready: bool) -> bool:
-        """Check the invariants of a request right before an attempt is written."""
+        """Check the invariants before an attempt is written; a violation drops the request."""
         request = self._requests.by_id.get(attempt.request_id)
         guard = self._diagnostics.invariants
         violations_before = guard.violations.total()
--- a/ironrail/net/dispatch/dispatcher.py
+++ b/ironrail/net/dispatch/dispatcher.py
@@ -8,17 +8,17 @@
 from ironrail.connections.downstream.memory_budget import MemoryBudget
 from ironrail.diagnostics.daemon import DaemonDiagnostics
 from ironrail.net.dispatch.action_executor import ActionExecutor
-from ironrail.net.dispatch.admission import AdmissionCheck
-from ironrail.net.dispatch.attempt_sender import AttemptSender
-from ironrail.net.dispatch.open_attempts import OpenAttempts
-from ironrail.net.dispatch.pending_request import (
+from ironrail.net.dispatch.attempt_dispatcher import AttemptDispatcher
+from ironrail.net.dispatch.in_flight_request import (
     InFlightRequest,
     Respond,
     ResponseStream,
     client_timeout,
 )
+from ironrail.net.dispatch.open_attempts import OpenAttempts
 from ironrail.net.dispatch.policy_driver import PolicyDriver
-from ironrail.net.dispatch.request_lifecycle import RequestLifecycle
+from ironrail.net.dispatch.request_termination import RequestTermination
+from ironrail.net.dispatch.request_validation import RequestValidator
 from ironrail.net.dispatch.response_tracker import CompletionObserver, ResponseTracker
 from ironrail.net.dispatch.value_streamer import ValueStreamer
 from ironrail.net.lifecycle.loop_monitor import LoopMonitor
@@ -83,12 +83,12 @@
         requests = self.requests
         attempts = self.attempts
         self.pools = self._pool_registry.by_name
-        self._admission = AdmissionCheck(
+        self._admission = RequestValidator(
             driver.router.settings, requests, attempts, self.diagnostics.invariants
         )
-        self.lifecycle = RequestLifecycle(driver, requests, attempts)
+        self.lifecycle = RequestTermination(driver, requests, attempts)
         self.streamer = ValueStreamer(memory_budget, self._now, requests, attempts, driver.submit)
-        self.sender = AttemptSender(
+        self.sender = AttemptDispatcher(
             self._now,
             driver,
             requests,
--- a/ironrail/net/dispatch/pending_request.py
+++ b/ironrail/net/dispatch/in_flight_request.py
@@ -16,11 +16,11 @@
 MILLISECONDS_PER_SECOND = 1000
 
 
-class ClientReader(Protocol):
+class ClientRegion(Protocol):
     """The network region that a client reads from, where regions are measured separately."""
 
-    def time_left(self, left: float) -> float:
-        """Return how many of the `left` seconds remain once the way to the client is deducted."""
+    def time_left(self, seconds: float) -> float:
+        """Return how many of the client's `seconds` remain without the way to the client."""
 
     def ended(self, request_class: str, seconds: float, ended: RequestOutcome) -> None:
         """Record a request that ended `seconds` after it was received."""
@@ -30,14 +30,14 @@
     """The client's end of a long value, which is forwarded as it arrives."""
 
     @property
-    def reader(self) -> ClientReader | None:
+    def reader(self) -> ClientRegion | None:
         """Region of the client, where regions are measured separately."""
 
     @property
     def arrived_at(self) -> float | None:
         """Earliest time at which the request may have arrived; None for now."""
 
-    def left(self, waited: bool) -> bool:
+    def has_disconnected(self, waited: bool) -> bool:
         """Whether the client has disconnected, even if the event loop has not reported it yet.
 
         Args:
@@ -45,16 +45,16 @@
                 be in the socket unread.
         """
 
-    def begin(self, head: bytes, hold: Callable[[bool], None]) -> None:
+    def start(self, head: bytes, hold: Callable[[bool], None]) -> None:
         """Write the head; `hold` is called with True when the client is slow, then with False."""
 
-    def more(self, data: bytes) -> None:
+    def write(self, data: bytes) -> None:
         """Write a part of the value."""
 
     def finish(self) -> None:
         """End a value that is complete."""
 
-    def cut(self) -> None:
+    def abort(self) -> None:
         """Abort a value that will never be complete, so that the client notices."""
 
 
@@ -73,7 +73,7 @@
     streaming_since: float = 0.0
     received_at: float = 0.0
     value_bytes: int = 0  # of the value that the client receives
-    reader: ClientReader | None = None
+    reader: ClientRegion | None = None
     read_delay: float = 0.0  # seconds for which its last byte may have waited unread
 
     def report_end(self, now: float, outcome: RequestOutcome) -> None:
--- a/ironrail/net/dispatch/open_attempts.py
+++ b/ironrail/net/dispatch/open_attempts.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterator
 from typing import NamedTuple
 
-from ironrail.net.dispatch.pending_request import InFlightRequest
+from ironrail.net.dispatch.in_flight_request import InFlightRequest
 from ironrail.net.upstream.connection import Attempt
 from ironrail.net.upstream.connection_pool import ConnectionPool
 from ironrail.policy.events import AttemptStatus
--- a/ironrail/net/dispatch/policy_driver.py
+++ b/ironrail/net/dispatch/policy_driver.py
@@ -26,8 +26,10 @@
 
 log = logging.getLogger(__name__)
 
-HEARTBEAT_INTERVAL_SECONDS = 0.25
-STALL_THRESHOLD_SECONDS = 0.75  # without a heartbeat: the process was stopped or starved
+# Finds processes that were stopped for long, after which the policy's view is stale. Short hold-ups
+# are found by `diagnostics/hold_up.py`.
+STALL_CHECK_INTERVAL_SECONDS = 0.25
+STALL_THRESHOLD_SECONDS = 0.75  # without a check: the process was stopped or starved
 CATCH_UP_SECONDS = 0.3  # after a stall, at most, until the endpoint list has been fetched again
 
 RequestEvent = (
@@ -70,7 +72,7 @@
     def start(self, handler: ActionHandler) -> None:
         """Start the heartbeat; from now on events may be submitted."""
         self._handler = handler
-        self._loop.call_later(HEARTBEAT_INTERVAL_SECONDS, self._beat)
+        self._loop.call_later(STALL_CHECK_INTERVAL_SECONDS, self._beat)
 
     def submit(self, event: Event) -> None:
         """Queue an event, and hand over the queue unless that is under way already."""
@@ -147,7 +149,7 @@
     def _beat(self) -> None:
         self.check_stall()
         self._heartbeat_at = self._now()
-        self._loop.call_later(HEARTBEAT_INTERVAL_SECONDS, self._beat)
+        self._loop.call_later(STALL_CHECK_INTERVAL_SECONDS, self._beat)
 
     def _end_catch_up(self) -> None:
         self.is_catching_up = False
--- a/ironrail/net/dispatch/request_summary.py
+++ b/ironrail/net/dispatch/request_summary.py
@@ -5,7 +5,7 @@
 from ironrail.diagnostics.daemon import AttemptSummary, RequestSummary
 from ironrail.diagnostics.invariants import EarlierAttempt
 from ironrail.diagnostics.reasons import RejectionReason
-from ironrail.net.dispatch.pending_request import InFlightRequest, client_timeout
+from ironrail.net.dispatch.in_flight_request import InFlightRequest, client_timeout
 
 
 def written_attempts(request: InFlightRequest, count: int) -> list[EarlierAttempt]:
@@ -17,15 +17,17 @@
     ]
 
 
-def refusal_reason(request: InFlightRequest, now: float, is_shutting_down: bool) -> RejectionReason:
-    """Return why a request was not served."""
-    if is_shutting_down:
+def rejection_reason(
+    request: InFlightRequest, now: float, has_expired_all: bool
+) -> RejectionReason:
+    """Return why a request was rejected or failed, from its state at its end."""
+    if has_expired_all:
         return RejectionReason.SHUTDOWN
     if now >= request.deadline:
         return RejectionReason.DEADLINE_EXCEEDED
     if request.attempts:
         return RejectionReason.ATTEMPT_FAILED
-    return RejectionReason.NOT_SENT
+    return RejectionReason.NO_ATTEMPT
 
 
 def summarize(request: InFlightRequest, now: float) -> RequestSummary:
--- a/ironrail/net/dispatch/request_lifecycle.py
+++ b/ironrail/net/dispatch/request_termination.py
@@ -4,8 +4,8 @@
 
 import logging
 
+from ironrail.net.dispatch.in_flight_request import InFlightRequest
 from ironrail.net.dispatch.open_attempts import OpenAttempts, id_of
-from ironrail.net.dispatch.pending_request import InFlightRequest
 from ironrail.net.dispatch.policy_driver import PolicyDriver
 from ironrail.net.dispatch.response_tracker import ResponseTracker
 from ironrail.policy.events import AttemptStatus, ClientDisconnected, DeadlineReached
@@ -13,7 +13,7 @@
 log = logging.getLogger(__name__)
 
 
-class RequestLifecycle:
+class RequestTermination:
     """Ends requests at their deadline, when their client disconnects, and at shutdown."""
 
     def __init__(
@@ -33,7 +33,7 @@
 
     def expire_all(self) -> None:
         """Respond to all requests in flight now; from now on nothing is sent."""
-        self._requests.is_shutting_down = True
+        self._requests.has_expired_all = True
         for request in list(self._requests.by_id.values()):
             if request.request_id in self._requests.by_id:  # another's end may have ended it
                 self._expire(request)
@@ -59,9 +59,9 @@
             request: The request.
             waited: Time has passed since the request was read.
         """
-        if request.stream is None or not request.stream.left(waited):
+        if request.stream is None or not request.stream.has_disconnected(waited):
             return False
-        request.stream.cut()
+        request.stream.abort()
         self.on_client_disconnected(request.request_id)
         return True
 
--- a/ironrail/net/dispatch/admission.py
+++ b/ironrail/net/dispatch/request_validation.py
@@ -12,7 +12,7 @@
 from ironrail.policy.settings import Settings
 
 
-class AdmissionError(Enum):
+class RequestError(Enum):
     """Why a request is not accepted; the value is the response."""
 
     UNKNOWN_CLASS = b"CLIENT_ERROR unknown class\r\n"
@@ -22,7 +22,7 @@
     INVARIANT_VIOLATED = meta_codec.write_busy(None)
 
 
-class AdmissionCheck:
+class RequestValidator:
     """Checks requests against the settings and against those in flight."""
 
     def __init__(
@@ -39,23 +39,21 @@
 
     def check(
         self, command: Command, request_id: str, timeout: float, now: float
-    ) -> AdmissionError | None:
+    ) -> RequestError | None:
         """Return why a request whose client waits `timeout` seconds is not accepted, or None."""
         settings = self._settings
         request_class = settings.classes.get(command.fields["c"])
         if request_class is None:
-            return AdmissionError.UNKNOWN_CLASS
+            return RequestError.UNKNOWN_CLASS
         if settings.names_tenants and "t" not in command.fields:
-            return AdmissionError.MISSING_TENANT
+            return RequestError.MISSING_TENANT
         # bounds the memory and the timers of a request by what a client may wait
         if timeout > request_class.client_timeout:
-            return AdmissionError.CLIENT_TIMEOUT_TOO_LONG
+            return RequestError.CLIENT_TIMEOUT_TOO_LONG
         # responses and attempts are matched by id, also those of an earlier request
         is_in_flight = request_id in self._requests.by_id
         if is_in_flight or self._attempts.has_request(request_id, settings.max_attempts):
-            return AdmissionError.ID_IN_USE
-        if not self._guard.may_start(
-            now, request_id, is_in_flight, self._requests.is_shutting_down
-        ):
-            return AdmissionError.INVARIANT_VIOLATED
+            return RequestError.ID_IN_USE
+        if not self._guard.may_start(now, request_id, is_in_flight, self._requests.has_expired_all):
+            return RequestError.INVARIANT_VIOLATED
         return None
--- a/ironrail/net/dispatch/response_tracker.py
+++ b/ironrail/net/dispatch/response_tracker.py
@@ -7,9 +7,9 @@
 from ironrail.access_log.record import RequestOutcome
 from ironrail.admin.metrics import RequestMetrics
 from ironrail.diagnostics.daemon import DaemonDiagnostics
+from ironrail.net.dispatch.in_flight_request import InFlightRequest
 from ironrail.net.dispatch.open_attempts import OpenAttempts
-from ironrail.net.dispatch.pending_request import InFlightRequest
-from ironrail.net.dispatch.request_summary import refusal_reason, summarize, written_attempts
+from ironrail.net.dispatch.request_summary import rejection_reason, summarize, written_attempts
 from ironrail.net.protocol import meta_codec
 from ironrail.net.protocol.meta_codec import Command
 from ironrail.policy.settings import Settings
@@ -33,7 +33,8 @@
     ) -> None:
         self.by_id: dict[str, InFlightRequest] = {}
         self.figures = RequestMetrics(settings.classes)
-        self.is_shutting_down = False
+        # set at the response deadline of a shutdown, long after SIGTERM: nothing is sent any more
+        self.has_expired_all = False
         self._classes = settings.classes
         self._now = now
         self._attempts = attempts
@@ -88,7 +89,7 @@
         """Count a request and stop tracking it; the caller writes the rest of its response."""
         self._counts[outcome][request.command.fields["c"]] += 1
         if outcome is not RequestOutcome.SERVED:
-            reason = refusal_reason(request, self._now(), self.is_shutting_down)
+            reason = rejection_reason(request, self._now(), self.has_expired_all)
             self._diagnostics.rejections.add(reason)
         if self._now() > request.deadline + LATE_RESPONSE_SECONDS:
             self._diagnostics.answered_late(self._now(), summarize(request, self._now()))
--- a/ironrail/net/dispatch/value_streamer.py
+++ b/ironrail/net/dispatch/value_streamer.py
@@ -6,8 +6,8 @@
 
 from ironrail.access_log.record import RequestOutcome
 from ironrail.connections.downstream.memory_budget import MemoryBudget
+from ironrail.net.dispatch.in_flight_request import InFlightRequest, ResponseStream
 from ironrail.net.dispatch.open_attempts import OpenAttempts, id_of
-from ironrail.net.dispatch.pending_request import InFlightRequest, ResponseStream
 from ironrail.net.dispatch.response_tracker import ResponseTracker
 from ironrail.net.protocol import meta_codec
 from ironrail.net.upstream.connection import Attempt, Connection
@@ -55,7 +55,7 @@
         if attempt.timer is not None:
             attempt.timer.cancel()
         self._attempts.withdraw_unsent(request)
-        stream.begin(
+        stream.start(
             meta_codec.write_value_header(request.command.request_id, length), connection.set_paused
         )
         self._submit(StreamingStarted(attempt.request_id, attempt.number))
@@ -66,7 +66,7 @@
         if request is None or request.stream is None:
             return
         if request.streamed_attempt is attempt:
-            request.stream.more(data)
+            request.stream.write(data)
 
     def end(self, request: InFlightRequest, is_complete: bool) -> None:
         """Complete a request whose value has been forwarded, or can't be forwarded to its end."""
@@ -76,7 +76,7 @@
             request.stream.finish()
         else:
             self._requests.complete(request, RequestOutcome.FAILED)
-            request.stream.cut()
+            request.stream.abort()
 
     def release(self, attempt: Attempt) -> None:
         """Return the memory of an attempt that has ended."""
--- a/ironrail/net/downstream/client_connection.py
+++ b/ironrail/net/downstream/client_connection.py
@@ -9,7 +9,7 @@
 from ironrail.connections.downstream.session_manager import NextAction
 from ironrail.connections.downstream.session_timeouts import TimeoutAction, timeout_action
 from ironrail.diagnostics.reasons import ClientCloseReason
-from ironrail.net.dispatch.pending_request import ClientReader
+from ironrail.net.dispatch.in_flight_request import ClientRegion
 from ironrail.net.downstream.command_pipeline import CommandPipeline
 from ironrail.net.downstream.half_closed import HalfClosedConnection
 from ironrail.net.downstream.session_context import SessionContext
@@ -20,7 +20,7 @@
 
     transport: asyncio.Transport
     session: ClientSession
-    reader: ClientReader | None
+    reader: ClientRegion | None
 
     def __init__(self, context: SessionContext[ClientConnection]) -> None:
         """Wait for `connection_made`; `context` is what all connections share."""
--- a/ironrail/net/downstream/client_listener.py
+++ b/ironrail/net/downstream/client_listener.py
@@ -104,7 +104,7 @@
     # Graceful shutdown
 
     def start_draining(self) -> None:
-        """Close each connection behind its next response, when its client has least to send."""
+        """Close a connection from now on once its responses are written and no input is unread."""
         self.sessions.is_draining = True
 
     def close_idle(self, close_partial: bool) -> None:
--- a/ironrail/net/downstream/response_slots.py
+++ b/ironrail/net/downstream/response_slots.py
@@ -7,7 +7,7 @@
 from typing import Protocol
 
 from ironrail.connections.downstream.client_session import ClientSession
-from ironrail.net.dispatch.pending_request import ClientReader
+from ironrail.net.dispatch.in_flight_request import ClientRegion
 from ironrail.net.protocol import meta_codec
 
 MAX_BUFFERED_BYTES = 64 * 1024
@@ -19,7 +19,7 @@
 
     transport: asyncio.Transport
     session: ClientSession
-    reader: ClientReader | None
+    reader: ClientRegion | None
     arrived_at: float | None
 
     def has_left(self, waited: bool) -> bool:
@@ -67,7 +67,7 @@
         self._buffered_bytes = 0
 
     @property
-    def reader(self) -> ClientReader | None:
+    def reader(self) -> ClientRegion | None:
         """The client, if the router distinguishes regions of clients."""
         return self._connection.reader
 
@@ -76,7 +76,7 @@
         """When the command may have arrived at the earliest; None if that was not just now."""
         return self._connection.arrived_at
 
-    def left(self, waited: bool) -> bool:
+    def has_disconnected(self, waited: bool) -> bool:
         """Whether the client has gone; `waited`: time has passed since its command was read."""
         return self._connection.has_left(waited)
 
@@ -87,12 +87,12 @@
 
     # A long value in chunks
 
-    def begin(self, head: bytes, hold: Callable[[bool], None]) -> None:
+    def start(self, head: bytes, hold: Callable[[bool], None]) -> None:
         """Take the header of a long value; `hold` pauses or resumes the server."""
         self._pause_server = hold
-        self.more(head)
+        self.write(head)
 
-    def more(self, data: bytes) -> None:
+    def write(self, data: bytes) -> None:
         """Write a chunk, or buffer it behind earlier responses."""
         if self._queue.is_next(self):
             self._connection.transport.write(data)
@@ -108,7 +108,7 @@
         self._pause_server = None
         self.complete(meta_codec.LINE_END)
 
-    def cut(self) -> None:
+    def abort(self) -> None:
         """Abort the connection, as the client would take a partial value for a complete one."""
         self._pause_server = None
         self._connection.transport.abort()
--- a/ironrail/net/downstream/session_context.py
+++ b/ironrail/net/downstream/session_context.py
@@ -11,7 +11,7 @@
 from ironrail.connections.downstream.session_manager import ClientSessionManager
 from ironrail.diagnostics.reasons import ClientCloseReason
 from ironrail.net.dispatch.dispatcher import RequestDispatcher
-from ironrail.net.dispatch.pending_request import ClientReader
+from ironrail.net.dispatch.in_flight_request import ClientRegion
 from ironrail.net.system import System
 
 
@@ -74,7 +74,7 @@
         self.system = system
         self.lingering = LingeringCloseRegistry[LingeringConnection](max_lingering)
         self.connections: dict[ClientSession, Connection] = {}
-        self.identify_reader: Callable[[asyncio.Transport], ClientReader] | None = None
+        self.identify_reader: Callable[[asyncio.Transport], ClientRegion] | None = None
         """Identifies a client where the router distinguishes regions of clients."""
         self.rejects_all = False
         """Whether all new requests are rejected, as the time for the shutdown is over."""
@@ -86,7 +86,7 @@
         """Whether clients may send requests."""
         return self._is_ready() and not self.sessions.is_draining
 
-    def reader_for(self, transport: asyncio.Transport) -> ClientReader | None:
+    def reader_for(self, transport: asyncio.Transport) -> ClientRegion | None:
         """Identify the client if the router distinguishes regions of clients."""
         if self.identify_reader is None:
             return None
--- a/ironrail/net/lifecycle/graceful_shutdown.py
+++ b/ironrail/net/lifecycle/graceful_shutdown.py
@@ -13,7 +13,8 @@
 if TYPE_CHECKING:
     from ironrail.net.downstream.client_listener import ClientListener
 
-# SIGKILL follows SIGTERM by the longest client timeout, at most this, plus the grace below.
+# SIGKILL follows SIGTERM by min(longest client timeout, MAX_CLIENT_TIMEOUT_SECONDS) +
+# KILL_GRACE_SECONDS, as the protocol has it.
 MAX_CLIENT_TIMEOUT_SECONDS = 3.0
 KILL_GRACE_SECONDS = 0.7
 # The signal may be noticed late, and answers take time on the wire.
@@ -24,7 +25,8 @@
 ACCEPT_SECONDS = 0.45
 # After the listener is closed, how long an idle connection may still be used.
 MAX_IDLE_SECONDS = 0.55
-# How long a command may take to arrive, if no other process serves the address.
+# How long a command may take to arrive, if no other process serves the address: waiting for slow
+# ones keeps the process from being restarted.
 MAX_PARTIAL_COMMAND_SECONDS = 1.5
 POLL_INTERVAL_SECONDS = 0.1
 MIN_POLL_INTERVAL_SECONDS = 0.01  # once all pending requests are being answered
@@ -34,7 +36,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ShutdownSchedule:
-    """The phases of a shutdown, in seconds after SIGTERM; none is before the one above it."""
+    """The phases of a shutdown, in seconds after SIGTERM, in ascending order."""
 
     accept_until: float  # new connections are accepted
     idle_close_at: float  # idle connections are closed
@@ -66,7 +68,8 @@
 class GracefulShutdown:
     """One shutdown: accepts late clients, answers all pending requests, closes all connections.
 
-    A command that is closed unread has never run, so its client may send it to another router.
+    A command that is unread when its connection closes has never run, so its client may send it to
+    another router.
     """
 
     clients: ClientListener
--- a/ironrail/net/upstream/cache_connection.py
+++ b/ironrail/net/upstream/cache_connection.py
@@ -67,7 +67,7 @@
     def _check_id(self, request_id: bytes | None, position: int) -> None:
         """Check that a reply is for the attempt at a position among those in flight."""
         if len(self.in_flight) <= position:
-            raise meta_codec.FramingError("a reply to nothing")
+            raise meta_codec.FramingError("a reply without a request")
         if request_id is not None and request_id != self.in_flight[position].command.request_id:
             raise meta_codec.FramingError("a reply to another request")
 
--- a/ironrail/net/upstream/connection.py
+++ b/ironrail/net/upstream/connection.py
@@ -35,7 +35,7 @@
         """Handle one read: complete replies, then a part of another or a fault."""
 
     def on_stream_started(self, connection: UpstreamConnection, length: int) -> None:
-        """Handle the begin of a long value, of `length` bytes, in reply to the oldest attempt."""
+        """Handle the start of a long value, of `length` bytes, in reply to the oldest attempt."""
 
     def on_stream_data(self, connection: UpstreamConnection, data: bytes) -> None:
         """Forward a part of a long value."""
@@ -54,7 +54,7 @@
     """Collects evidence of the network link to a server's zone."""
 
     def connected(self, seconds: float) -> None:
-        """Record that a connect was answered, be it by a refusal."""
+        """Record that a connect was answered, also by a refusal."""
 
     def unconnected(self) -> None:
         """Record that a connect timed out."""
@@ -117,8 +117,8 @@
         """Set up a new transport."""
         self.transport = cast(asyncio.Transport, transport)  # uvloop's is no subclass
         self._has_unread_bytes = self.pool.system.unread_check(self.transport)
-        # with a high-water mark of 0 writing is paused until the kernel has the last byte: so long
-        # the latest attempt has not run
+        # with a high-water mark of 0 writing is paused until the kernel has the last byte; until
+        # then the latest attempt can't have run
         self.transport.set_write_buffer_limits(high=0)
 
     def pause_writing(self) -> None:
--- a/ironrail/net/upstream/connection_pool.py
+++ b/ironrail/net/upstream/connection_pool.py
@@ -129,7 +129,7 @@
         self._submit(self.manager.on_read, connection, replies, is_partial, fault)
 
     def on_stream_started(self, connection: UpstreamConnection, length: int) -> None:
-        """Handle the begin of a long value, of `length` bytes, in reply to the oldest attempt."""
+        """Handle the start of a long value, of `length` bytes, in reply to the oldest attempt."""
         self._submit(self.manager.on_stream_started, connection, length)
 
     def on_stream_data(self, connection: UpstreamConnection, data: bytes) -> None:
--- a/ironrail/net/upstream/fault_log.py
+++ b/ironrail/net/upstream/fault_log.py
@@ -29,5 +29,5 @@
             return
         self._quiet_until = now + WARNING_INTERVAL_SECONDS
         fields = {"server": self._server, "fault": describe(fault), "suppressed": self._suppressed}
-        log.warning("server_connection_closed", extra=fields)
+        log.warning("server_connection_aborted", extra=fields)
         self._suppressed = 0
--- a/ironrail/policy/candidate_selection.py
+++ b/ironrail/policy/candidate_selection.py
@@ -150,7 +150,7 @@
             return Verdict.INELIGIBLE
         is_cut = self.zone_latency.has_links and self.zone_latency.is_cut(server)
         if not self._is_eligible(now, search.pending, server):
-            # a server beyond a cut link is not busy, so its keys may go on
+            # a server behind a cut link does not count as visited, so the search goes on
             is_visit = not is_cut and self.concurrency_limiter.is_full(now, server)
             return Verdict.AT_CONCURRENCY_LIMIT if is_visit else Verdict.INELIGIBLE
         if is_cut or now < server.ejected_until:
--- a/ironrail/policy/concurrency_limit.py
+++ b/ironrail/policy/concurrency_limit.py
@@ -19,8 +19,9 @@
 )
 from ironrail.policy.timers import OriginPauseEnded
 
-NUM_ROUTERS_PER_ORIGIN = 32  # routers with a fetch each that the origin can serve
-# for each success before the first decrease: a restart under load must not take seconds
+NUM_ROUTERS_PER_ORIGIN = 32  # that the origin serves with one fetch in flight each
+# Increase for each success before the first decrease, so that the limit of a new router fits the
+# load within seconds.
 INITIAL_GROWTH_COUNT = 1.0
 MIN_ORIGIN_LIMIT = 1 / 4  # keeps attempts frequent enough to find the origin recovered
 MULTIPLICATIVE_DECREASE_FACTOR = 0.75
@@ -32,7 +33,8 @@
     """Limits the attempts in flight at each server, and tracks abandoned ones."""
 
     def __init__(self, settings: Settings) -> None:
-        # with many routers each has one or two attempts at a server, too few to learn from
+        # in a subset of the usual size each router has one or two attempts at a server, too few to
+        # learn from
         self.servers_are_shared = settings.router_count >= NUM_ROUTERS_PER_SUBSET
         # minimum and growth step at the origin, which all routers share
         self._origin_share = max(
@@ -47,7 +49,7 @@
         return server.in_flight + len(server.abandoned) >= server.concurrency_limit
 
     def track_abandoned(self, now: float, attempt: Attempt, status: AttemptStatus) -> None:
-        """Count an attempt that was given up until the server is done with it, as it works on it.
+        """Count an abandoned attempt against the limit until its server has finished it.
 
         Servers take requests in turn, so an answer shows that all sent before it are done. A
         rejection shows nothing, as it overtakes queued requests.
--- a/ironrail/policy/events.py
+++ b/ironrail/policy/events.py
@@ -22,6 +22,7 @@
     ERROR = "error"  # the server answered with an error, or with what can't be read
     BUSY = "busy"  # the server rejected it
     TIMEOUT = "timeout"
+    # not delivered for whatever reason: no connection, server draining, or not completely written
     CONNECT_FAILED = "connect_failed"
     RESET = "reset"  # the connection was closed before the answer was complete
     CANCELLED = "cancelled"
--- a/ironrail/policy/hash_ring.py
+++ b/ironrail/policy/hash_ring.py
@@ -72,7 +72,7 @@
         if settings.connections_are_costly:
             self._max_subsets = math.ceil(settings.router_count / NUM_ROUTERS_PER_SUBSET)
         self.subset_count = 0  # 0 until the first endpoint list
-        self._largest_subset_count = 0  # that the warm servers sufficed for so far
+        self._largest_subset_count = 0  # the most for which there were enough warm servers
         self.hash = lru_cache(MAX_CACHED_HASHES)(ring_hash)
         self.recent_keys: deque[str] = deque(maxlen=NUM_RECENT_KEYS)
 
--- a/ironrail/policy/hedging.py
+++ b/ironrail/policy/hedging.py
@@ -30,7 +30,7 @@
 def can_be_overdue(pending: PendingRequest, server: Server) -> bool:
     """Return whether an attempt gets a hedge timer.
 
-    None does that must not run twice, and none at the origin, which is slow by nature.
+    Attempts of requests that are not idempotent and attempts at the origin get none.
     """
     return server.is_cache and pending.request_class.idempotency is not Idempotency.UNSAFE
 
--- a/ironrail/policy/outlier_detection.py
+++ b/ironrail/policy/outlier_detection.py
@@ -1,4 +1,8 @@
-"""Outlier detection: servers that fail are ejected for a time, and probed after it."""
+"""Outlier detection: servers that fail are ejected for a time, which grows with each failure.
+
+No probes are sent. `candidate_selection` passes over an ejected server while it has another one;
+after `Server.ejected_until` the next request of one of its keys goes to it as to any other.
+"""
 
 from __future__ import annotations
 
@@ -19,8 +23,9 @@
 class OutlierDetection:
     """Ejects servers that do not answer or cannot be connected to.
 
-    A server is probed by the next request of one of its keys after `Server.ejected_until`. Each
-    loss in a row doubles the ejection, up to the slow start duration.
+    Each loss in a row doubles the ejection of a cache, up to the slow start duration; an answer
+    ends the row. A restarted server is a new `Server`, which is not ejected. An origin is ejected
+    for the first duration only, which is counted in the metrics; it is sent to all the same.
     """
 
     def __init__(
@@ -37,7 +42,7 @@
         self._connections = connections
         shortest_objective = min(c.latency_objective for c in settings.classes.values())
         self._first_ejection = shortest_objective * FIRST_EJECTION_RATIO
-        # a warming server is probed no sooner than the window that its budget is counted in
+        # a warming server returns no sooner than the window that its budget is counted in
         self._first_ejection_warming = settings.overload_window
         self._max_ejection = settings.slow_start_duration
 
@@ -60,8 +65,9 @@
     def _on_loss(self, now: float, attempt: Attempt, status: AttemptStatus) -> bool:
         """Eject the server of an attempt without an answer; return whether the attempt was lost.
 
-        Silence is a loss unless the fleet is congested. It always is at a warming server, where
-        what is not answered still weighs.
+        An unanswered attempt counts as lost unless the fleet is congested. At a warming server it
+        always counts, because the server still works on it. A reset is a loss for the connection
+        statistics, but does not eject the server.
         """
         server = attempt.server
         is_warming = self._slow_start.capacity_fraction(now, server) < 1.0
--- a/ironrail/policy/retry_budget.py
+++ b/ironrail/policy/retry_budget.py
@@ -39,14 +39,14 @@
 
     def on_miss(self, pending: PendingRequest) -> None:
         """Grant the request a free attempt to fetch what the cache lacks."""
-        pending.retry_tokens += 1
+        pending.free_attempts += 1
 
     def allows_attempt(self, now: float, pending: PendingRequest) -> bool:
         """Return whether the request may have another attempt, free or charged."""
         window_start = now - self.settings.window
         _discard_until(window_start, self._request_times)
         _discard_until(window_start, self._charge_times)
-        if pending.retry_tokens > 0:
+        if pending.free_attempts > 0:
             return True
         allowed = self.settings.reserve + self.settings.ratio * len(self._request_times)
         allowed *= self._policy_overrides.retry_ratio(pending.request_class.name)
@@ -54,8 +54,8 @@
 
     def on_attempt_sent(self, now: float, pending: PendingRequest) -> None:
         """Take a token of the request or, if it has none left, charge the budget."""
-        if pending.retry_tokens > 0:
-            pending.retry_tokens -= 1
+        if pending.free_attempts > 0:
+            pending.free_attempts -= 1
         else:
             self._charge_times.append(now)
 
--- a/ironrail/policy/state.py
+++ b/ironrail/policy/state.py
@@ -121,7 +121,9 @@
     needs_origin: bool  # no cache is asked (any more); RetryPolicy sets it after a failure
     hot_key_offset: int = 0  # servers of a popular key to skip on the ring, to spread its load
     attempts: list[Attempt] = field(default_factory=list)  # appended by AttemptSender
-    retry_tokens: int = 1  # attempts that need no retry budget; RetryBudget owns it
+    free_attempts: int = (
+        1  # attempts, the first included, that need no retry budget; RetryBudget owns it
+    )
     is_queued: bool = False  # waits for an origin, or for any server; OriginQueue owns it
     is_streaming: bool = False  # its client is being sent an answer
 
--- a/ironrail/policy/zone_latency.py
+++ b/ironrail/policy/zone_latency.py
@@ -53,7 +53,7 @@
         return 0.0 if self.is_suspected(server) else self.round_trip(server)
 
     def is_too_far(self, server: Server, time_left: float) -> bool:
-        """Return whether an answer would be back in time but for the round trip."""
+        """Return whether only the round trip makes an answer too late."""
         service_time = server.service_time
         return service_time <= time_left < service_time + self.round_trip(server)
 
--- a/tests/diagnostics/test_invariants.py
+++ b/tests/diagnostics/test_invariants.py
@@ -9,7 +9,7 @@
 from ironrail.connections.upstream.connection import Attempt
 from ironrail.connections.upstream.pool_actions import PoolAction
 from ironrail.connections.upstream.pool_manager import UpstreamPoolManager
-from ironrail.diagnostics.invariants import MAX_HOLD_UP_SECONDS, EarlierAttempt, InvariantGuard, Sending
+from ironrail.diagnostics.invariants import HOLD_UP_TOLERANCE_SECONDS, EarlierAttempt, InvariantGuard, Sending
 from ironrail.diagnostics.reasons import Violation
 from ironrail.policy.events import AttemptStatus
 from ironrail.policy.retry_policy import RetryPolicy
@@ -50,7 +50,7 @@
     [
         ({"pending": False}, Violation.SENT_AFTER_END),
         ({"server_ready": False}, Violation.SENT_TO_DRAINED),
-        ({"deadline": 100.0 - MAX_HOLD_UP_SECONDS - 0.01}, Violation.SENT_AFTER_DEADLINE),
+        ({"deadline": 100.0 - HOLD_UP_TOLERANCE_SECONDS - 0.01}, Violation.SENT_AFTER_DEADLINE),
         ({"idempotency": Idempotency.UNSAFE, "earlier_attempts": [LOST]}, Violation.RETRIED_UNSAFE),
         ({"idempotency": Idempotency.UNSAFE, "earlier_attempts": [OUT]}, Violation.RETRIED_UNSAFE),
         (
--- a/tests/mutants/another_value.py
+++ b/tests/mutants/another_value.py
@@ -4,7 +4,7 @@
 
 import itertools
 
-from ironrail.net.dispatch.attempt_sender import AttemptSender
+from ironrail.net.dispatch.attempt_dispatcher import AttemptDispatcher
 from ironrail.net.upstream.connection_pool import Attempt
 from ironrail.policy.events import AttemptStatus
 
@@ -13,14 +13,14 @@
 
 
 def break_it() -> None:
-    on_outcome = AttemptSender._on_outcome
+    on_outcome = AttemptDispatcher._on_outcome
     last = [b""]
 
-    def mixed_up(self: AttemptSender, attempt: Attempt, status: AttemptStatus, body: bytes) -> None:
+    def mixed_up(self: AttemptDispatcher, attempt: Attempt, status: AttemptStatus, body: bytes) -> None:
         other, last[0] = last[0], body or last[0]
         mixed = (
             status is AttemptStatus.OK and not attempt.command.is_write and other and next(count) % 40 == 0
         )
         on_outcome(self, attempt, status, other if mixed else body)
 
-    AttemptSender._on_outcome = mixed_up  # type: ignore[method-assign]
+    AttemptDispatcher._on_outcome = mixed_up  # type: ignore[method-assign]
--- a/tests/mutants/answers_late.py
+++ b/tests/mutants/answers_late.py
@@ -6,7 +6,7 @@
 import itertools
 
 from ironrail.net.dispatch.dispatcher import RequestDispatcher
-from ironrail.net.dispatch.pending_request import Respond, ResponseStream
+from ironrail.net.dispatch.in_flight_request import Respond, ResponseStream
 from ironrail.net.protocol.meta_codec import Command
 
 RULE = "rule one-answer"
--- a/tests/mutants/drops_answer.py
+++ b/tests/mutants/drops_answer.py
@@ -5,7 +5,7 @@
 import itertools
 
 from ironrail.access_log.record import RequestOutcome
-from ironrail.net.dispatch.pending_request import InFlightRequest
+from ironrail.net.dispatch.in_flight_request import InFlightRequest
 from ironrail.net.dispatch.response_tracker import ResponseTracker
 
 RULE = "rule one-answer"
--- a/tests/mutants/hands_on_second.py
+++ b/tests/mutants/hands_on_second.py
@@ -11,6 +11,6 @@
 def break_it() -> None:
     def trusting(self: CacheConnection, request_id: bytes | None, position: int) -> None:
         if len(self.in_flight) <= position:
-            raise FramingError("a reply to nothing")
+            raise FramingError("a reply without a request")
 
     CacheConnection._check_id = trusting  # type: ignore[method-assign]
--- a/tests/mutants/leaks_descriptors.py
+++ b/tests/mutants/leaks_descriptors.py
@@ -5,7 +5,7 @@
 import os
 
 from ironrail.net.dispatch.dispatcher import RequestDispatcher
-from ironrail.net.dispatch.pending_request import Respond, ResponseStream
+from ironrail.net.dispatch.in_flight_request import Respond, ResponseStream
 from ironrail.net.protocol.meta_codec import Command
 
 RULE = "descriptors of a router"
--- a/tests/mutants/sends_after_answer.py
+++ b/tests/mutants/sends_after_answer.py
@@ -8,7 +8,7 @@
 
 from ironrail.access_log.record import RequestOutcome
 from ironrail.net.dispatch.dispatcher import RequestDispatcher
-from ironrail.net.dispatch.pending_request import InFlightRequest
+from ironrail.net.dispatch.in_flight_request import InFlightRequest
 from ironrail.net.dispatch.response_tracker import ResponseTracker
 from ironrail.net.upstream.connection_pool import Attempt
 
--- a/tests/mutants/serves_from_memory.py
+++ b/tests/mutants/serves_from_memory.py
@@ -2,9 +2,9 @@
 
 from __future__ import annotations
 
-from ironrail.net.dispatch.attempt_sender import AttemptSender
+from ironrail.net.dispatch.attempt_dispatcher import AttemptDispatcher
 from ironrail.net.dispatch.dispatcher import RequestDispatcher
-from ironrail.net.dispatch.pending_request import Respond, ResponseStream
+from ironrail.net.dispatch.in_flight_request import Respond, ResponseStream
 from ironrail.net.protocol import meta_codec
 from ironrail.net.protocol.meta_codec import Command
 from ironrail.net.upstream.connection_pool import Attempt
@@ -14,10 +14,10 @@
 
 
 def break_it() -> None:
-    accept, on_outcome = RequestDispatcher.accept, AttemptSender._on_outcome
+    accept, on_outcome = RequestDispatcher.accept, AttemptDispatcher._on_outcome
     kept: dict[bytes, bytes] = {}
 
-    def remember(self: AttemptSender, attempt: Attempt, status: AttemptStatus, body: bytes) -> None:
+    def remember(self: AttemptDispatcher, attempt: Attempt, status: AttemptStatus, body: bytes) -> None:
         if status is AttemptStatus.OK and not attempt.command.is_write:
             kept[attempt.command.key] = body
         on_outcome(self, attempt, status, body)
@@ -31,4 +31,4 @@
         return None
 
     RequestDispatcher.accept = recall  # type: ignore[method-assign]
-    AttemptSender._on_outcome = remember  # type: ignore[method-assign]
+    AttemptDispatcher._on_outcome = remember  # type: ignore[method-assign]
--- a/tests/net/dispatch/harness.py
+++ b/tests/net/dispatch/harness.py
@@ -9,7 +9,7 @@
 from ironrail.connections.upstream.connection import UpstreamConnection
 from ironrail.connections.upstream.pool_settings import PoolSettings
 from ironrail.net.dispatch.dispatcher import RequestDispatcher
-from ironrail.net.dispatch.pending_request import ResponseStream
+from ironrail.net.dispatch.in_flight_request import ResponseStream
 from ironrail.net.protocol.meta_codec import Command, parse_fields
 from ironrail.net.upstream.cache_connection import CacheConnection
 from ironrail.net.upstream.connection_pool import Connection, ConnectionPool
--- a/tests/net/dispatch/test_disconnected_clients.py
+++ b/tests/net/dispatch/test_disconnected_clients.py
@@ -30,19 +30,19 @@
     just_read: bool = False  # its end is there, and not read yet
     cuts: int = 0
 
-    def left(self, waited: bool) -> bool:
+    def has_disconnected(self, waited: bool) -> bool:
         return self.gone and (waited or not self.just_read)
 
-    def begin(self, head: bytes, hold: Callable[[bool], None]) -> None:
+    def start(self, head: bytes, hold: Callable[[bool], None]) -> None:
         raise AssertionError
 
-    def more(self, data: bytes) -> None:
+    def write(self, data: bytes) -> None:
         raise AssertionError
 
     def finish(self) -> None:
         raise AssertionError
 
-    def cut(self) -> None:
+    def abort(self) -> None:
         self.cuts += 1
 
 
--- a/tests/rehearsal/fleet/test_days.py
+++ b/tests/rehearsal/fleet/test_days.py
@@ -57,7 +57,7 @@
 ) -> None:
     def trusting(self: CacheConnection, request_id: bytes | None, position: int) -> None:
         if len(self.in_flight) <= position:
-            raise FramingError("a reply to nothing")
+            raise FramingError("a reply without a request")
 
     monkeypatch.setattr(CacheConnection, "_check_id", trusting)
     # a second answer has to meet a further command on its connection, which one such day in four brings about
--- a/tests/rehearsal/test_new_days.py
+++ b/tests/rehearsal/test_new_days.py
@@ -96,7 +96,7 @@
     text = 'summary = "x"\nlength = "3 s"\n[load]\nkeys = 20\n[[fault]]\nkind = "second-answer"\n'
     played = play_virtual(parse_scenario(text + 'whom = "all"\nat = "0 s"\nhard = 0.5\n', "x.toml"), 1)
     assert not played.result.broken and not played.faults
-    faults = [log.count("a reply to nothing") for log in played.result.logs.values()]
+    faults = [log.count("a reply without a request") for log in played.result.logs.values()]
     assert sum(faults) > 3  # a fault of the connection, not of the request: the first answer was good
     assert played.result.service.whole.share > 0.9
 
