--- a/benchmarks/accord_memory.py
+++ b/benchmarks/accord_memory.py
@@ -23,9 +23,10 @@
 
 async def one(routers: int, me: int, peers: bool, parts: bool) -> None:
     """Print what it takes; `parts`: map and regions too."""
-    import ironrail.net.lifecycle.node  # noqa: F401, PLC0415
     import uvloop  # noqa: F401, PLC0415 - as the daemon has it
 
+    import ironrail.net.lifecycle.node  # noqa: F401, PLC0415
+
     if peers:
         from ironrail.net.config import config_of_table  # noqa: PLC0415
         from ironrail.net.peers.runtime import PeerRuntime  # noqa: PLC0415
--- a/benchmarks/fleet_cost.py
+++ b/benchmarks/fleet_cost.py
@@ -23,6 +23,7 @@
 from typing import Any
 
 import psutil
+
 from ironrail.policy.actions import SendAttempt
 from ironrail.policy.endpoints import Endpoint, EndpointListKind, EndpointState
 from ironrail.policy.events import AttemptEnded, AttemptStatus, EndpointListUpdate, RequestReceived
--- a/benchmarks/halls_worlds.py
+++ b/benchmarks/halls_worlds.py
@@ -20,6 +20,8 @@
 from pathlib import Path
 from typing import Any
 
+from halls_figures import Figures, line, mean
+
 from ironrail.operator_file import OperatorSettings, PeerSettings
 from ironrail.policy.events import LinkState, ZoneLink, ZoneLinksChanged
 from ironrail.rehearsal.links.grounds import VirtualLinks
@@ -31,8 +33,6 @@
 from ironrail.rehearsal.standins.lanes import Way
 from ironrail.rehearsal.virtual.play import play_virtual
 
-from halls_figures import Figures, line, mean
-
 LENGTH, AT, LASTS = 24.0, 6.0, 12.0  # seconds of load, and of the fault in it
 WARM_UP = 12.0  # seconds, in which caches fill and the map learns what is usual
 ROUTERS, CACHES, RATE = 2, 2, 36.0  # of a hall
--- a/benchmarks/kit_capacity.py
+++ b/benchmarks/kit_capacity.py
@@ -15,6 +15,7 @@
 import resource
 
 import uvloop
+
 from ironrail.rehearsal.run import Rehearsal, Result
 from ironrail.rehearsal.scenario.model import Scenario
 from ironrail.rehearsal.scenario.reader import parse_scenario
--- a/benchmarks/peers_latency.py
+++ b/benchmarks/peers_latency.py
@@ -15,13 +15,13 @@
 import sys
 from collections.abc import Callable
 
+from peers_latency_fleet import Fleet, matrix
+from peers_latency_space import space
+
 from ironrail.peers.zone_latency.buckets import code_of
 from ironrail.peers.zone_latency.sight import Link, Sight
 from ironrail.peers.zone_latency.table import Table
 
-from peers_latency_fleet import Fleet, matrix
-from peers_latency_space import space
-
 STEP, PATIENCE = 0.05, 30.0  # seconds
 WARM = {3: 25.0, 6: 25.0, 12: 30.0, 50: 60.0}  # seconds before anything happens
 BREAK, SLOW = math.inf, 10.0
--- a/benchmarks/regions_worlds.py
+++ b/benchmarks/regions_worlds.py
@@ -19,13 +19,13 @@
 from pathlib import Path
 from statistics import mean
 
+from peers_regions import taken_back
+
 from ironrail.rehearsal.account.record import Outcome
 from ironrail.rehearsal.links.plan import link_fault
 from tests.rehearsal.links.readers_stage import play
 from tests.rehearsal.links.readers_world import World
 
-from peers_regions import taken_back
-
 HALLS = ("hall-a", "hall-b", "hall-c")
 HOME = {"north": "hall-a", "west": "hall-a", "east": "hall-b", "south": "hall-c"}
 WANTED = 0.15  # seconds
--- a/benchmarks/trace_replay.py
+++ b/benchmarks/trace_replay.py
@@ -14,6 +14,8 @@
 import tempfile
 from pathlib import Path
 
+from rich.console import Console
+
 from ironrail.access_log.pseudonyms import Pseudonymizer
 from ironrail.recorded.entry import Entry
 from ironrail.recorded.formats import compile_format
@@ -26,7 +28,6 @@
 from ironrail.rehearsal.routers import OWN_ROUTER
 from ironrail.rehearsal.run import Result
 from ironrail.rehearsal.scenario.reader import parse, read_scenario
-from rich.console import Console
 
 START = 1_796_020_200
 SECONDS = 200
--- a/benchmarks/virtual_agrees.py
+++ b/benchmarks/virtual_agrees.py
@@ -14,13 +14,14 @@
 from concurrent.futures import ProcessPoolExecutor
 from io import StringIO
 
+from rich.console import Console
+from rich.table import Table
+
 from ironrail.rehearsal.command import play
 from ironrail.rehearsal.routers import OWN_ROUTER
 from ironrail.rehearsal.run import Result
 from ironrail.rehearsal.scenario.reader import read_scenario, shipped
 from ironrail.rehearsal.virtual.play import play_virtual
-from rich.console import Console
-from rich.table import Table
 
 APART = 0.03  # of service
 TRIES = 4  # of a real run for which the machine was too busy
--- a/tests/access_log/test_access_log.py
+++ b/tests/access_log/test_access_log.py
@@ -12,6 +12,8 @@
 import pytest
 from hypothesis import given
 from hypothesis import strategies as st
+from rich.console import Console
+
 from ironrail.access_log.record import AccessRecord, RecordBuffer, RequestOutcome, RotationLimit
 from ironrail.net.access_log_writer import AccessLogFile
 from ironrail.operator_file import AccessLogSettings, OperatorError, OperatorSettings
@@ -22,8 +24,6 @@
 from ironrail.rehearsal.routers import OWN_ROUTER
 from ironrail.rehearsal.scenario.reader import parse_scenario
 from ironrail.rehearsal.virtual.play import play_virtual
-from rich.console import Console
-
 from tests.peers import World, scenario, until
 from tests.recorded.samples import importer
 
--- a/tests/admin/test_http_call.py
+++ b/tests/admin/test_http_call.py
@@ -5,6 +5,7 @@
 import h11
 from hypothesis import given
 from hypothesis import strategies as st
+
 from ironrail.admin.connection_limit import REQUEST_TIMEOUT_SECONDS, RESPONSE_TIMEOUT_SECONDS, ConnectionLimit
 from ironrail.admin.http_call import MAX_BODY_BYTES, MAX_HEAD_BYTES, HttpCall, Response
 from ironrail.admin.metrics import RequestMetrics
--- a/tests/connections/downstream/test_memory_budget.py
+++ b/tests/connections/downstream/test_memory_budget.py
@@ -4,6 +4,7 @@
 
 from hypothesis import given
 from hypothesis import strategies as st
+
 from ironrail.connections.downstream.memory_budget import MemoryBudget
 
 
--- a/tests/connections/downstream/test_session_invariants.py
+++ b/tests/connections/downstream/test_session_invariants.py
@@ -5,6 +5,7 @@
 from hypothesis import settings
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
+
 from ironrail.connections.downstream.client_session import MAX_PIPELINED_COMMANDS, ClientSession
 from ironrail.connections.downstream.session_manager import ClientSessionManager, NextAction
 from ironrail.connections.downstream.session_timeouts import TimeoutAction, timeout_action
--- a/tests/connections/downstream/test_session_manager.py
+++ b/tests/connections/downstream/test_session_manager.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import pytest
+
 from ironrail.connections.downstream.client_session import (
     MAX_CONSECUTIVE_BAD_COMMANDS,
     MAX_PIPELINED_COMMANDS,
--- a/tests/connections/upstream/test_pool_invariants.py
+++ b/tests/connections/upstream/test_pool_invariants.py
@@ -5,9 +5,9 @@
 from hypothesis import settings
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
+
 from ironrail.connections.upstream.connection_fault import Fault
 from ironrail.policy.events import AttemptStatus
-
 from tests.connections.upstream.pool_host import PoolHost
 
 
--- a/tests/connections/upstream/test_pool_manager.py
+++ b/tests/connections/upstream/test_pool_manager.py
@@ -3,9 +3,9 @@
 from __future__ import annotations
 
 import pytest
+
 from ironrail.connections.upstream.pool_manager import STREAM_TIMEOUT_SECONDS
 from ironrail.policy.events import AttemptStatus
-
 from tests.connections.upstream.pool_host import PoolHost
 
 
--- a/tests/connections/upstream/test_socket_budget.py
+++ b/tests/connections/upstream/test_socket_budget.py
@@ -5,6 +5,7 @@
 import pytest
 from hypothesis import given
 from hypothesis import strategies as st
+
 from ironrail.connections.upstream.socket_budget import (
     MIN_CONNECTIONS_PER_SERVER,
     SocketDemand,
--- a/tests/connections/upstream/test_stream_scheduler.py
+++ b/tests/connections/upstream/test_stream_scheduler.py
@@ -13,7 +13,6 @@
 )
 from ironrail.connections.upstream.stream_scheduler import OVERTAKEN_FRACTION
 from ironrail.policy.events import AttemptStatus
-
 from tests.connections.upstream.pool_host import PoolHost
 
 
--- a/tests/diagnostics/test_invariants.py
+++ b/tests/diagnostics/test_invariants.py
@@ -6,6 +6,7 @@
 from typing import Any
 
 import pytest
+
 from ironrail.connections.upstream.connection import Attempt
 from ironrail.connections.upstream.pool_actions import PoolAction
 from ironrail.connections.upstream.pool_manager import UpstreamPoolManager
@@ -16,7 +17,6 @@
 from ironrail.policy.settings import Idempotency
 from ironrail.rehearsal.scenario.reader import parse_scenario
 from ironrail.rehearsal.virtual.play import play_virtual
-
 from tests.peers import World, scenario
 
 SENDING = Sending(
--- a/tests/diagnostics/test_request_log.py
+++ b/tests/diagnostics/test_request_log.py
@@ -6,8 +6,8 @@
 import time
 
 import pytest
-from ironrail.diagnostics.reasons import ClientCloseReason, ListCallResult, RejectionReason, RetryReason
 
+from ironrail.diagnostics.reasons import ClientCloseReason, ListCallResult, RejectionReason, RetryReason
 from tests.peers import World, scenario, until
 
 
--- a/tests/mutants/asks_the_archive.py
+++ b/tests/mutants/asks_the_archive.py
@@ -4,7 +4,6 @@
 
 from ironrail.policy.request_lifecycle import RequestLifecycle
 from ironrail.policy.state import PendingRequest
-
 from tests.mutants import replace_method
 
 RULE = "archive fetches"
--- a/tests/mutants/ignores_list.py
+++ b/tests/mutants/ignores_list.py
@@ -5,7 +5,6 @@
 from typing import Any
 
 from ironrail.net.discovery.watcher import EndpointWatcher
-
 from tests.mutants import replace_method
 
 RULE = "rule drains"
--- a/tests/mutants/ignores_sigterm.py
+++ b/tests/mutants/ignores_sigterm.py
@@ -5,7 +5,6 @@
 import asyncio
 
 from ironrail.net.lifecycle.node import Node
-
 from tests.mutants import replace_method
 
 RULE = "seconds to stop"
--- a/tests/mutants/names_no_time.py
+++ b/tests/mutants/names_no_time.py
@@ -3,7 +3,6 @@
 from __future__ import annotations
 
 from ironrail.net.protocol import meta_codec
-
 from tests.mutants import replace_function
 
 RULE = "refusals that name no time"
--- a/tests/mutants/never_ready.py
+++ b/tests/mutants/never_ready.py
@@ -3,7 +3,6 @@
 from __future__ import annotations
 
 from ironrail.net.downstream.session_context import SessionContext
-
 from tests.mutants import replace_method
 
 RULE = "routers never ready"
--- a/tests/mutants/never_retries.py
+++ b/tests/mutants/never_retries.py
@@ -5,7 +5,6 @@
 from ironrail.policy.events import AttemptStatus
 from ironrail.policy.request_lifecycle import RequestLifecycle
 from ironrail.policy.state import Attempt, PendingRequest
-
 from tests.mutants import replace_method
 
 RULE, SCENARIO = "service", "errors.toml"
--- a/tests/mutants/refuses_unsafe.py
+++ b/tests/mutants/refuses_unsafe.py
@@ -3,7 +3,6 @@
 from __future__ import annotations
 
 from ironrail.policy.retry_policy import RetryPolicy
-
 from tests.mutants import replace_method
 
 RULE = "rule no-second-effect"
--- a/tests/mutants/resends_unsafe.py
+++ b/tests/mutants/resends_unsafe.py
@@ -5,7 +5,6 @@
 from ironrail.policy.retry_policy import RetryPolicy
 from ironrail.policy.settings import Idempotency
 from ironrail.policy.state import PendingRequest, Server
-
 from tests.mutants import replace_method
 
 RULE = "rule no-second-effect"
--- a/tests/mutants/serves_the_gone.py
+++ b/tests/mutants/serves_the_gone.py
@@ -4,7 +4,6 @@
 
 from ironrail.net.dispatch.dispatcher import RequestDispatcher
 from ironrail.net.downstream.client_connection import ClientConnection
-
 from tests.mutants import replace_method
 
 RULE, SCENARIO = "rule gone-clients", "leaves.toml"
--- a/tests/mutants/waits_for_the_hung.py
+++ b/tests/mutants/waits_for_the_hung.py
@@ -6,7 +6,6 @@
 from ironrail.policy.events import AttemptEnded
 from ironrail.policy.request_lifecycle import RequestLifecycle
 from ironrail.policy.state import Attempt
-
 from tests.mutants import replace_method
 
 RULE, SCENARIO = "service", "hang.toml"
--- a/tests/net/discovery/test_endpoint_list_updates.py
+++ b/tests/net/discovery/test_endpoint_list_updates.py
@@ -7,9 +7,9 @@
 
 import orjson
 import pytest
+
 from ironrail.net.discovery import endpoint_list, timeouts
 from ironrail.policy import discovery_freshness
-
 from tests import peers
 from tests.peers import Peer, World, scenario
 
--- a/tests/net/discovery/test_hedged_call.py
+++ b/tests/net/discovery/test_hedged_call.py
@@ -7,7 +7,6 @@
 from ironrail.net.discovery.hedged_call import MAX_CONCURRENT_CALLS, HedgedCall
 from ironrail.net.discovery.http_client import DiscoveryClient
 from ironrail.net.discovery.timeouts import Timeout
-
 from tests.peers import LOCAL, Peer, read_http, scenario
 
 INTERVAL = 0.1  # seconds
--- a/tests/net/discovery/test_overloaded_service_played.py
+++ b/tests/net/discovery/test_overloaded_service_played.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import pytest
+
 from ironrail.policy.discovery_freshness import DiscoveryFreshness
 from ironrail.rehearsal.scenario.model import Scenario
 from ironrail.rehearsal.scenario.reader import parse_scenario
--- a/tests/net/discovery/test_relocation.py
+++ b/tests/net/discovery/test_relocation.py
@@ -6,11 +6,11 @@
 
 import orjson
 import pytest
+
 from ironrail.net.discovery import timeouts
 from ironrail.net.discovery.endpoint_list import EndpointListReader
 from ironrail.net.discovery.factory import make_endpoint_watcher
 from ironrail.policy.endpoints import EndpointListKind, EndpointState
-
 from tests.net.discovery.update_recorder import (
     DRAINS,
     ROW,
--- a/tests/net/discovery/test_staleness_deadline.py
+++ b/tests/net/discovery/test_staleness_deadline.py
@@ -9,6 +9,7 @@
 from dataclasses import dataclass, field
 
 import pytest
+
 from ironrail.net.discovery import timeouts
 from ironrail.policy.discovery_freshness import (
     MAX_BACKOFF_SECONDS,
@@ -19,7 +20,6 @@
 )
 from ironrail.policy.endpoints import EndpointListKind
 from ironrail.policy.events import AttemptStatus, EndpointListUpdate
-
 from tests.driver import Driver, Outcome, endpoint, settings
 from tests.policy.test_discovery_freshness import Service
 
--- a/tests/net/discovery/test_watch_events.py
+++ b/tests/net/discovery/test_watch_events.py
@@ -8,9 +8,9 @@
 
 import orjson
 import pytest
+
 from ironrail.net.discovery import timeouts
 from ironrail.policy.endpoints import EndpointState
-
 from tests.net.discovery.update_recorder import (
     DRAINS,
     FAILED,
--- a/tests/net/discovery/test_watch_timeout.py
+++ b/tests/net/discovery/test_watch_timeout.py
@@ -11,9 +11,9 @@
 
 import orjson
 import pytest
+
 from ironrail.net.discovery import timeouts
 from ironrail.policy import discovery_freshness
-
 from tests.net.lifecycle.test_process import config, free_port, served_by, start
 from tests.peers import LOCAL, Peer, World, connect, read_http, scenario
 
--- a/tests/net/discovery/test_watch_timeout_played.py
+++ b/tests/net/discovery/test_watch_timeout_played.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import pytest
+
 from ironrail.rehearsal.scenario.model import Scenario
 from ironrail.rehearsal.scenario.reader import parse_scenario
 from ironrail.rehearsal.standins.fleet import Fleet
--- a/tests/net/discovery/update_recorder.py
+++ b/tests/net/discovery/update_recorder.py
@@ -10,13 +10,13 @@
 
 import orjson
 import pytest
+
 from ironrail.net.discovery.endpoint_list import EndpointListReader
 from ironrail.net.discovery.factory import make_endpoint_watcher
 from ironrail.net.discovery.watcher import EndpointWatcher
 from ironrail.net.system import Address
 from ironrail.policy.endpoints import EndpointListKind, EndpointState
 from ironrail.policy.events import EndpointListUpdate
-
 from tests.peers import LOCAL, Message, Peer, read_http
 
 ROW = {"id": "c", "addr": "127.0.0.1:9", "state": "in_service"}
--- a/tests/net/dispatch/harness.py
+++ b/tests/net/dispatch/harness.py
@@ -17,7 +17,6 @@
 from ironrail.policy.endpoints import Endpoint, EndpointListKind
 from ironrail.policy.events import AttemptEnded, EndpointListUpdate, Event, RequestReceived
 from ironrail.policy.router import Router
-
 from tests.peers import LOCAL, SETTINGS, Message, Peer
 
 
--- a/tests/net/dispatch/test_connection_breaks.py
+++ b/tests/net/dispatch/test_connection_breaks.py
@@ -11,10 +11,10 @@
 from typing import Any
 
 import pytest
+
 from ironrail.net.upstream.cache_connection import CacheConnection
 from ironrail.net.upstream.origin_connection import OriginConnection
 from ironrail.policy.events import AttemptStatus
-
 from tests.net.dispatch.harness import GOOD, DispatchHarness, ScriptedPolicy, reply, reply_then_end
 from tests.peers import LOCAL, Message, Peer, World, read_command, read_http, scenario, until
 
--- a/tests/net/dispatch/test_connection_use.py
+++ b/tests/net/dispatch/test_connection_use.py
@@ -7,6 +7,7 @@
 import time
 
 import pytest
+
 from ironrail.connections.upstream import idle_timeout
 from ironrail.connections.upstream.connection import UpstreamConnection
 from ironrail.connections.upstream.pool_actions import PoolAction
@@ -17,7 +18,6 @@
 from ironrail.net.upstream.connection_pool import Attempt, ConnectionPool
 from ironrail.policy.actions import CloseIdleConnections, FailRequest
 from ironrail.policy.events import AttemptStatus
-
 from tests.net.dispatch.harness import DispatchHarness, ScriptedPolicy, quick_replies
 from tests.peers import LOCAL, Peer, scenario
 
--- a/tests/net/dispatch/test_disconnected_clients.py
+++ b/tests/net/dispatch/test_disconnected_clients.py
@@ -8,6 +8,7 @@
 from dataclasses import dataclass
 
 import pytest
+
 from ironrail.connections.downstream import client_session
 from ironrail.net.protocol.meta_codec import MAX_BUFFERED_VALUE_BYTES
 from ironrail.net.system import REAL
@@ -15,7 +16,6 @@
 from ironrail.net.upstream.connection_pool import Attempt
 from ironrail.policy.actions import Action, FailRequest, SendAttempt
 from ironrail.policy.events import AttemptEnded, AttemptStatus, ClientDisconnected, Event
-
 from tests.net.dispatch.harness import DispatchHarness, ScriptedPolicy, events_of
 from tests.peers import LOCAL, Peer, World, scenario, until
 
--- a/tests/net/dispatch/test_replies.py
+++ b/tests/net/dispatch/test_replies.py
@@ -7,9 +7,9 @@
 from typing import Any
 
 import pytest
+
 from ironrail.net.upstream.origin_connection import OriginConnection
 from ironrail.policy.events import AttemptStatus
-
 from tests.net.dispatch.harness import (
     GOOD_HTTP,
     Brief,
--- a/tests/net/dispatch/test_request_ends.py
+++ b/tests/net/dispatch/test_request_ends.py
@@ -6,6 +6,7 @@
 from dataclasses import replace
 
 import pytest
+
 from ironrail.connections.upstream.pool_settings import PoolSettings
 from ironrail.net.dispatch.dispatcher import RequestDispatcher
 from ironrail.net.protocol.meta_codec import Command, parse_fields
@@ -24,7 +25,6 @@
 )
 from ironrail.policy.router import Router
 from ironrail.policy.settings import RequestClass
-
 from tests.net.dispatch.harness import DispatchHarness, ScriptedPolicy
 from tests.peers import LOCAL, SETTINGS, Peer, scenario, until
 
--- a/tests/net/dispatch/test_revoked_attempts.py
+++ b/tests/net/dispatch/test_revoked_attempts.py
@@ -8,7 +8,6 @@
 
 from ironrail.net.system import REAL
 from ironrail.policy.events import AttemptStatus
-
 from tests.connections.upstream.pool_host import PoolHost
 from tests.peers import KEYED, READ, SETTINGS, World, scenario
 
--- a/tests/net/dispatch/test_time_to_send.py
+++ b/tests/net/dispatch/test_time_to_send.py
@@ -6,9 +6,9 @@
 import time
 
 import pytest
+
 from ironrail.policy.actions import Action, SendAttempt
 from ironrail.policy.events import AttemptEnded, AttemptStatus, Event, RequestReceived
-
 from tests.net.dispatch.harness import DispatchHarness, ScriptedPolicy, events_of
 from tests.peers import Peer, scenario
 
--- a/tests/net/dispatch/test_unexpected_replies.py
+++ b/tests/net/dispatch/test_unexpected_replies.py
@@ -7,13 +7,13 @@
 from typing import Any
 
 import pytest
+
 from ironrail.connections.upstream import pool_manager
 from ironrail.connections.upstream.connection import ReplyState
 from ironrail.net.dispatch import dispatcher
 from ironrail.net.upstream.cache_connection import CacheConnection
 from ironrail.net.upstream.origin_connection import OriginConnection
 from ironrail.policy.events import AttemptStatus
-
 from tests.net.dispatch.harness import GOOD, GOOD_HTTP, Brief, DispatchHarness, ScriptedPolicy, quick_replies
 from tests.peers import Peer, read_command, read_http, scenario
 
--- a/tests/net/downstream/test_client_admission.py
+++ b/tests/net/downstream/test_client_admission.py
@@ -5,10 +5,10 @@
 import asyncio
 
 import pytest
+
 from ironrail.connections.downstream import idle_retention, session_manager, session_timeouts
 from ironrail.net.downstream import client_listener
 from ironrail.net.downstream.client_connection import ClientConnection
-
 from tests.peers import Client, World, scenario
 
 P = b"Pc=read,t=x,d=5000"
--- a/tests/net/downstream/test_client_departure.py
+++ b/tests/net/downstream/test_client_departure.py
@@ -6,7 +6,6 @@
 
 from ironrail.connections.downstream import client_session
 from ironrail.net.downstream.client_connection import ClientConnection
-
 from tests.net.downstream.test_client_admission import P
 from tests.peers import World, scenario, until
 
--- a/tests/net/downstream/test_client_timeouts.py
+++ b/tests/net/downstream/test_client_timeouts.py
@@ -5,9 +5,9 @@
 import asyncio
 
 import pytest
+
 from ironrail.connections.downstream import client_session, session_timeouts
 from ironrail.net.downstream import client_listener
-
 from tests.net.downstream.test_client_admission import P, is_ready
 from tests.peers import World, scenario, until
 
--- a/tests/net/downstream/test_connection_close.py
+++ b/tests/net/downstream/test_connection_close.py
@@ -6,9 +6,9 @@
 import socket
 
 import pytest
+
 from ironrail.connections.downstream import session_manager, session_timeouts
 from ironrail.net.downstream.client_connection import ClientConnection
-
 from tests.net.downstream.test_client_admission import P, is_ready
 from tests.peers import Client, World, scenario, until
 
--- a/tests/net/downstream/test_descriptor_limits.py
+++ b/tests/net/downstream/test_descriptor_limits.py
@@ -13,8 +13,8 @@
 from pathlib import Path
 
 import pytest
-from ironrail.rehearsal.routers import end_with_parent
 
+from ironrail.rehearsal.routers import end_with_parent
 from tests.net.lifecycle.test_process import ROOT, config, free_port
 from tests.net.lifecycle.test_signals import reach
 from tests.peers import LOCAL, Client, Peer, connect, read_http, scenario
--- a/tests/net/downstream/test_lingering_close.py
+++ b/tests/net/downstream/test_lingering_close.py
@@ -3,10 +3,10 @@
 from __future__ import annotations
 
 import pytest
+
 from ironrail.connections.downstream import lingering_close, session_timeouts
 from ironrail.connections.downstream.descriptor_budget import RESERVED_DESCRIPTORS_COUNT, allocate_descriptors
 from ironrail.net.downstream import client_listener
-
 from tests.net.downstream.test_client_admission import is_ready
 from tests.net.downstream.test_connection_close import RESPONSE_BYTES, connection_of
 from tests.peers import World, scenario, until
--- a/tests/net/downstream/test_long_values.py
+++ b/tests/net/downstream/test_long_values.py
@@ -6,12 +6,12 @@
 import socket
 
 import pytest
+
 from ironrail.connections.downstream.memory_budget import MemoryBudget
 from ironrail.connections.upstream import pool_manager
 from ironrail.connections.upstream.connection import ReplyState
 from ironrail.net.dispatch.value_streamer import STREAM_BUFFER_BYTES
 from ironrail.net.protocol import meta_codec
-
 from tests.peers import Client, Message, World, scenario, until
 
 LONG = bytes(range(256)) * 4096  # 1 MiB
--- a/tests/net/lifecycle/test_graceful_shutdown.py
+++ b/tests/net/lifecycle/test_graceful_shutdown.py
@@ -8,12 +8,12 @@
 from typing import Any
 
 import pytest
+
 from ironrail.connections.downstream import client_session
 from ironrail.net.lifecycle import graceful_shutdown
 from ironrail.net.lifecycle.graceful_shutdown import ShutdownSchedule, shutdown_schedule
 from ironrail.net.lifecycle.node import Node
 from ironrail.policy.settings import RequestClass
-
 from tests.net.downstream.test_client_admission import is_ready
 from tests.peers import LOCAL, ONCE, READ, SETTINGS, World, scenario, until
 
--- a/tests/net/lifecycle/test_handover.py
+++ b/tests/net/lifecycle/test_handover.py
@@ -7,10 +7,10 @@
 from typing import Any
 
 import pytest
+
 from ironrail.admin.connection_limit import MAX_CONNECTIONS
 from ironrail.net.lifecycle import graceful_shutdown, handover
 from ironrail.net.lifecycle.node import Node
-
 from tests.peers import LOCAL, Client, World, connect, scenario
 
 
--- a/tests/net/lifecycle/test_process.py
+++ b/tests/net/lifecycle/test_process.py
@@ -14,9 +14,9 @@
 from typing import Any
 
 import pytest
+
 from ironrail.__main__ import main
 from ironrail.rehearsal.routers import end_with_parent
-
 from tests.peers import LOCAL, Client, Peer, connect, read_http, scenario
 from tests.test_simhost import CONF
 
--- a/tests/net/lifecycle/test_process_shutdown.py
+++ b/tests/net/lifecycle/test_process_shutdown.py
@@ -9,7 +9,6 @@
 
 from ironrail.net.lifecycle.graceful_shutdown import shutdown_schedule
 from ironrail.policy.settings import RequestClass, Settings
-
 from tests.net.lifecycle.test_process import free_port, start
 from tests.peers import LOCAL, Client, Peer, connect, scenario
 
--- a/tests/net/protocol/test_commands.py
+++ b/tests/net/protocol/test_commands.py
@@ -5,6 +5,7 @@
 import pytest
 from hypothesis import given
 from hypothesis import strategies as st
+
 from ironrail.net.protocol.commands import UNKNOWN_COMMAND, BadCommand, Command, CommandParser, Noop
 from ironrail.net.protocol.framing import MAX_BUFFERED_VALUE_BYTES
 
--- a/tests/net/test_listener.py
+++ b/tests/net/test_listener.py
@@ -8,8 +8,8 @@
 from typing import Any
 
 import pytest
-from ironrail.net import listener
 
+from ironrail.net import listener
 from tests.peers import LOCAL, connect, scenario, until
 
 
--- a/tests/net/test_malformed_commands.py
+++ b/tests/net/test_malformed_commands.py
@@ -3,8 +3,8 @@
 from __future__ import annotations
 
 import pytest
-from ironrail.settings import read_settings
 
+from ironrail.settings import read_settings
 from tests.peers import World, scenario
 
 P = b"Pc=read,t=x,d=500"
--- a/tests/net/test_request_flow.py
+++ b/tests/net/test_request_flow.py
@@ -6,7 +6,6 @@
 import time
 
 from ironrail.policy.settings import RequestClass
-
 from tests.peers import Peer, World, scenario
 
 BUSY = b"SERVER_ERROR busy "
--- a/tests/peers/__init__.py
+++ b/tests/peers/__init__.py
@@ -11,6 +11,7 @@
 
 import orjson
 import uvloop
+
 from ironrail.net.config import Config
 from ironrail.net.lifecycle.node import NO_OPERATOR_FILE, Node
 from ironrail.operator_file import OperatorSettings
--- a/tests/peers/consensus/explorer.py
+++ b/tests/peers/consensus/explorer.py
@@ -17,7 +17,6 @@
 from ironrail.peers.consensus.errors import OpenError
 from ironrail.peers.consensus.lease import are_disjoint
 from ironrail.peers.messages import Received
-
 from tests.peers.consensus.still import DRIFT, LEASE, Saved, Still
 from tests.peers.consensus.watching import FACTS, FLOOR, Broken, policy
 
--- a/tests/peers/consensus/mistakes.py
+++ b/tests/peers/consensus/mistakes.py
@@ -7,6 +7,7 @@
 from typing import Any
 
 import pytest
+
 from ironrail.peers.consensus import acceptor_recovery, proposer
 from ironrail.peers.consensus import messages as m
 from ironrail.peers.consensus.acceptor import Acceptor
--- a/tests/peers/consensus/moved.py
+++ b/tests/peers/consensus/moved.py
@@ -5,6 +5,7 @@
 from collections.abc import Callable
 
 import pytest
+
 from ironrail.peers.consensus import messages as m
 from ironrail.peers.consensus.acceptor_recovery import AcceptorRecovery
 from ironrail.peers.consensus.lease import LeaseHolder
--- a/tests/peers/consensus/moves.py
+++ b/tests/peers/consensus/moves.py
@@ -8,7 +8,6 @@
 from ironrail.peers.consensus import policy as p
 from ironrail.peers.consensus.configuration import ConsensusConfig
 from ironrail.peers.consensus.proposal import Proposal, ProposalHandle, TargetState
-
 from tests.peers.consensus.votes import BEFORE, NOW, VOTERS, State, Votes
 from tests.peers.consensus.watching import FACTS, FLOOR, policy
 
--- a/tests/peers/consensus/test_checks.py
+++ b/tests/peers/consensus/test_checks.py
@@ -6,8 +6,8 @@
 from typing import Any
 
 import pytest
-from ironrail.peers.consensus import message_handler
 
+from ironrail.peers.consensus import message_handler
 from tests.peers.consensus import mistakes, runs
 from tests.peers.consensus.explorer import Bounds, Explorer
 from tests.peers.consensus.still import EVERY_TICK
--- a/tests/peers/consensus/test_door.py
+++ b/tests/peers/consensus/test_door.py
@@ -5,6 +5,7 @@
 from typing import Any
 
 import orjson
+
 from ironrail.net.peers.policies import Place, Policies
 from ironrail.operator_file import PeerSettings
 from ironrail.peers.messages import Received
--- a/tests/peers/consensus/test_moves.py
+++ b/tests/peers/consensus/test_moves.py
@@ -7,13 +7,13 @@
 
 import msgspec
 import pytest
+
 from ironrail.errors import InputError
 from ironrail.peers.consensus import errors
 from ironrail.peers.consensus import messages as m
 from ironrail.peers.consensus.acceptor import Acceptor
 from ironrail.peers.consensus.lease import LeaseHolder
 from ironrail.peers.consensus.proposal import TargetState
-
 from tests.peers.consensus import moved
 from tests.peers.consensus.explorer import Bounds, Explorer
 from tests.peers.consensus.moves import PLAIN, Moves
--- a/tests/peers/consensus/test_policy.py
+++ b/tests/peers/consensus/test_policy.py
@@ -8,6 +8,7 @@
 import pytest
 from hypothesis import given
 from hypothesis import strategies as st
+
 from ironrail.peers.consensus import policy as p
 from ironrail.peers.consensus.errors import PolicyError
 
--- a/tests/peers/consensus/test_room.py
+++ b/tests/peers/consensus/test_room.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import pytest
+
 from ironrail.errors import InputError
 from ironrail.peers.consensus import errors
 from ironrail.peers.consensus import messages as m
@@ -10,7 +11,6 @@
 from ironrail.peers.consensus.configuration import ConsensusConfig
 from ironrail.peers.consensus.consensus_node import ConsensusNode
 from ironrail.peers.messages import Received
-
 from tests.peers.consensus.world import FACTS, FLOOR, World, policy
 
 
--- a/tests/peers/consensus/test_tickets.py
+++ b/tests/peers/consensus/test_tickets.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import pytest
+
 from ironrail.errors import IronrailError
 from ironrail.peers.consensus import errors
 from ironrail.peers.consensus import messages as m
--- a/tests/peers/consensus/votes.py
+++ b/tests/peers/consensus/votes.py
@@ -10,12 +10,12 @@
 from typing import Any, NamedTuple
 
 import msgspec
+
 from ironrail.peers.consensus import messages as m
 from ironrail.peers.consensus import policy as p
 from ironrail.peers.consensus.configuration import ConsensusConfig
 from ironrail.peers.consensus.proposal import Proposal, ProposalHandle, TargetState
 from ironrail.peers.messages import Received
-
 from tests.peers.consensus.still import Bare, Saved
 from tests.peers.consensus.watching import FACTS, FLOOR, Broken, policy
 
--- a/tests/peers/fuzz/bodies.py
+++ b/tests/peers/fuzz/bodies.py
@@ -6,9 +6,9 @@
 from typing import Any
 
 import msgspec
+
 from ironrail.peers.steering import reports as regions
 from ironrail.peers.zone_latency import reports as latency
-
 from tests.peers.fuzz.base import EDGES
 
 MOST = 3696  # bytes that the wire carries at once
--- a/tests/peers/fuzz/gossip.py
+++ b/tests/peers/fuzz/gossip.py
@@ -14,7 +14,6 @@
 from ironrail.peers.zone_latency.room import LatencyRoom
 from ironrail.peers.zone_latency.sight import Link
 from ironrail.peers.zone_latency.spread import MOST_RUMOURS
-
 from tests.peers.fuzz.base import Attack, idle, must, size_of
 from tests.peers.fuzz.bodies import latency_body, regions_body, spoil
 
--- a/tests/peers/fuzz/papers.py
+++ b/tests/peers/fuzz/papers.py
@@ -9,6 +9,7 @@
 from pathlib import Path
 
 import msgspec
+
 from ironrail.net.peers import admin_documents, policies
 from ironrail.net.peers.policies import Place, Policies
 from ironrail.net.peers.record_store import MAGIC, FolderStore, RecordError
@@ -18,7 +19,6 @@
 from ironrail.peers.consensus.errors import PolicyError
 from ironrail.peers.messages import Received
 from ironrail.policy.settings import RequestClass, Settings
-
 from tests.peers.consensus.watching import FACTS, policy
 from tests.peers.fuzz.accord import _samples
 from tests.peers.fuzz.base import EDGES, Attack, must
--- a/tests/peers/fuzz/wires.py
+++ b/tests/peers/fuzz/wires.py
@@ -10,7 +10,6 @@
 from ironrail.peers.transport.outbox import BURST, MOST_SAYS, MOST_WAITING, Outbox
 from ironrail.peers.transport.pieces import MOST_IN_ALL
 from ironrail.peers.transport.wire import MEETINGS, Wire
-
 from tests.peers.fuzz.base import LEAST_WAIT, Attack, must
 from tests.peers.fuzz.bodies import spoil
 
--- a/tests/peers/steering/ours.py
+++ b/tests/peers/steering/ours.py
@@ -13,7 +13,6 @@
 from ironrail.peers.steering.reports import Report
 from ironrail.peers.steering.room import RegionsRoom
 from ironrail.peers.steering.sketch import rate_code
-
 from tests.peers.steering.world import PERIOD, WANTED, World
 
 ROUTERS = 3  # of a hall
--- a/tests/peers/steering/test_capacity.py
+++ b/tests/peers/steering/test_capacity.py
@@ -3,6 +3,7 @@
 import math
 
 import pytest
+
 from ironrail.peers.steering.capacity import Server, Servers, cut_off, halls_now, takes
 from ironrail.peers.steering.carried import AGAIN, Carrier, Resting, place
 from ironrail.peers.steering.expected import Hall, Standing
--- a/tests/peers/steering/test_carried.py
+++ b/tests/peers/steering/test_carried.py
@@ -2,6 +2,7 @@
 
 from hypothesis import given
 from hypothesis import strategies as st
+
 from ironrail.peers.steering.carried import BURST, PACE, Carrier, Resting, place
 
 ROWS = {"north": {"here": 0.25, "there": 0.75}}
--- a/tests/peers/steering/test_regions.py
+++ b/tests/peers/steering/test_regions.py
@@ -5,6 +5,7 @@
 import pytest
 from hypothesis import given
 from hypothesis import strategies as st
+
 from ironrail.peers.steering.regions import KEPT, MOST_REGIONS, Regions, RegionsError
 
 NETWORKS = st.one_of(
--- a/tests/peers/steering/test_room.py
+++ b/tests/peers/steering/test_room.py
@@ -4,6 +4,7 @@
 import tracemalloc
 
 import pytest
+
 from ironrail.peers.messages import Outgoing, PeerProtocol, Received
 from ironrail.peers.steering.expected import Hall
 from ironrail.peers.steering.regions import Regions
--- a/tests/peers/steering/test_steer.py
+++ b/tests/peers/steering/test_steer.py
@@ -6,6 +6,7 @@
 
 from hypothesis import given
 from hypothesis import strategies as st
+
 from ironrail.peers.steering.expected import EQUAL, Cells, Expected, Hall, Standing, Worth
 from ironrail.peers.steering.model import time_left
 from ironrail.peers.steering.proposal import (
--- a/tests/peers/steering/test_table.py
+++ b/tests/peers/steering/test_table.py
@@ -5,6 +5,7 @@
 import pytest
 from hypothesis import given
 from hypothesis import strategies as st
+
 from ironrail.peers.steering.reports import MOST_BODY, Report, ReportError, Summary, decode, encode, unpack
 from ironrail.peers.steering.sketch import Fading, code_of, part_code, part_of, rate_code, rate_of, seconds_of
 from ironrail.peers.steering.table import Table
--- a/tests/peers/steering/test_worlds.py
+++ b/tests/peers/steering/test_worlds.py
@@ -3,9 +3,9 @@
 from statistics import mean
 
 import pytest
+
 from ironrail.peers.steering.proposal import USUAL
 from ironrail.peers.steering.reports import Report, unpack
-
 from tests.peers.steering.ours import Ours
 from tests.peers.steering.world import WORLDS, Choice, draw, fixed, nearest, run, truth
 
--- a/tests/peers/test_fuzz.py
+++ b/tests/peers/test_fuzz.py
@@ -9,6 +9,7 @@
 
 import msgspec
 import pytest
+
 from ironrail.net.peers.record_store import FolderStore, RecordError
 from ironrail.peers.consensus import messages as m
 from ironrail.peers.consensus import policy as p
@@ -23,7 +24,6 @@
 from ironrail.peers.steering.room import LEFT_WAITING, MOST_WAITING, RegionsRoom
 from ironrail.peers.zone_latency.reports import MOST_BODY, Report, encode
 from ironrail.peers.zone_latency.room import LatencyRoom
-
 from tests.peers import scenario
 from tests.peers.consensus.watching import FACTS, FLOOR, policy
 from tests.peers.fuzz.accord import Accord, _state
--- a/tests/peers/transport/test_wire_bodies.py
+++ b/tests/peers/transport/test_wire_bodies.py
@@ -7,6 +7,7 @@
 import pytest
 from hypothesis import given
 from hypothesis import strategies as st
+
 from ironrail.peers.messages import ALL, MOST_DATAGRAM, Outgoing, Received, Topic
 from ironrail.peers.transport.errors import UnsendableError
 from ironrail.peers.transport.layout import MOST_BODY, ROOM, sealed_size
--- a/tests/peers/transport/test_wire_bounds.py
+++ b/tests/peers/transport/test_wire_bounds.py
@@ -6,6 +6,7 @@
 import tracemalloc
 
 import pytest
+
 from ironrail.peers.messages import MOST_DATAGRAM, MOST_ROUTERS, Topic
 from ironrail.peers.transport.keys import Keys
 from ironrail.peers.transport.layout import LEAST_DATAGRAM, MOST_BODY
--- a/tests/peers/transport/test_wire_errors.py
+++ b/tests/peers/transport/test_wire_errors.py
@@ -5,6 +5,7 @@
 from collections.abc import Callable
 
 import pytest
+
 from ironrail.errors import InputError, all_errors
 from ironrail.peers.transport import errors
 from ironrail.peers.transport.keys import Keys
--- a/tests/peers/transport/test_wire_lives.py
+++ b/tests/peers/transport/test_wire_lives.py
@@ -5,6 +5,7 @@
 import pytest
 from hypothesis import given
 from hypothesis import strategies as st
+
 from ironrail.peers.messages import ALL, Outgoing, Topic
 from ironrail.peers.transport.keys import Keys
 from ironrail.peers.transport.sender import REPLACED, WINDOW, Sender
--- a/tests/peers/transport/test_wire_outbox.py
+++ b/tests/peers/transport/test_wire_outbox.py
@@ -6,6 +6,7 @@
 import random
 
 import pytest
+
 from ironrail.peers.messages import ALL, MOST_ROUTERS, Outgoing, Priority, Topic
 from ironrail.peers.transport.errors import PaceError
 from ironrail.peers.transport.layout import MOST_BODY, sealed_size
--- a/tests/peers/zone_latency/test_echoes.py
+++ b/tests/peers/zone_latency/test_echoes.py
@@ -3,6 +3,7 @@
 import random
 
 import pytest
+
 from ironrail.peers.messages import Outgoing, Received
 from ironrail.peers.zone_latency.echoes import MOST_HOLD, TRAILER, Echoing
 from ironrail.peers.zone_latency.evidence import Evidence
--- a/tests/peers/zone_latency/test_evidence.py
+++ b/tests/peers/zone_latency/test_evidence.py
@@ -3,6 +3,7 @@
 import random
 
 import pytest
+
 from ironrail.peers.zone_latency.buckets import BUCKETS, Fading, code_of, seconds_of
 from ironrail.peers.zone_latency.evidence import Evidence
 from ironrail.peers.zone_latency.sight import DWELL, MOST_DWELL, Link
--- a/tests/peers/zone_latency/test_merge.py
+++ b/tests/peers/zone_latency/test_merge.py
@@ -6,6 +6,7 @@
 import pytest
 from hypothesis import given
 from hypothesis import strategies as st
+
 from ironrail.peers.zone_latency.reports import MOST_BODY, Report, ReportError, decode, encode, pack, unpack
 from ironrail.peers.zone_latency.sight import Link
 from ironrail.peers.zone_latency.table import EXPIRED, NOTHING, STALE, WITNESSES, Change, Table, rank
--- a/tests/peers/zone_latency/test_room.py
+++ b/tests/peers/zone_latency/test_room.py
@@ -5,6 +5,7 @@
 import tracemalloc
 
 import pytest
+
 from ironrail.errors import InputError
 from ironrail.peers.messages import Received
 from ironrail.peers.zone_latency.facts import HallLink, HallsSeen
--- a/tests/policy/decision_digests.py
+++ b/tests/policy/decision_digests.py
@@ -25,7 +25,6 @@
 from ironrail.policy.router import Router
 from ironrail.policy.timers import Timer
 from ironrail.simulator_wire import encode_timer
-
 from tests.policy.streams import World
 
 FILE = Path(__file__).with_name("decisions.txt")  # a seed and its digest a line
--- a/tests/policy/fleets.py
+++ b/tests/policy/fleets.py
@@ -7,7 +7,6 @@
 from ironrail.policy import hash_ring
 from ironrail.policy.endpoints import Endpoint
 from ironrail.policy.events import AttemptStatus
-
 from tests.driver import Driver, endpoint
 
 CACHE_ASIDE: dict[str, Any] = {"cache_aside": True, "origin_kind": "origin"}
--- a/tests/policy/test_attempts_in_flight.py
+++ b/tests/policy/test_attempts_in_flight.py
@@ -3,7 +3,6 @@
 from __future__ import annotations
 
 from ironrail.policy.events import AttemptEnded, AttemptStatus, ClientDisconnected
-
 from tests.driver import Driver, Outcome, settings
 from tests.policy.fleets import fleet
 
--- a/tests/policy/test_concurrency_limit.py
+++ b/tests/policy/test_concurrency_limit.py
@@ -3,9 +3,9 @@
 from __future__ import annotations
 
 import pytest
+
 from ironrail.policy import concurrency_limit, hash_ring, state
 from ironrail.policy.events import AttemptStatus
-
 from tests.driver import Driver, Outcome, endpoint, settings
 from tests.policy.fleets import CACHE_ASIDE, end_with_misses, fleet
 
--- a/tests/policy/test_connection_health.py
+++ b/tests/policy/test_connection_health.py
@@ -5,9 +5,9 @@
 import math
 
 import pytest
+
 from ironrail.policy.actions import CloseIdleConnections, SendAttempt
 from ironrail.policy.events import AttemptStatus
-
 from tests.driver import Driver, settings
 from tests.policy.fleets import fleet
 
--- a/tests/policy/test_discovery_freshness.py
+++ b/tests/policy/test_discovery_freshness.py
@@ -11,6 +11,7 @@
 import pytest
 from hypothesis import given
 from hypothesis import strategies as st
+
 from ironrail.policy.actions import FetchEndpointList, SetTimer
 from ironrail.policy.discovery_freshness import (
     FAILED_POLL_INTERVAL_FACTOR,
@@ -23,7 +24,6 @@
 from ironrail.policy.events import AttemptStatus, EndpointListUpdate
 from ironrail.policy.settings import Settings
 from ironrail.policy.timers import EndpointListPollDue
-
 from tests.driver import Driver, endpoint, settings
 
 
@@ -98,15 +98,7 @@
 KINDS = (EndpointListKind.FAILED, EndpointListKind.MALFORMED, EndpointListKind.WATCH_TIMED_OUT)
 
 
-@given(
-    st.integers(1, 2000),
-    st.floats(0.1, 600),
-    st.floats(0.01, 10),
-    st.floats(0.1, 600),
-    st.integers(0, 2**32),
-    st.lists(st.sampled_from(KINDS), max_size=60),
-)
-def test_the_next_poll_always_comes_in_time(
+def check_pauses(
     routers: int, ramp: float, window: float, must_ask: float, seed: int, ways: list[EndpointListKind]
 ) -> None:
     conf = settings(
@@ -130,6 +122,26 @@
     assert freshness.failures == 0 and freshness.require_success_since(100.0) == -math.inf
 
 
+@given(
+    st.integers(1, 2000),
+    st.floats(0.1, 600),
+    st.floats(0.01, 10),
+    st.floats(0.1, 600),
+    st.integers(0, 2**32),
+    st.lists(st.sampled_from(KINDS), max_size=60),
+)
+def test_the_next_poll_always_comes_in_time(
+    routers: int, ramp: float, window: float, must_ask: float, seed: int, ways: list[EndpointListKind]
+) -> None:
+    check_pauses(routers, ramp, window, must_ask, seed, ways)
+
+
+def test_a_pause_after_a_malformed_list_is_no_longer_than_a_short_slow_start() -> None:
+    """An example that the test above found; the bound is the same."""
+    failures = [EndpointListKind.FAILED, EndpointListKind.FAILED, EndpointListKind.MALFORMED]
+    check_pauses(routers=1, ramp=0.25, window=0.25, must_ask=1.0, seed=0, ways=failures)
+
+
 def test_after_a_malformed_answer_polls_are_not_spread_until_there_is_a_list() -> None:
     """This holds after refused calls too: one of them delayed the next by half a minute."""
     conf = settings(
--- a/tests/policy/test_hash_ring.py
+++ b/tests/policy/test_hash_ring.py
@@ -3,10 +3,10 @@
 import hashlib
 
 import pytest
+
 from ironrail.policy import hash_ring
 from ironrail.policy.endpoints import EndpointListKind, EndpointState
 from ironrail.policy.events import AttemptStatus
-
 from tests.driver import Driver, endpoint, settings
 
 
--- a/tests/policy/test_hedging.py
+++ b/tests/policy/test_hedging.py
@@ -3,10 +3,10 @@
 from __future__ import annotations
 
 import pytest
+
 from ironrail.policy.actions import Action, CancelAttempt, SendAttempt
 from ironrail.policy.events import AttemptStatus, TimerFired
 from ironrail.policy.timers import HedgeDue
-
 from tests.driver import Driver, settings
 from tests.policy.fleets import CACHE_ASIDE, fleet
 
--- a/tests/policy/test_load_shedding.py
+++ b/tests/policy/test_load_shedding.py
@@ -4,7 +4,6 @@
 
 from ironrail.policy import load_shedding
 from ironrail.policy.events import AttemptStatus
-
 from tests.driver import Driver, settings
 from tests.policy.fleets import fleet
 
--- a/tests/policy/test_membership.py
+++ b/tests/policy/test_membership.py
@@ -6,7 +6,6 @@
 from ironrail.policy.actions import FetchEndpointList, LogMessage, SetTimer
 from ironrail.policy.endpoints import EndpointListKind
 from ironrail.policy.events import EndpointListUpdate, TimerFired
-
 from tests.driver import Driver, endpoint, settings
 from tests.policy.fleets import fleet
 
--- a/tests/policy/test_origin_queue.py
+++ b/tests/policy/test_origin_queue.py
@@ -3,9 +3,9 @@
 from __future__ import annotations
 
 import pytest
+
 from ironrail.policy import concurrency_limit
 from ironrail.policy.events import AttemptStatus, ClientDisconnected
-
 from tests.driver import Driver, Outcome, settings
 from tests.policy.fleets import CACHE_ASIDE, end_with_misses, fleet
 
--- a/tests/policy/test_outlier_detection.py
+++ b/tests/policy/test_outlier_detection.py
@@ -5,7 +5,6 @@
 import itertools
 
 from ironrail.policy.events import AttemptStatus
-
 from tests.driver import Driver, settings
 from tests.policy.fleets import fleet, servers_clockwise
 
--- a/tests/policy/test_policy_overrides.py
+++ b/tests/policy/test_policy_overrides.py
@@ -5,9 +5,9 @@
 from collections import Counter
 
 import pytest
+
 from ironrail.policy.events import AttemptStatus, PolicyOverridesChanged
 from ironrail.policy.settings import RequestClass, RetryBudgetSettings
-
 from tests.driver import Driver, Outcome, endpoint, settings
 
 ENDPOINTS = [endpoint(f"{zone}{n}", zone=zone) for zone in "ab" for n in range(3)]
--- a/tests/policy/test_random_events.py
+++ b/tests/policy/test_random_events.py
@@ -8,13 +8,13 @@
 from hypothesis import HealthCheck, Phase, given
 from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
+
 from ironrail.policy.discovery_freshness import FAILED_UPDATES
 from ironrail.policy.endpoints import EndpointListKind, EndpointState
 from ironrail.policy.events import AttemptStatus, ClientDisconnected, EndpointListUpdate
 from ironrail.policy.router import Router
 from ironrail.policy.settings import Idempotency, IdempotencyScope, RequestClass, RetryBudgetSettings
 from ironrail.policy.state import PendingRequest
-
 from tests.driver import Driver, Outcome, endpoint, settings
 from tests.policy.fleets import CACHE_ASIDE, fleet
 
--- a/tests/policy/test_request_lifecycle.py
+++ b/tests/policy/test_request_lifecycle.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import pytest
+
 from ironrail.policy import hash_ring
 from ironrail.policy.actions import Action, CancelAttempt, FailRequest, RejectRequest, SendAttempt, SetTimer
 from ironrail.policy.endpoints import EndpointListKind, EndpointState
@@ -17,7 +18,6 @@
     TimerFired,
 )
 from ironrail.policy.timers import HedgeDue, OriginPauseEnded, QueueWaitExpired
-
 from tests.driver import Driver, Outcome, endpoint, settings
 from tests.policy.fleets import CACHE_ASIDE, fleet
 
--- a/tests/policy/test_retry_budget.py
+++ b/tests/policy/test_retry_budget.py
@@ -4,7 +4,6 @@
 
 from ironrail.policy.events import AttemptStatus
 from ironrail.policy.settings import RetryBudgetSettings
-
 from tests.driver import Driver, Outcome, endpoint, settings
 from tests.policy.fleets import CACHE_ASIDE, fleet
 
--- a/tests/policy/test_retry_policy.py
+++ b/tests/policy/test_retry_policy.py
@@ -3,10 +3,10 @@
 from __future__ import annotations
 
 import pytest
+
 from ironrail.policy.actions import Action, SendAttempt
 from ironrail.policy.events import AttemptStatus
 from ironrail.policy.settings import Idempotency, IdempotencyScope, RequestClass
-
 from tests.driver import Driver, Outcome, settings
 from tests.policy.fleets import CACHE_ASIDE, fleet
 
--- a/tests/policy/test_ring_subsets.py
+++ b/tests/policy/test_ring_subsets.py
@@ -3,7 +3,6 @@
 from ironrail.policy import hash_ring
 from ironrail.policy.actions import CloseIdleConnections
 from ironrail.policy.endpoints import EndpointState
-
 from tests.driver import Driver, endpoint, settings
 
 
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -3,9 +3,9 @@
 from __future__ import annotations
 
 import pytest
+
 from ironrail.policy import slow_start
 from ironrail.policy.events import AttemptStatus
-
 from tests.driver import Driver, endpoint, settings
 from tests.policy.warming_fleet import ServerStart, play
 
--- a/tests/policy/test_zone_latency.py
+++ b/tests/policy/test_zone_latency.py
@@ -8,10 +8,10 @@
 import pytest
 from hypothesis import given
 from hypothesis import strategies as st
+
 from ironrail.policy.actions import SetTimer
 from ironrail.policy.events import AttemptStatus, LinkState, ZoneLink, ZoneLinksChanged
 from ironrail.policy.router import Router
-
 from tests.driver import Driver, endpoint, settings
 from tests.policy.decision_digests import digest
 from tests.policy.fleets import servers_clockwise
--- a/tests/readers_router.py
+++ b/tests/readers_router.py
@@ -9,6 +9,7 @@
 from typing import Any
 
 import pytest
+
 from ironrail.net.downstream.client_connection import ClientConnection
 from ironrail.net.peers import readers as driver
 from ironrail.operator_file import OperatorSettings, PeerSettings
@@ -16,7 +17,6 @@
 from ironrail.peers.consensus.consensus_node import DecidedBy
 from ironrail.peers.steering.carried import place
 from ironrail.peers.steering.expected import Hall
-
 from tests.net.lifecycle.test_handover import AdministeredWorld
 from tests.peers import LOCAL, Client
 
--- a/tests/recorded/test_browser.py
+++ b/tests/recorded/test_browser.py
@@ -11,7 +11,6 @@
 from ironrail.recorded.schedule import plan_of
 from ironrail.rehearsal.scenario.reader import parse_scenario
 from ironrail.rehearsal.virtual.play import play_virtual
-
 from tests.recorded.samples import importer
 from tests.recorded.test_import import run
 
--- a/tests/recorded/test_formats.py
+++ b/tests/recorded/test_formats.py
@@ -3,11 +3,11 @@
 from __future__ import annotations
 
 import pytest
+
 from ironrail.recorded.entry import Malformed
 from ironrail.recorded.fields import LineParser, make_raw
 from ironrail.recorded.formats import FormatError, compile_format
 from ironrail.recorded.times import clf_time
-
 from tests.recorded.samples import START, clf
 
 
--- a/tests/recorded/test_import.py
+++ b/tests/recorded/test_import.py
@@ -12,11 +12,11 @@
 import zstandard
 from hypothesis import given
 from hypothesis import strategies as st
+
 from ironrail.recorded.entry import Entry
 from ironrail.recorded.importing import BLANK, FOLDED, Importer
 from ironrail.recorded.sources import FROM_CACHE, LONGEST_LINE
 from ironrail.rehearsal.scenario.reader import ScenarioError
-
 from tests.recorded.samples import RULES, START, clf, importer, log_of, mapping
 
 Folders = pytest.TempPathFactory
--- a/tests/recorded/test_pure.py
+++ b/tests/recorded/test_pure.py
@@ -6,12 +6,12 @@
 
 from hypothesis import given
 from hypothesis import strategies as st
+
 from ironrail.recorded.clock import STEP_AFTER, Sorter
 from ironrail.recorded.entry import Entry
 from ironrail.recorded.folding import Folder
 from ironrail.recorded.mix import differences, mix_of
 from ironrail.recorded.scaling import SAFE, Chains, squeeze, superpose, thin
-
 from tests.recorded.samples import START, entry
 
 WINDOW = 2.5  # seconds in which a repeat of a key is dropped
--- a/tests/recorded/test_replay.py
+++ b/tests/recorded/test_replay.py
@@ -8,6 +8,7 @@
 
 import pytest
 from click.testing import CliRunner, Result
+
 from ironrail.cli import _commands
 from ironrail.recorded.entry import Entry
 from ironrail.recorded.scaling import scaled
@@ -17,7 +18,6 @@
 from ironrail.rehearsal.scenario.model import Scenario
 from ironrail.rehearsal.scenario.reader import parse_scenario
 from ironrail.rehearsal.virtual.play import play_virtual
-
 from tests.recorded.samples import RULES, START, clf, entry, log_of
 
 SCENARIO = 'summary = "x"\nlength = "10 s"\nwarm_up = "1 s"\n'
--- a/tests/recorded/test_trace.py
+++ b/tests/recorded/test_trace.py
@@ -10,10 +10,10 @@
 import pytest
 from hypothesis import given
 from hypothesis import strategies as st
+
 from ironrail.recorded import trace as form
 from ironrail.recorded.entry import Entry
 from ironrail.recorded.trace import Trace, TraceError, TraceWriter, write_trace
-
 from tests.recorded.samples import START, entry
 
 text = st.text(st.characters(codec="utf-8"), max_size=12)
--- a/tests/rehearsal/experiments/test_compare.py
+++ b/tests/rehearsal/experiments/test_compare.py
@@ -8,6 +8,7 @@
 import pytest
 from hypothesis import given
 from hypothesis import strategies as st
+
 from ironrail.rehearsal.experiments.compare import Word, compare, interval, settled
 from ironrail.rehearsal.experiments.plan import Experiment, Run, blocks
 from ironrail.rehearsal.experiments.run import state_of
--- a/tests/rehearsal/experiments/test_run.py
+++ b/tests/rehearsal/experiments/test_run.py
@@ -13,13 +13,13 @@
 
 import pytest
 from click.testing import CliRunner
+
 from ironrail.rehearsal.experiments.command import experiment as command
 from ironrail.rehearsal.experiments.crew import Worker
 from ironrail.rehearsal.experiments.plan import ExperimentError, Run, Variant, read_experiment
 from ironrail.rehearsal.experiments.store import Outcome, Store
 from ironrail.rehearsal.experiments.trees import PACKAGE, digest_of, make_tree
 from ironrail.rehearsal.scenario.reader import ScenarioError
-
 from tests.rehearsal.test_mutants import ROOT
 
 WORLD = """
--- a/tests/rehearsal/fleet/test_fleet.py
+++ b/tests/rehearsal/fleet/test_fleet.py
@@ -9,6 +9,7 @@
 import orjson
 import pytest
 from click.testing import CliRunner
+
 from ironrail.policy.candidate_selection import CandidateSelection
 from ironrail.policy.discovery_freshness import DiscoveryFreshness
 from ironrail.policy.slow_start import SlowStart
--- a/tests/rehearsal/fleet/test_parts.py
+++ b/tests/rehearsal/fleet/test_parts.py
@@ -6,6 +6,7 @@
 
 from hypothesis import given
 from hypothesis import strategies as st
+
 from ironrail.rehearsal.account.record import Call, ListCall, Record
 from ironrail.rehearsal.fleet.counts import Counts, count, judge_fleet
 from ironrail.rehearsal.losses.tap import Decided, Why
@@ -14,7 +15,6 @@
 from ironrail.rehearsal.standins.desk import Desk
 from ironrail.rehearsal.standins.warmth import Warmth
 from ironrail.rehearsal.virtual.play import play_virtual
-
 from tests.rehearsal.facts import Story, planned
 
 
--- a/tests/rehearsal/links/test_accord.py
+++ b/tests/rehearsal/links/test_accord.py
@@ -5,6 +5,7 @@
 from pathlib import Path
 
 import pytest
+
 from ironrail.rehearsal.links.accord_rig import ROUTERS, VOTERS
 from ironrail.rehearsal.links.accords import Stage, play
 from ironrail.rehearsal.links.plan import LinkFault, link_fault
--- a/tests/rehearsal/links/test_accord_faults.py
+++ b/tests/rehearsal/links/test_accord_faults.py
@@ -7,6 +7,7 @@
 from pathlib import Path
 
 import pytest
+
 from ironrail.peers.consensus import messages as m
 from ironrail.rehearsal.links.accord_rig import world
 from ironrail.rehearsal.links.accord_watch import spoken
--- a/tests/rehearsal/links/test_exchange.py
+++ b/tests/rehearsal/links/test_exchange.py
@@ -8,6 +8,7 @@
 from typing import Any
 
 import pytest
+
 from ironrail.net.discovery.endpoint_list import read_address
 from ironrail.peers.messages import MOST_DATAGRAM
 from ironrail.rehearsal.account.record import RouterFacts
@@ -19,7 +20,6 @@
 from ironrail.rehearsal.virtual.datagrams import MOST_WAITING, Datagrams
 from ironrail.rehearsal.virtual.loop import VirtualLoop
 from ironrail.rehearsal.virtual.process import Process
-
 from tests.peers import scenario as bounded
 from tests.rehearsal.links.test_plan import scenario
 
--- a/tests/rehearsal/links/test_halls.py
+++ b/tests/rehearsal/links/test_halls.py
@@ -6,6 +6,7 @@
 from pathlib import Path
 
 import pytest
+
 from ironrail.operator_file import OperatorSettings, PeerSettings
 from ironrail.rehearsal.links.grounds import VirtualLinks
 from ironrail.rehearsal.links.plan import LinkFault, link_fault
--- a/tests/rehearsal/links/test_plan.py
+++ b/tests/rehearsal/links/test_plan.py
@@ -5,6 +5,7 @@
 import pytest
 from hypothesis import given
 from hypothesis import strategies as st
+
 from ironrail.rehearsal.links.drawn import QUIET_END, draw_plan
 from ironrail.rehearsal.links.paths import PathError, Places, path_of
 from ironrail.rehearsal.links.plan import Kind, PlanError, check, link_fault, read_plan, steps
--- a/tests/rehearsal/links/test_readers.py
+++ b/tests/rehearsal/links/test_readers.py
@@ -6,7 +6,6 @@
 from pathlib import Path
 
 from ironrail.rehearsal.account.record import Outcome
-
 from tests.rehearsal.links.readers_stage import Played, play
 from tests.rehearsal.links.readers_world import World
 
--- a/tests/rehearsal/links/test_relay.py
+++ b/tests/rehearsal/links/test_relay.py
@@ -8,11 +8,11 @@
 from dataclasses import dataclass
 
 import pytest
+
 from ironrail.net.discovery.endpoint_list import read_address
 from ironrail.rehearsal.links.relay import ClientDoor
 from ironrail.rehearsal.standins.lanes import Way
 from ironrail.rehearsal.standins.listening import LOCAL, SocketListening
-
 from tests.peers import scenario
 
 Stream = tuple[asyncio.StreamReader, asyncio.StreamWriter]
--- a/tests/rehearsal/links/test_rig.py
+++ b/tests/rehearsal/links/test_rig.py
@@ -11,6 +11,7 @@
 import psutil
 import pytest
 import uvloop
+
 from ironrail.rehearsal.account.record import Outcome
 from ironrail.rehearsal.account.rules import LATE_GRANTED, OWN_SLACK
 from ironrail.rehearsal.ground import Router
--- a/tests/rehearsal/links/test_switch.py
+++ b/tests/rehearsal/links/test_switch.py
@@ -7,6 +7,7 @@
 from pathlib import Path
 
 import pytest
+
 from ironrail.net.system import REAL
 from ironrail.rehearsal.links.disk import FaultyStore
 from ironrail.rehearsal.links.switch import Drifting, Pace, Slot, Switch
--- a/tests/rehearsal/links/test_tier.py
+++ b/tests/rehearsal/links/test_tier.py
@@ -5,6 +5,7 @@
 from typing import Any
 
 import pytest
+
 from ironrail.peers.consensus.lease_table import LeaseTable
 from ironrail.rehearsal.links.drawn import draw_plan
 from ironrail.rehearsal.links.paths import Path
--- a/tests/rehearsal/list_stage.py
+++ b/tests/rehearsal/list_stage.py
@@ -13,7 +13,6 @@
 from ironrail.rehearsal.standins.world import World
 from ironrail.rehearsal.virtual.ground import VirtualGround
 from ironrail.rehearsal.virtual.loop import VirtualLoop
-
 from tests.rehearsal.facts import scenario
 from tests.rehearsal.stage import Wire, ask, wire
 
--- a/tests/rehearsal/losses/test_lay.py
+++ b/tests/rehearsal/losses/test_lay.py
@@ -5,12 +5,12 @@
 import pytest
 from hypothesis import given
 from hypothesis import strategies as st
+
 from ironrail.policy.events import AttemptStatus
 from ironrail.rehearsal.account.record import Ended, Outcome, Record
 from ironrail.rehearsal.account.service import account
 from ironrail.rehearsal.losses.lay import Causes, Laid, largest, lay
 from ironrail.rehearsal.losses.tap import Decided, Sent, Why
-
 from tests.rehearsal.facts import Story, planned, scenario
 
 S = scenario()
--- a/tests/rehearsal/losses/test_planted.py
+++ b/tests/rehearsal/losses/test_planted.py
@@ -5,6 +5,7 @@
 from collections.abc import Callable
 
 import pytest
+
 from ironrail.policy.actions import Action
 from ironrail.policy.concurrency_limit import ConcurrencyLimiter
 from ironrail.policy.events import AttemptEnded
--- a/tests/rehearsal/stage.py
+++ b/tests/rehearsal/stage.py
@@ -15,7 +15,6 @@
 from ironrail.rehearsal.standins.front import Front, Seen
 from ironrail.rehearsal.standins.registry import Registry
 from ironrail.rehearsal.standins.world import World
-
 from tests.peers import LOCAL, Peer
 from tests.rehearsal.facts import Story, planned
 from tests.rehearsal.facts import scenario as make_scenario
--- a/tests/rehearsal/test_clients_gone.py
+++ b/tests/rehearsal/test_clients_gone.py
@@ -5,6 +5,7 @@
 from typing import Any
 
 import pytest
+
 from ironrail.rehearsal import settings
 from ironrail.rehearsal.account.record import LEFT
 from ironrail.rehearsal.scenario.model import Scenario
--- a/tests/rehearsal/test_command.py
+++ b/tests/rehearsal/test_command.py
@@ -12,6 +12,7 @@
 import psutil
 import pytest
 from click.testing import CliRunner, Result
+
 from ironrail.rehearsal.lateness import Lateness
 from ironrail.rehearsal.scenario.faults import FaultKind
 from ironrail.rehearse import rehearse
--- a/tests/rehearsal/test_leaving.py
+++ b/tests/rehearsal/test_leaving.py
@@ -3,10 +3,10 @@
 from __future__ import annotations
 
 import pytest
+
 from ironrail.rehearsal.account.leaving import begun_after, sent_for_nobody, told_too_much
 from ironrail.rehearsal.account.record import LEFT, Ended, Outcome, Record
 from ironrail.rehearsal.account.rules import violations
-
 from tests.rehearsal.facts import Story, planned, scenario
 
 S = scenario()
--- a/tests/rehearsal/test_models.py
+++ b/tests/rehearsal/test_models.py
@@ -5,6 +5,7 @@
 import pytest
 from hypothesis import given
 from hypothesis import strategies as st
+
 from ironrail.rehearsal.standins.cores import Cores
 from ironrail.rehearsal.standins.store import OVERHEAD, Store
 from ironrail.rehearsal.standins.warmth import SLACK, Warmth
--- a/tests/rehearsal/test_new_days.py
+++ b/tests/rehearsal/test_new_days.py
@@ -5,6 +5,7 @@
 import asyncio
 
 import pytest
+
 from ironrail.rehearsal.account.record import Ended
 from ironrail.rehearsal.faults.carry import Carrier
 from ironrail.rehearsal.scenario.faults import FaultKind
@@ -18,7 +19,6 @@
 from ironrail.rehearsal.virtual.network import Network
 from ironrail.rehearsal.virtual.play import play_virtual
 from ironrail.rehearsal.virtual.trace import Trace
-
 from tests.peers import scenario, until
 from tests.rehearsal.stage import R, stage, wire
 from tests.rehearsal.test_mutants import FOLDER
--- a/tests/rehearsal/test_pipelines.py
+++ b/tests/rehearsal/test_pipelines.py
@@ -7,13 +7,13 @@
 
 import pytest
 from click.testing import CliRunner
+
 from ironrail.connections.upstream.socket_budget import connections_per_router
 from ironrail.operator_file import ConnectionSettings, OperatorSettings
 from ironrail.operator_reader import read_operator
 from ironrail.rehearsal.account.record import Ended, Record
 from ironrail.rehearsal.command import pipeline_report
 from ironrail.rehearsal.pipelines import Depth, lost_behind, operator_file
-
 from tests.rehearsal.facts import Story, planned
 from tests.rehearsal.test_command import TINY
 
--- a/tests/rehearsal/test_ports.py
+++ b/tests/rehearsal/test_ports.py
@@ -6,9 +6,9 @@
 import socket
 
 import pytest
+
 from ironrail.rehearsal.ground import FIRST_ROUTER_NETWORK, RealGround
 from ironrail.rehearsal.standins.listening import LOCAL
-
 from tests.peers import scenario
 
 
--- a/tests/rehearsal/test_refused.py
+++ b/tests/rehearsal/test_refused.py
@@ -5,13 +5,13 @@
 from dataclasses import replace
 
 import pytest
+
 from ironrail.rehearsal.account.answers import Answers, count_answers
 from ironrail.rehearsal.account.record import Attempt, Ended, Outcome, Record
 from ironrail.rehearsal.account.rules import violations
 from ironrail.rehearsal.account.service import account
 from ironrail.rehearsal.report.table import answers_line
 from ironrail.rehearsal.verdicts import judge
-
 from tests.rehearsal.facts import Story, planned, scenario
 
 S = scenario()
--- a/tests/rehearsal/test_rules.py
+++ b/tests/rehearsal/test_rules.py
@@ -3,9 +3,9 @@
 from __future__ import annotations
 
 import pytest
+
 from ironrail.rehearsal.account.record import Ended, Fallen, Outcome, Record
 from ironrail.rehearsal.account.rules import violations
-
 from tests.rehearsal.facts import Story, planned, scenario
 
 S = scenario()
--- a/tests/rehearsal/test_scenario.py
+++ b/tests/rehearsal/test_scenario.py
@@ -5,6 +5,7 @@
 from pathlib import Path
 
 import pytest
+
 from ironrail.rehearsal.scenario.reader import ScenarioError, parse_scenario, read_scenario
 from ironrail.rehearsal.scenario.units import read_size, read_time
 
--- a/tests/rehearsal/test_schedule.py
+++ b/tests/rehearsal/test_schedule.py
@@ -6,6 +6,7 @@
 from dataclasses import replace
 
 import pytest
+
 from ironrail.rehearsal.faults.plan import PlanError, make_plan, steps
 from ironrail.rehearsal.load.popularity import Popularity
 from ironrail.rehearsal.load.schedule import digest, make_schedule
--- a/tests/rehearsal/test_service.py
+++ b/tests/rehearsal/test_service.py
@@ -3,10 +3,10 @@
 from __future__ import annotations
 
 import pytest
+
 from ironrail.rehearsal.account.record import Ended, Outcome, Record
 from ironrail.rehearsal.account.service import account, quantiles
 from ironrail.rehearsal.lateness import Lateness
-
 from tests.rehearsal.facts import Story, planned, scenario
 
 S = scenario()
--- a/tests/rehearsal/test_soak.py
+++ b/tests/rehearsal/test_soak.py
@@ -8,6 +8,7 @@
 
 import click
 import pytest
+
 from ironrail.rehearsal.scenario.names import router_names
 from ironrail.rehearsal.soak import draw_world, read_seeds, read_violations, soak
 
--- a/tests/rehearsal/test_standins.py
+++ b/tests/rehearsal/test_standins.py
@@ -5,9 +5,9 @@
 import asyncio
 
 import pytest
+
 from ironrail.rehearsal.account.record import Ended
 from ironrail.rehearsal.scenario.faults import FaultKind
-
 from tests.peers import scenario, until
 from tests.rehearsal.stage import FAST, R, stage, wire
 
--- a/tests/rehearsal/test_standins_clients.py
+++ b/tests/rehearsal/test_standins_clients.py
@@ -3,9 +3,9 @@
 from __future__ import annotations
 
 import pytest
+
 from ironrail.rehearsal.account.record import Outcome
 from ironrail.rehearsal.standins.front import Front, Seen
-
 from tests.peers import scenario, until
 from tests.rehearsal.facts import planned
 from tests.rehearsal.stage import R, client_of, plan_of, stage
--- a/tests/rehearsal/virtual/test_alarms.py
+++ b/tests/rehearsal/virtual/test_alarms.py
@@ -5,6 +5,7 @@
 from pathlib import Path
 
 import pytest
+
 from ironrail.rehearsal.virtual.play import ALARMS
 
 NET = Path(__file__).parents[3] / "ironrail" / "net"
--- a/tests/rehearsal/virtual/test_exact.py
+++ b/tests/rehearsal/virtual/test_exact.py
@@ -8,9 +8,9 @@
 from pathlib import Path
 
 import pytest
+
 from ironrail.rehearsal.scenario.reader import parse_scenario, read_scenario
 from ironrail.rehearsal.virtual.play import play_virtual
-
 from tests.rehearsal.test_mutants import FOLDER, ROOT
 
 BUSY = """
--- a/tests/rehearsal/virtual/test_explore.py
+++ b/tests/rehearsal/virtual/test_explore.py
@@ -9,6 +9,7 @@
 from click.testing import CliRunner
 from hypothesis import given, settings
 from hypothesis import strategies as st
+
 from ironrail.policy.events import AttemptEnded, AttemptStatus
 from ironrail.policy.router import Router
 from ironrail.policy.state import AttemptId
--- a/tests/rehearsal/virtual/test_list_moves.py
+++ b/tests/rehearsal/virtual/test_list_moves.py
@@ -5,6 +5,7 @@
 from dataclasses import replace
 
 import pytest
+
 from ironrail.net.lifecycle.node import Node
 from ironrail.rehearsal.scenario.model import Scenario
 from ironrail.rehearsal.scenario.reader import parse_scenario
--- a/tests/rehearsal/virtual/test_loop.py
+++ b/tests/rehearsal/virtual/test_loop.py
@@ -8,6 +8,7 @@
 from typing import Any
 
 import pytest
+
 from ironrail.rehearsal.virtual.loop import START, Standstill, VirtualLoop
 from ironrail.rehearsal.virtual.process import Process
 
--- a/tests/rehearsal/virtual/test_replace.py
+++ b/tests/rehearsal/virtual/test_replace.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import pytest
+
 from ironrail.net.lifecycle.handover import Handover
 from ironrail.rehearsal.scenario.reader import read_scenario
 from ironrail.rehearsal.virtual.play import play_virtual
--- a/tests/rehearsal/virtual/transports.py
+++ b/tests/rehearsal/virtual/transports.py
@@ -7,6 +7,7 @@
 from typing import Any, cast
 
 import uvloop
+
 from ironrail.net.system import REAL, System
 from ironrail.rehearsal.scenario.model import Network as Conditions
 from ironrail.rehearsal.virtual.ground import VirtualSystem
--- a/tests/rehearsal/worlds/test_families.py
+++ b/tests/rehearsal/worlds/test_families.py
@@ -8,6 +8,7 @@
 import pytest
 from hypothesis import given, settings
 from hypothesis import strategies as st
+
 from ironrail.rehearsal.draws import stream
 from ironrail.rehearsal.faults.plan import make_plan
 from ironrail.rehearsal.scenario.model import Scenario
--- a/tests/test_halls.py
+++ b/tests/test_halls.py
@@ -9,6 +9,7 @@
 
 import orjson
 import pytest
+
 from ironrail.connections.upstream.pool_settings import PoolSettings
 from ironrail.net.peers.node_identity import NodeIdentity
 from ironrail.net.peers.transport import Peering, Tier
@@ -20,7 +21,6 @@
 from ironrail.operator_file import PeerSettings
 from ironrail.policy.events import AttemptStatus, LinkState, ZoneLink, ZoneLinksChanged
 from ironrail.rehearsal.standins.listening import LOCAL, SocketListening
-
 from tests.peers import Peer, scenario
 
 HALLS = ("north", "south")
--- a/tests/test_house.py
+++ b/tests/test_house.py
@@ -6,6 +6,7 @@
 from pathlib import Path
 
 import pytest
+
 from ironrail.policy.actions import SendAttempt
 
 ROOT = Path(__file__).parent.parent
--- a/tests/test_operator_file.py
+++ b/tests/test_operator_file.py
@@ -6,12 +6,12 @@
 from pathlib import Path
 
 import pytest
+
 from ironrail.__main__ import main
 from ironrail.net.lifecycle.node import Node
 from ironrail.operator_file import ConnectionSettings, OperatorError, OperatorSettings
 from ironrail.operator_reader import read_operator
 from ironrail.policy.endpoints import Endpoint
-
 from tests.peers import World, scenario
 
 ROOT = Path(__file__).parent.parent
--- a/tests/test_readers.py
+++ b/tests/test_readers.py
@@ -10,10 +10,10 @@
 from typing import Any
 
 import pytest
+
 from ironrail.diagnostics.reasons import ClientCloseReason
 from ironrail.net.peers import readers as driver
 from ironrail.net.peers.link_evidence import One
-
 from tests.peers import World, scenario
 from tests.readers_router import AWAY, HERE, ROW, Read
 
--- a/tests/test_simhost.py
+++ b/tests/test_simhost.py
@@ -10,6 +10,7 @@
 from typing import Any
 
 import pytest
+
 from ironrail.policy.actions import LogMessage, SendAttempt
 from ironrail.policy.settings import Idempotency, IdempotencyScope, RetryBudgetSettings
 from ironrail.policy.timers import EndpointListPollDue, HedgeDue, OriginPauseEnded, QueueWaitExpired, Timer
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -9,8 +9,8 @@
 from pathlib import Path
 
 import pytest
-from ironrail.net.peers.record_store import FolderStore, Keeper, RecordError
 
+from ironrail.net.peers.record_store import FolderStore, Keeper, RecordError
 from tests.peers import scenario
 
 OLD, NEW = b"an old record", b"a newer record, and longer"
--- a/tests/test_stored_forms.py
+++ b/tests/test_stored_forms.py
@@ -11,12 +11,12 @@
 
 import msgspec
 import pytest
+
 from ironrail.access_log.record import AccessRecord, RecordBuffer, RequestOutcome
 from ironrail.net.peers.record_store import FolderStore
 from ironrail.peers.consensus import messages as m
 from ironrail.peers.messages import Received, Topic
 from ironrail.peers.zone_latency import reports as latency_reports
-
 from tests.wire_tier import datagrams, meet, wire
 
 FORMS = Path(__file__).with_name("stored_forms.json")
