--- a/ironrail/policy/__init__.py
+++ b/ironrail/policy/__init__.py
@@ -7,6 +7,6 @@
   `slow_start` (warming up), `zone_latency` (too far), `discovery_freshness` (stale endpoint list);
 * why a request was retried, or not: `retry_policy` and `retry_budget`;
 * why a request was hedged, or not: `hedging`;
-* why a request was rejected: `admission` (load shedding and tenant rates), `request_lifecycle`;
+* why a request was rejected: `admission` (load shedding, tenant rates), `request_lifecycle`;
 * why a request waited for the origin: `origin_queue`.
 """
--- a/ironrail/policy/actions.py
+++ b/ironrail/policy/actions.py
@@ -1,4 +1,4 @@
-"""Actions: the orders that the policy gives.
+"""Actions: what the policy orders its host to do.
 
 `router.Router.handle` returns them, and its host carries them out in order. Times are seconds.
 """
@@ -17,9 +17,9 @@
     request_id: str
     server: str
     timeout: float | None = None  # seconds; None: until the client stops waiting
-    # of this request, from 0 in the order sent
+    # number of this attempt among those of its request, from 0 in the order sent
     attempt_number: int = field(default=0, compare=False)
-    # seconds in which its last byte is to be sent, or nothing of it; None: no bound
+    # seconds within which all of it must be sent, or else it must not be sent; None: no bound
     send_within: float | None = None
 
 
--- a/ironrail/policy/admission.py
+++ b/ironrail/policy/admission.py
@@ -1,7 +1,7 @@
-"""Admission control: is a new request taken on at all, or rejected before it costs anything?
+"""Admission control: whether a new request is accepted, or rejected before it causes any work.
 
-A rejection here means that the fleet answers too few requests in time (load shedding), or that the
-request's tenant is beyond its rate.
+A request is rejected here if the fleet answers too few requests in time (load shedding), or if its
+tenant exceeds its rate.
 """
 
 from __future__ import annotations
@@ -21,7 +21,8 @@
     def admits(self, now: float, pending: PendingRequest) -> bool:
         """Return whether a new request is admitted; only then it counts against its tenant's rate.
 
-        What goes to the origin alone is not shed: the load of the caches says nothing of it.
+        Requests that only the origin serves are not shed, as the load of the caches does not
+        concern them.
         """
         class_name = pending.request_class.name
         if not pending.needs_origin and self._load_shedding.should_shed(class_name):
--- a/ironrail/policy/attempt_sender.py
+++ b/ironrail/policy/attempt_sender.py
@@ -1,4 +1,4 @@
-"""Sending of attempts: the actions of a send, and what each part records of it."""
+"""Sends attempts: emits the actions of a send, and lets the other parts record it."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
 
 # mean latency above which a server is overloaded, as a fraction of the latency objective
 CACHE_LATENCY_TARGET_FRACTION = 0.25
-ORIGIN_LATENCY_TARGET_FRACTION = 0.5  # slow by nature
-DEFAULT_COST_FACTOR = 1.0  # of a request without a work hint, which counts as a mean one
+ORIGIN_LATENCY_TARGET_FRACTION = 0.5  # higher, as an origin is slower than a cache
+DEFAULT_COST_FACTOR = 1.0  # cost of a request without a work hint: that of a mean request
 
 
 class AttemptSender:
--- a/ironrail/policy/attempts_in_flight.py
+++ b/ironrail/policy/attempts_in_flight.py
@@ -1,4 +1,4 @@
-"""Attempts in flight: what is out at each server, and what the end of an attempt proves."""
+"""Attempts in flight at each server, and what the status of an ended attempt means."""
 
 from __future__ import annotations
 
@@ -7,18 +7,19 @@
 from ironrail.policy.events import AttemptEnded, AttemptStatus
 from ironrail.policy.state import Attempt, AttemptId
 
-# no answer came, though the connection held
+# no answer arrived, though the connection stayed open
 SILENT_STATUSES = (
     AttemptStatus.TIMEOUT,
     AttemptStatus.CANCELLED,
     AttemptStatus.CANCELLED_BEFORE_SEND,
 )
-# soon after the send these are a fault of the connection, and the server may be well
+# before the attempt is overdue these mean a fault of the connection; the server may be healthy
 BROKEN_CONNECTION_STATUSES = (
     AttemptStatus.RESET,
     AttemptStatus.ERROR,
     AttemptStatus.CANCELLED,
 )
+# the server did not execute the attempt
 NEVER_RAN_STATUSES = (
     AttemptStatus.BUSY,
     AttemptStatus.CONNECT_FAILED,
@@ -33,7 +34,7 @@
 
     def __init__(self) -> None:
         self._attempts: dict[AttemptId, Attempt] = {}
-        self.cache_count = 0  # of them, those at caches
+        self.cache_count = 0  # attempts in flight at caches
 
     def __len__(self) -> int:
         return len(self._attempts)
@@ -54,7 +55,7 @@
         self.cache_count += server.is_cache
 
     def finish(self, event: AttemptEnded) -> Attempt | None:
-        """Remove the attempt and note what its end proves; None if no such attempt is in flight."""
+        """Remove the attempt and set the fields that describe its end; None if it is unknown."""
         attempt = self._attempts.pop(AttemptId(event.request_id, event.attempt_number), None)
         if attempt is None:
             return None
--- a/ironrail/policy/candidate_selection.py
+++ b/ironrail/policy/candidate_selection.py
@@ -22,20 +22,21 @@
 from ironrail.policy.state import PendingRequest, Server
 from ironrail.policy.zone_latency import ZoneLatency
 
-# standard deviations above the mean load: with few requests in flight chance would split keys
+# Standard deviations added to the mean load. Without them, random variation with few requests in
+# flight would spread each key over several servers.
 LOAD_DEVIATION_FACTOR = 2.0
-MAX_VISITED_SERVERS = 3  # for one key: servers beyond these do not have it cached
-CONNECTED_FIRST_FRACTION = 1 / 4  # of the ring, searched for open connections
+MAX_VISITED_SERVERS = 3  # for each key; servers further clockwise do not have it cached
+CONNECTED_FIRST_FRACTION = 1 / 4  # of the servers, searched for one with an open connection
 
 
 class Verdict(Enum):
-    """What becomes of one server in the search for a candidate."""
+    """The result for one server in the search for a candidate."""
 
     CHOSEN = auto()
     OVER_BOUNDED_LOAD = auto()  # counts as visited, and may still be chosen
     AT_CONCURRENCY_LIMIT = auto()  # counts as visited
     INELIGIBLE = auto()
-    LAST_RESORT = auto()  # ejected, cut off or not connected: only where there is no other
+    LAST_RESORT = auto()  # ejected, cut off or not connected: chosen only if no other can be
 
 
 @dataclass(slots=True)
@@ -44,7 +45,7 @@
 
     now: float
     pending: PendingRequest
-    time_left: float  # seconds in which the answer must be back; infinite if that is no criterion
+    time_left: float  # seconds until the answer must arrive; infinite if that is not a criterion
     max_in_flight: int  # the bounded load
     connected_first: int  # servers without an open connection to pass over
     visited: set[str] = field(default_factory=set)
@@ -53,7 +54,7 @@
 
 
 class CandidateSelection:
-    """Chooses a cache by the ring, and by what each module of the policy knows of it."""
+    """Chooses a cache by the ring and by the state that the other parts keep of each server."""
 
     def __init__(
         self,
@@ -99,7 +100,7 @@
             if name in search.ineligible or name in search.last_resorts:
                 continue
             server = self.servers[name]
-            verdict = self._judge(search, server)
+            verdict = self._evaluate(search, server)
             if verdict is Verdict.CHOSEN:
                 return server
             if verdict is Verdict.LAST_RESORT:
@@ -118,7 +119,7 @@
         return next(iter(search.last_resorts.values()), None)
 
     def _bounded_load(self) -> int:
-        """Return how many attempts may be in flight at a server before a key passes it."""
+        """Return how many attempts may be in flight at a server before its keys go to the next."""
         # including this request, as a bound of 0 would pass over all servers
         mean = (self.attempts_in_flight.cache_count + 1) / len(self.ring.virtual_node_counts)
         return math.ceil(
@@ -143,7 +144,7 @@
             else:
                 yield name
 
-    def _judge(self, search: Search, server: Server) -> Verdict:
+    def _evaluate(self, search: Search, server: Server) -> Verdict:
         """Decide whether a server is chosen, and if not, how it is passed over."""
         now = search.now
         if search.time_left < math.inf and self.zone_latency.is_too_far(server, search.time_left):
@@ -163,7 +164,7 @@
         return Verdict.OVER_BOUNDED_LOAD
 
     def _is_eligible(self, now: float, pending: PendingRequest, server: Server) -> bool:
-        """Return whether a server may take the request now, whatever its load."""
+        """Return whether a server may take the request now, regardless of its load."""
         if self.concurrency_limiter.is_full(now, server):
             return False
         if any(a.server is server and not a.connection_broke for a in pending.attempts):
--- a/ironrail/policy/concurrency_limit.py
+++ b/ironrail/policy/concurrency_limit.py
@@ -1,4 +1,4 @@
-"""Adaptive concurrency limit: additive growth, multiplicative decrease, per server and router."""
+"""Adaptive concurrency limit (additive increase, multiplicative decrease) for each server."""
 
 from __future__ import annotations
 
@@ -19,21 +19,23 @@
 )
 from ironrail.policy.timers import OriginPauseEnded
 
-NUM_ROUTERS_PER_ORIGIN = 32  # that the origin serves with one fetch in flight each
-# Increase for each success before the first decrease, so that the limit of a new router fits the
-# load within seconds.
+NUM_ROUTERS_PER_ORIGIN = 32  # routers that the origin can serve with one fetch in flight each
+# Increase for each success before the first decrease, so that the limit of a new router reaches
+# the load within seconds.
 INITIAL_GROWTH_COUNT = 1.0
-MIN_ORIGIN_LIMIT = 1 / 4  # keeps attempts frequent enough to find the origin recovered
+MIN_ORIGIN_LIMIT = 1 / 4  # keeps attempts frequent enough to notice that the origin recovered
 MULTIPLICATIVE_DECREASE_FACTOR = 0.75
-MIN_UTILIZATION_RATIO = 1 / 2  # of the limit in use, for an answer to show that more is possible
-FAST_REFUSAL_FACTOR = 2  # times the timer resolution in which a stopped process refuses a connect
+# part of the limit that must be in use; otherwise an answer does not show that more is possible
+MIN_UTILIZATION_RATIO = 1 / 2
+# a stopped process refuses a connect within the timer resolution times this
+FAST_REFUSAL_FACTOR = 2
 
 
 class ConcurrencyLimiter:
     """Limits the attempts in flight at each server, and tracks abandoned ones."""
 
     def __init__(self, settings: Settings) -> None:
-        # in a subset of the usual size each router has one or two attempts at a server, too few to
+        # with the routers of a whole subset each has one or two attempts at a server, too few to
         # learn from
         self.servers_are_shared = settings.router_count >= NUM_ROUTERS_PER_SUBSET
         # minimum and growth step at the origin, which all routers share
@@ -43,7 +45,7 @@
         self._timer_resolution = settings.timer_resolution
 
     def is_full(self, now: float, server: Server) -> bool:
-        """Return whether a server is at its limit, counting abandoned attempts still in work."""
+        """Return whether a server is at its limit, counting abandoned attempts it works on."""
         while server.abandoned and server.abandoned[0].counted_until <= now:
             server.abandoned.popleft()
         return server.in_flight + len(server.abandoned) >= server.concurrency_limit
@@ -52,7 +54,7 @@
         """Count an abandoned attempt against the limit until its server has finished it.
 
         Servers take requests in turn, so an answer shows that all sent before it are done. A
-        rejection shows nothing, as it overtakes queued requests.
+        rejection shows nothing, as it is sent before queued requests are served.
         """
         server = attempt.server
         if status in (AttemptStatus.TIMEOUT, AttemptStatus.CANCELLED):
@@ -105,24 +107,24 @@
     def _decrease(self, now: float, attempt: Attempt, rejected: bool) -> None:
         """Reduce the limit, at most once in a latency target."""
         server = attempt.server
-        if now - server.limit_cut_at > attempt.latency_target:
+        if now - server.limit_decreased_at > attempt.latency_target:
             base = server.concurrency_limit
             if self.servers_are_shared and not rejected:
-                # a limit far above what is in flight would need many decreases to have an effect
+                # a limit far above the number in flight would need many decreases to have an effect
                 base = min(base, server.in_flight + 1)
             minimum = min(1.0, server.concurrency_limit)
             if rejected and not server.is_cache:
                 minimum = self._origin_share
             server.concurrency_limit = max(minimum, base * MULTIPLICATIVE_DECREASE_FACTOR)
-            server.limit_cut_at = now
+            server.limit_decreased_at = now
         is_overloaded = self.servers_are_shared and server.is_cache and attempt.unanswered
         if rejected or is_overloaded:
-            # what is in flight now is what the server can take
+            # the server can handle about as many attempts as are in flight now
             server.concurrency_limit = min(server.concurrency_limit, max(1.0, server.in_flight))
 
     def _increase(self, server: Server) -> None:
-        """Raise the limit: by 1 in a round of answers, faster before the first decrease."""
-        if server.limit_cut_at > -math.inf:
+        """Raise the limit: by 1 for each round of answers, faster before the first decrease."""
+        if server.limit_decreased_at > -math.inf:
             step = 1 / server.concurrency_limit
         elif server.is_cache:
             step = INITIAL_GROWTH_COUNT
--- a/ironrail/policy/connection_health.py
+++ b/ironrail/policy/connection_health.py
@@ -1,4 +1,4 @@
-"""What connections withstand: idle time, full accept queues, links over which connects time out."""
+"""Learns the idle time that connections survive, full accept queues, and connect timeouts."""
 
 from __future__ import annotations
 
@@ -11,10 +11,12 @@
 from ironrail.policy.settings import Settings
 from ironrail.policy.state import ANSWERED_STATUSES, SMOOTHING_FACTOR, Attempt, Server
 
-SIGNIFICANT_FRACTION = 0.15  # of failures, or more than elsewhere, that is not chance
-STALE_CONNECTION_RATIO = 0.25  # of the idle time of a lost connection that is still trusted
+# a fraction of failures, or a difference of two, above this is not random
+SIGNIFICANT_FRACTION = 0.15
+# idle time still trusted after a loss, as a fraction of the lost connection's idle time
+STALE_CONNECTION_RATIO = 0.25
 FAILURE_SMOOTHING_FACTOR = SMOOTHING_FACTOR / 2  # weight of the latest sample
-SLOW_CONNECT_FRACTION = 1 / 2  # of the connect timeout: a refusal is faster than that
+SLOW_CONNECT_FRACTION = 1 / 2  # of the connect timeout; a connect that is refused fails faster
 
 
 def _smoothed(fraction: float, failed: bool) -> float:
@@ -24,13 +26,13 @@
 
 @dataclass(slots=True)
 class FailureRates:
-    """Smoothed fractions, of 0 to 1, over the attempts of this router."""
+    """Smoothed fractions, from 0 to 1, over the attempts of this router."""
 
-    idle_losses: float = 0.0  # lost, of attempts on connections that were idle for long
-    other_losses: float = 0.0  # lost, of all other attempts
-    # refused at once, of connects to servers that did answer later: their accept queues were full
+    idle_losses: float = 0.0  # lost attempts on connections that were idle for long
+    other_losses: float = 0.0  # lost attempts among all others
+    # connects refused at once by servers that answered later: their accept queues were full
     full_accept_queues: float = 0.0
-    connect_timeouts: float = 0.0  # of connects
+    connect_timeouts: float = 0.0  # connects that timed out
 
 
 class ConnectionHealth:
@@ -64,7 +66,7 @@
     def on_attempt_sent(self, now: float, server: Server, actions: list[Action]) -> float:
         """Return how long the connection of an attempt was unused, in seconds; inf if it is new.
 
-        Has idle connections closed that are not expected to work any more.
+        Orders idle connections to be closed that are not expected to work any more.
         """
         idle = 0.0 if server.in_flight else now - server.last_used_at
         is_connected = self.is_connected(now, server)
@@ -78,7 +80,7 @@
     def on_attempt_ended(
         self, now: float, attempt: Attempt, event: AttemptEnded, lost: bool, actions: list[Action]
     ) -> None:
-        """Learn from an attempt; `lost` when a fault of server or connection took it."""
+        """Learn from an attempt; `lost` if a fault of server or connection ended it."""
         server = attempt.server
         connect_failed = event.status is AttemptStatus.CONNECT_FAILED
         if event.status in ANSWERED_STATUSES:
@@ -91,7 +93,7 @@
         self._record_loss(now, attempt, lost)
 
     def _should_close_idle(self, server: Server, failed: bool) -> bool:
-        """Return whether to close unused connections: as broken, or to free accept queues."""
+        """Return whether to close unused connections: likely broken, or filling accept queues."""
         if server.in_flight or server.last_used_at == -math.inf:
             return False
         return failed or self.rates.full_accept_queues > SIGNIFICANT_FRACTION
--- a/ironrail/policy/discovery_freshness.py
+++ b/ironrail/policy/discovery_freshness.py
@@ -1,8 +1,8 @@
 """Freshness of the endpoint list: when to poll for it, and which servers to use when it is stale.
 
-All routers poll one service that works through few calls. A call that waits too long there is
-refused, but worked off all the same, so routers that poll too fast get no answers. Polls are
-therefore spread by the number of routers, and more widely after each failure.
+All routers poll one service, which handles few calls at a time. A call that waits too long there
+is refused but still processed, so routers that poll too fast get no answers. Polls are therefore
+spread by the number of routers, and more widely after each failure.
 """
 
 from __future__ import annotations
@@ -16,18 +16,19 @@
 from ironrail.policy.state import Server
 
 NUM_CONCURRENT_POLLERS = 4  # routers that may poll at once
-POLL_SPREAD_RATIO = 0.3  # of the overload window, for each router beyond these
-FAILED_POLL_INTERVAL_FACTOR = 4.0  # times the poll interval that may pass after a failure
-POLL_INTERVAL_FRACTION = 0.7  # leaves time for the call itself
-# where few routers poll; with `net/discovery/watcher.py` it keeps within MAX_STALENESS_SECONDS
+POLL_SPREAD_RATIO = 0.3  # fraction of the overload window, added for each further router
+FAILED_POLL_INTERVAL_FACTOR = 4.0  # poll intervals that may pass after a failure
+POLL_INTERVAL_FRACTION = 0.7  # part of the interval to wait; the rest is for the call itself
+# Where few routers poll. With the delays of `net/discovery/watcher.py` the next list arrives within
+# MAX_STALENESS_SECONDS.
 MAX_BACKOFF_SECONDS = 0.5
-BACKOFF_WINDOW_RATIO = 1 / 4  # of the overload window, doubled from the first failure on
-# A change counts as known 6 s after it was missed, 2 s after a watch timed out, and 4 s after
-# the list moved. These leave a second, or the time that the watch waited.
+BACKOFF_WINDOW_RATIO = 1 / 4  # of the overload window; doubled by each failure, also the first
+# A router has to know a change 6 s after it was missed, 2 s after the wait of a watch, and 4 s
+# after a relocation. The limits leave a second; a watch also times out some time after its wait.
 MAX_STALENESS_SECONDS = 5.0
 WATCH_TIMEOUT_STALENESS_SECONDS = 0.5
 RELOCATION_STALENESS_SECONDS = 3.0
-NUM_IMMEDIATE_POLLS = 2  # after a watch timed out, without backoff
+NUM_IMMEDIATE_POLLS = 2  # polls without backoff after a watch timed out
 FAILED_UPDATES = (
     EndpointListKind.FAILED,
     EndpointListKind.MALFORMED,
@@ -55,12 +56,12 @@
         """Reset: a usable list arrived."""
         self.failures = 0  # in a row
         self._was_malformed = False
-        self._immediate_polls = 0  # left without backoff
-        self._uncertain_since = -math.inf  # a change may have been missed from then on
-        self._stale_at = math.inf  # from when on a missed change must have taken effect
+        self._immediate_polls = 0  # polls left that need no backoff
+        self._uncertain_since = -math.inf  # time from which changes may have been missed
+        self._stale_at = math.inf  # time from which missed changes must take effect
 
     def initial_delay(self, draws: random.Random) -> float:
-        """Return the seconds before the first poll, random as routers start together."""
+        """Return the seconds before the first poll; random, because routers start together."""
         max_delay = min(self.poll_spread, POLL_INTERVAL_FRACTION * self._poll_interval)
         return max_delay * draws.random() if max_delay else 0.0
 
@@ -75,7 +76,7 @@
         return max(self._uncertain_since, now - MAX_STALENESS_SECONDS)
 
     def is_usable(self, now: float, server: Server) -> bool:
-        """Return whether a server may be sent to, as far as the list and its answers show.
+        """Return whether the list and the server's answers permit to send to it.
 
         While the list is stale, a server that could not be connected to may have been removed,
         even if connects succeed again.
@@ -83,7 +84,7 @@
         is_stale = now >= self._stale_at
         if is_stale and server.connect_failed_at >= self._uncertain_since:
             return False
-        return server.proven_at >= self.require_success_since(now)
+        return server.last_success_sent_at >= self.require_success_since(now)
 
     def on_failure(
         self,
@@ -92,7 +93,7 @@
         draws: random.Random,
         uncertain_for: float | None = None,
     ) -> float:
-        """Return the seconds before the next poll after one that failed; 0 for now.
+        """Return the seconds before the next poll after one that failed; 0 to poll at once.
 
         Args:
             now: The time in seconds.
@@ -108,7 +109,7 @@
             staleness = WATCH_TIMEOUT_STALENESS_SECONDS if timed_out else MAX_STALENESS_SECONDS
             self.mark_uncertain(now - (uncertain_for or 0.0), staleness)
         if self._immediate_polls > 0:
-            # the waits of the watches have spread these
+            # these are spread already, as the watches of the routers end at different times
             self._immediate_polls -= 1
             return 0.0
         self.failures = min(self.failures + 1, MAX_BACKOFF_DOUBLINGS)
@@ -124,13 +125,13 @@
             max_backoff = min(max_backoff, MAX_BACKOFF_SECONDS)
         backoff = min(max_backoff, conf.overload_window * BACKOFF_WINDOW_RATIO * doublings)
         if not self._was_malformed:
-            # after a malformed answer the list is due within seconds, however many others poll
+            # after a malformed answer the list is needed within seconds, however many others poll
             backoff += self.poll_spread * doublings
         max_interval = POLL_INTERVAL_FRACTION * FAILED_POLL_INTERVAL_FACTOR * self._poll_interval
         return min(backoff, max_interval)
 
     def mark_uncertain(self, since: float, staleness: float) -> None:
-        """Record a possibly missed change since then, which takes effect `staleness` s later."""
+        """Record that a change may have been missed; it takes effect `staleness` seconds later."""
         if self._stale_at == math.inf:
             self._uncertain_since = since
         self._stale_at = min(self._stale_at, since + staleness)
--- a/ironrail/policy/endpoints.py
+++ b/ironrail/policy/endpoints.py
@@ -10,7 +10,7 @@
     """The state of a listed server."""
 
     READY = "ready"
-    DRAINING = "draining"  # finishes what it has, and gets no new attempts
+    DRAINING = "draining"  # finishes its attempts in flight, and gets no new ones
     REMOVED = "gone"
 
 
@@ -19,11 +19,11 @@
 
     DELTA = "delta"  # a watch event: only the endpoints that changed
     FULL = "full"
-    CACHED = "saved"  # complete, but it may be old
+    CACHED = "saved"  # complete, but possibly outdated
     FAILED = "failed"  # the call was refused or got no answer
-    MALFORMED = "spoilt"  # the answer broke off, or can't be used
-    WATCH_TIMED_OUT = "silent"  # the watch got no answer, not even an empty one, in its time
-    RELOCATED = "moved"  # discovery has another address now, where the list has to be fetched
+    MALFORMED = "spoilt"  # the answer was incomplete or invalid
+    WATCH_TIMED_OUT = "silent"  # the watch got no answer in time, not even an empty one
+    RELOCATED = "moved"  # the list has to be fetched from a new address of discovery
 
 
 @dataclass(slots=True, frozen=True)
@@ -32,7 +32,7 @@
 
     name: str
     state: EndpointState = EndpointState.READY
-    kind: str = ""  # its hardware; one kind marks the origins
+    kind: str = ""  # hardware; one kind marks the origins
     zone: str = ""
     cell: int = 0
     weight: float = 0.0  # relative capacity; 0: not stated
--- a/ironrail/policy/event_context.py
+++ b/ironrail/policy/event_context.py
@@ -1,4 +1,4 @@
-"""The event in hand: when it happened, and the actions that answer it so far."""
+"""The event that is being handled: its time, and the actions emitted for it so far."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class EventContext:
-    """Shared by the router, which begins it anew with each event, and by what appends actions."""
+    """Shared by the router, which resets it for each event, and the parts that append actions."""
 
     def __init__(self, now: float) -> None:
         self.now = now  # seconds on the host's clock
--- a/ironrail/policy/events.py
+++ b/ironrail/policy/events.py
@@ -1,6 +1,6 @@
-"""Events: the past facts that the policy decides by.
+"""Events: what has happened, as the input of the policy.
 
-A host hands them to `router.Router.handle`, one by one: the daemon's dispatcher, or the simulator.
+A host passes them to `router.Router.handle`, one by one: the daemon's dispatcher, or the simulator.
 Times are seconds on one clock that only advances.
 """
 
@@ -19,16 +19,16 @@
     """How an attempt ended."""
 
     OK = "ok"
-    ERROR = "error"  # the server answered with an error, or with what can't be read
+    ERROR = "error"  # the server answered with an error, or its answer was malformed
     BUSY = "busy"  # the server rejected it
     TIMEOUT = "timeout"
-    # not delivered for whatever reason: no connection, server draining, or not completely written
+    # not delivered for any reason: no connection, server draining, or not completely written
     CONNECT_FAILED = "connect_failed"
     RESET = "reset"  # the connection was closed before the answer was complete
     CANCELLED = "cancelled"
     CANCELLED_BEFORE_SEND = "cancelled_before_send"  # cancelled while it waited for a connection
     MISS = "miss"
-    NOT_SENT = "not_sent"  # withdrawn by the host; says nothing of the server
+    NOT_SENT = "not_sent"  # withdrawn by the host; says nothing about the server
 
 
 class LinkState(Enum):
@@ -36,13 +36,13 @@
 
     UNKNOWN = "unknown"
     GOOD = "good"
-    SLOW = "slow"  # much slower than usual
+    SLOW = "slow"  # much slower than its baseline
     CUT = "cut"
 
 
 @dataclass(slots=True, frozen=True)
 class ZoneLink:
-    """The link from the router's zone to another; an unknown one has the worst figures."""
+    """The link from the router's zone to another; an unknown one has the worst values."""
 
     state: LinkState = LinkState.UNKNOWN
     fastest: float = math.inf  # seconds of a quick round trip
@@ -69,7 +69,7 @@
     """
 
     drained_zones: frozenset[str] = frozenset()  # zones whose servers get no new attempts
-    # by request class: the excess load, as a fraction, from which on it is shed
+    # by request class: the excess load, as a fraction, from which the class is shed
     shed_thresholds: Mapping[str, float] = field(default_factory=dict)
     # by request class: the fraction of the retry budget that it may use
     retry_ratios: Mapping[str, float] = field(default_factory=dict)
@@ -79,14 +79,14 @@
 
 @dataclass(slots=True, frozen=True)
 class ZoneLinksChanged:
-    """The links to other zones have changed. Emitted by the peers' runtime, on changes alone."""
+    """The links to other zones have changed. Emitted by the peers' runtime, only on changes."""
 
     links: Mapping[str, ZoneLink] = field(default_factory=dict)  # by zone
 
 
 @dataclass(slots=True, frozen=True)
 class RequestReceived:
-    """A client's request has arrived; it is owed exactly one final answer within `time_left`."""
+    """A client's request has arrived; it gets exactly one final answer within `time_left`."""
 
     request_id: str
     class_name: str
@@ -112,13 +112,13 @@
     request_id: str
     attempt_number: int
     status: AttemptStatus
-    request_ended: bool = False  # with it the request: it was answered, or its client is gone
+    request_ended: bool = False  # the request ended too: answered, or its client disconnected
     latency: float = 0.0  # seconds from the send to the end
 
 
 @dataclass(slots=True, frozen=True)
 class ClientDisconnected:
-    """The client has left; it is owed no answer. Emitted by the host."""
+    """The client has disconnected and gets no answer. Emitted by the host."""
 
     request_id: str
 
--- a/ironrail/policy/hash_ring.py
+++ b/ironrail/policy/hash_ring.py
@@ -17,14 +17,15 @@
 
 RING_POSITION_BYTES = 2  # 2**16 positions
 MIN_VIRTUAL_NODES = 150  # on the whole ring
-# with a single node each, the share of a server would be left to chance
+# with a single node for each server, their shares would differ at random
 NUM_VIRTUAL_NODES_PER_SERVER = 15
-BOUNDED_LOAD_MARGIN_RATIO = 0.25  # load of a server above the mean before keys pass it
+BOUNDED_LOAD_MARGIN_RATIO = 0.25  # by which a server's load may exceed the mean
 NUM_ROUTERS_PER_SUBSET = 10  # routers that share a server where connections are costly
-MIN_SUBSET_SERVERS = 10  # more than one zone, so that the loss of a zone leaves some
-# a smaller loss, as in a release, keeps the subsets: most keys move when their number changes
+MIN_SUBSET_SERVERS = 10  # from several zones, so that the loss of one zone leaves some
+# Part of its minimum of servers below which there are fewer subsets. A smaller loss, as in a
+# release, must not change their number, because that moves most keys.
 SUBSET_SHRINK_RATIO = 0.7
-NUM_RECENT_KEYS = 64  # latest requests of this router by which hot keys are found
+NUM_RECENT_KEYS = 64  # latest requests of this router, in which hot keys are counted
 MAX_CACHED_HASHES = 2**12
 
 
@@ -40,7 +41,7 @@
 def allocate_virtual_nodes(weights: dict[str, float]) -> dict[str, int]:
     """Divide the virtual nodes among servers by weight, by the largest remainder method.
 
-    A server without a weight counts as one of mean weight. Ties go by name.
+    A server without a weight gets the mean weight. Ties are broken by name.
     """
     known = [weight for weight in weights.values() if weight > 0]
     mean = sum(known) / len(known) if known else 1.0
@@ -72,7 +73,7 @@
         if settings.connections_are_costly:
             self._max_subsets = math.ceil(settings.router_count / NUM_ROUTERS_PER_SUBSET)
         self.subset_count = 0  # 0 until the first endpoint list
-        self._largest_subset_count = 0  # the most for which there were enough warm servers
+        self._largest_subset_count = 0  # largest number that had enough warm servers so far
         self.hash = lru_cache(MAX_CACHED_HASHES)(ring_hash)
         self.recent_keys: deque[str] = deque(maxlen=NUM_RECENT_KEYS)
 
@@ -103,7 +104,7 @@
         }
 
     def _subset(self, caches: dict[str, Server]) -> list[str]:
-        """Return this router's caches; a change of the fleet moves only the borders of subsets."""
+        """Return this router's caches; a change of the fleet shifts only the ends of the subset."""
         names = sorted(caches, key=lambda name: (self.hash(name), name))
         index = self._router_index % self.subset_count
         begin = len(names) * index // self.subset_count
@@ -113,9 +114,9 @@
     def _update_subset_count(self, ready: int, warm: int) -> None:
         """Choose the number of subsets for a fleet of `ready` caches, `warm` of them warmed up.
 
-        It stays while few caches come and go. New caches count once they are warm: keys would
-        move while the caches that replace others hold little. After a loss of many the earlier
-        number is restored when they return.
+        It does not change while few caches come and go. New caches count once they are warm;
+        otherwise keys would move while the caches that replace others are still nearly empty.
+        After a loss of many caches the earlier number is restored when they return.
         """
         is_first = not self._largest_subset_count
         min_ready = SUBSET_SHRINK_RATIO * MIN_SUBSET_SERVERS * self.subset_count
@@ -148,7 +149,7 @@
     def relative_weight(self, server: Server) -> float:
         """Return the share of the ring that a warming server has, in multiples of the mean share.
 
-        Live weights rate a server without load too high, so they count as the mean at most.
+        Live weights rate a server without load too high, so the result is at most 1 with them.
         """
         count = self.virtual_node_counts[server.endpoint.name]
         weight = count * len(self.virtual_node_counts) / len(self.virtual_nodes)
@@ -157,8 +158,8 @@
     def count_replicas(self, key: str) -> int:
         """Return how many servers share a key, and count a request for it.
 
-        A hot key is spread by its share of recent requests, as no single router has enough of
-        it in flight to reach the bounded load.
+        A hot key is spread by its share of recent requests, because no single router has enough
+        requests for it in flight to reach the bounded load.
         """
         share = self.recent_keys.count(key) / NUM_RECENT_KEYS
         self.recent_keys.append(key)
--- a/ironrail/policy/hedging.py
+++ b/ironrail/policy/hedging.py
@@ -1,8 +1,8 @@
-"""Hedging: when is an attempt overdue, and may another server be asked beside or instead?
+"""Hedging: when an attempt is overdue, and whether the request is then sent to another server.
 
-A server that accepts work and answers nothing would hold a request until its client gives up. Half
-of the latency objective without an answer is taken for a loss, unless the whole fleet is slow: then
-a hedged request would add to the overload.
+A server that accepts work and never answers would hold a request until its client gives up. An
+attempt without an answer for half of the latency objective counts as lost, unless the whole fleet
+is slow: then a hedged request would add to the overload.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 from ironrail.policy.state import Attempt, PendingRequest, Server
 
 HEDGE_DELAY_FRACTION = 0.5  # of the latency objective: leaves time for another attempt
-MAX_LINK_DELAY_FRACTION = 0.5  # of the latency objective, that a slow link adds to that
+MAX_LINK_DELAY_FRACTION = 0.5  # of the latency objective: limit of the link's delay in it
 
 
 def hedge_delay(latency_objective: float, link_delay: float) -> float:
@@ -36,14 +36,14 @@
 
 
 class HedgingPolicy:
-    """Decides what becomes of an attempt whose hedge timer fires."""
+    """Decides whether an overdue attempt may be hedged or replaced."""
 
     def __init__(self, retry_policy: RetryPolicy, load_shedding: LoadShedding) -> None:
         self._retry_policy = retry_policy
         self._load_shedding = load_shedding
 
-    def may_overtake(self, now: float, pending: PendingRequest, attempt: Attempt) -> bool:
-        """Return whether a request may be sent again while this attempt of it is overdue."""
+    def may_send_another(self, now: float, pending: PendingRequest, attempt: Attempt) -> bool:
+        """Return whether another attempt may be sent because this one is overdue."""
         if pending.is_queued or pending.is_streaming or pending.needs_origin:
             return False
         if not self._load_shedding.is_uncongested(attempt.latency_objective):
--- a/ironrail/policy/load_shedding.py
+++ b/ironrail/policy/load_shedding.py
@@ -1,4 +1,4 @@
-"""Load shedding by the share of answers in time, and whether the fleet is congested."""
+"""Load shedding by the fraction of answers in time, and detection of a congested fleet."""
 
 from __future__ import annotations
 
@@ -11,16 +11,16 @@
 from ironrail.policy.slow_start import SlowStart
 from ironrail.policy.state import SERVED_STATUSES, SMOOTHING_FACTOR, Attempt
 
-UNCONGESTED_LATENCY_RATIO = 1 / 4  # of the objective: with a higher mean late answers are normal
-MAX_ATTEMPTS_PER_TIMELY_ANSWER = 1.5  # more are shed
-MAX_SHED_FRACTION = 0.9  # of new requests: the rest shows when the overload ends
-LATENCY_SMOOTHING_FACTOR = (
-    SMOOTHING_FACTOR / 4
-)  # weight of the latest sample in the mean of the fleet
+# mean latency, as a fraction of the objective, above which late answers are due to congestion
+UNCONGESTED_LATENCY_RATIO = 1 / 4
+MAX_ATTEMPTS_PER_TIMELY_ANSWER = 1.5  # requests in excess of this ratio are shed
+MAX_SHED_FRACTION = 0.9  # of new requests; the others show when the overload ends
+# weight of the latest sample in the mean latency of the fleet
+LATENCY_SMOOTHING_FACTOR = SMOOTHING_FACTOR / 4
 
 
 class LoadShedding:
-    """Counts answers of caches, decayed over the slow start duration, and sheds by them."""
+    """Sheds requests by counts of the caches' answers, decayed over the slow start duration."""
 
     def __init__(
         self,
@@ -34,13 +34,13 @@
         self._slow_start = slow_start
         self._overrides = overrides
         self._decay_seconds = settings.slow_start_duration
-        self.answers = 0.0  # decayed count, with the requests that were shed
+        self.answers = 0.0  # decayed count, including requests that were shed
         self._timely_answers = 0.0  # decayed count
         self._decayed_at = now
         self.mean_latency = 0.0  # seconds, smoothed, of all caches
 
     def should_shed(self, class_name: str) -> bool:
-        """Return whether to reject a new request, before it costs the fleet anything.
+        """Return whether to reject a new request, before it causes the fleet any work.
 
         The more an overloaded fleet is sent, the fewer requests it answers in time.
         """
@@ -51,7 +51,7 @@
         if override is not None:
             shed = override
         if shed:
-            # counts as sent, or shedding would stop while the fleet is still slow
+            # counts as an answer, or shedding would stop while the fleet is still slow
             self.answers += 1
         return shed
 
--- a/ironrail/policy/membership.py
+++ b/ironrail/policy/membership.py
@@ -1,4 +1,4 @@
-"""Membership: the servers of the endpoint list, and what its updates change."""
+"""Membership: the servers of the endpoint list, and how its updates change them."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ServerCounts:
-    """Servers of the endpoint list."""
+    """Counts of the servers in the endpoint list."""
 
     listed: int
     unavailable: int  # of these, draining or ejected
@@ -76,7 +76,7 @@
         if endpoint.state is EndpointState.REMOVED:
             self.servers.pop(endpoint.name, None)
         elif known is None or endpoint.started_at > known.endpoint.started_at:
-            # nothing that was learned of an earlier process holds for a new one
+            # nothing that was learned about the previous process applies to the new one
             is_origin = self._settings.cache_aside and endpoint.kind == self._settings.origin_kind
             self.servers[endpoint.name] = Server(endpoint, is_cache=not is_origin)
         else:
--- a/ironrail/policy/origin_queue.py
+++ b/ironrail/policy/origin_queue.py
@@ -1,7 +1,7 @@
-"""The queue for the origin: requests that wait until an origin may be sent another one.
+"""The queue for the origin: requests that wait until an origin may be sent another attempt.
 
-Requests that no server is known for wait here too, until the next endpoint list. One that is
-rejected or failed from here did not get its turn in time.
+While no server is known all requests wait here, until the next endpoint list. A request that is
+rejected or failed while it is queued could not be sent in time.
 """
 
 from __future__ import annotations
@@ -13,15 +13,16 @@
 from ironrail.policy.endpoints import EndpointState
 from ironrail.policy.state import PendingRequest, Server
 
-# mean latencies of the origin that have to be left: a fetch that is given up midway is lost work
+# Mean latencies of the origin that must be left for an attempt. A fetch needs more than a write,
+# because one that is abandoned midway is wasted work.
 FETCH_LATENCY_FACTOR = 2.0
 WRITE_LATENCY_FACTOR = 1.0
-MAX_STALE_FACTOR = 2  # entries of the queue for each pending request before stale ones are dropped
+MAX_STALE_FACTOR = 2  # queue entries per pending request, above which stale ones are dropped
 
 
 @dataclass(slots=True, frozen=True, order=True)
 class QueueEntry:
-    """A place in the queue: the highest priority weight first, then the oldest."""
+    """An entry of the queue, ordered by priority weight, the highest first, then by age."""
 
     negative_priority: float
     sequence_number: int
@@ -29,9 +30,9 @@
 
 
 class OriginQueue:
-    """The requests that wait; it alone writes `PendingRequest.is_queued`.
+    """A priority queue of requests; the only writer of `PendingRequest.is_queued`.
 
-    A request that leaves out of turn stays in the heap as a stale entry, which is skipped later.
+    A request that is discarded stays in the heap as a stale entry, which is skipped later.
     """
 
     def __init__(self) -> None:
@@ -42,11 +43,11 @@
         return len(self._entries)
 
     def push(self, pending: PendingRequest, pending_count: int) -> None:
-        """Let a request wait.
+        """Add a request to the queue.
 
         Args:
             pending: The request.
-            pending_count: Pending requests of the router, which bound the size of the queue.
+            pending_count: Pending requests of the router, which limit the size of the queue.
         """
         pending.is_queued = True
         self._sequence_number += 1
@@ -66,7 +67,7 @@
         return None
 
     def discard(self, pending: PendingRequest) -> None:
-        """Let a request wait no longer; it may not be in the queue at all."""
+        """Take a request out of the queue, if it is in it."""
         pending.is_queued = False
 
     def clear(self, pending_requests: Iterable[PendingRequest]) -> list[PendingRequest]:
@@ -96,7 +97,7 @@
 def can_finish_in_time(now: float, pending: PendingRequest, origin: Server) -> bool:
     """Return whether an attempt at the origin is likely to be answered in time.
 
-    An idle origin is tried in any case, so that its latency is learned anew.
+    An idle origin is tried in any case, so that its latency is measured again.
     """
     if now >= pending.give_up_at:
         return False
--- a/ironrail/policy/outlier_detection.py
+++ b/ironrail/policy/outlier_detection.py
@@ -1,6 +1,6 @@
 """Outlier detection: servers that fail are ejected for a time, which grows with each failure.
 
-No probes are sent. `candidate_selection` passes over an ejected server while it has another one;
+No probes are sent. `candidate_selection` skips an ejected server if there is another candidate;
 after `Server.ejected_until` the next request of one of its keys goes to it as to any other.
 """
 
@@ -17,7 +17,7 @@
 from ironrail.policy.slow_start import SlowStart
 from ironrail.policy.state import ANSWERED_STATUSES, SERVED_STATUSES, Attempt, Server
 
-FIRST_EJECTION_RATIO = 1 / 2  # of the shortest latency objective
+FIRST_EJECTION_RATIO = 1 / 2  # fraction of the shortest latency objective
 
 
 class OutlierDetection:
@@ -25,7 +25,7 @@
 
     Each loss in a row doubles the ejection of a cache, up to the slow start duration; an answer
     ends the row. A restarted server is a new `Server`, which is not ejected. An origin is ejected
-    for the first duration only, which is counted in the metrics; it is sent to all the same.
+    for the first duration only, which is counted in the metrics; it still gets attempts.
     """
 
     def __init__(
@@ -42,21 +42,21 @@
         self._connections = connections
         shortest_objective = min(c.latency_objective for c in settings.classes.values())
         self._first_ejection = shortest_objective * FIRST_EJECTION_RATIO
-        # a warming server returns no sooner than the window that its budget is counted in
+        # a warming server is ejected at least for the window in which its budget is counted
         self._first_ejection_warming = settings.overload_window
         self._max_ejection = settings.slow_start_duration
 
     def on_attempt_ended(
         self, now: float, attempt: Attempt, event: AttemptEnded, actions: list[Action]
     ) -> None:
-        """Learn from an attempt that is no longer counted as in flight."""
+        """Learn from an attempt that has ended and is no longer counted as in flight."""
         server = attempt.server
         if event.status in ANSWERED_STATUSES:
             server.consecutive_losses = 0
             if server.is_cache:
                 self._load_shedding.on_answer(now, attempt, event)
                 if event.status in SERVED_STATUSES:
-                    server.proven_at = max(server.proven_at, attempt.sent_at)
+                    server.last_success_sent_at = max(server.last_success_sent_at, attempt.sent_at)
             lost = False
         else:
             lost = self._on_loss(now, attempt, event.status)
--- a/ironrail/policy/policy_overrides.py
+++ b/ironrail/policy/policy_overrides.py
@@ -7,12 +7,12 @@
 from ironrail.policy.events import PolicyOverridesChanged
 from ironrail.policy.settings import Settings
 
-TENANT_BURST_SECONDS = 1.0  # of a tenant's rate that may arrive at once
+TENANT_BURST_SECONDS = 1.0  # a burst may have as many requests as the rate allows in this time
 
 
 @dataclass(slots=True)
 class TokenBucket:
-    """What is left of a tenant's rate."""
+    """The requests that a tenant may still send under its rate."""
 
     tokens: float  # requests
     refilled_at: float  # seconds
@@ -36,7 +36,7 @@
         }
 
     def is_drained(self, zone: str) -> bool:
-        """Return whether servers in a zone take nothing new."""
+        """Return whether the servers in a zone get no new attempts."""
         return zone in self.current.drained_zones
 
     def retry_ratio(self, request_class: str) -> float:
@@ -53,8 +53,8 @@
     def exceeds_tenant_rate(self, now: float, tenant: str) -> bool:
         """Return whether a request exceeds its tenant's rate; if not, it takes a token.
 
-        A rate is of all routers together, and each allows an equal part of it. Where traffic is
-        uneven a tenant gets less than its rate, never more.
+        A rate holds for all routers together, and each allows an equal part of it. If a tenant's
+        traffic is uneven it gets less than its rate, never more.
         """
         rate = self.current.tenant_rates.get(tenant)
         if rate is None:
--- a/ironrail/policy/request_lifecycle.py
+++ b/ironrail/policy/request_lifecycle.py
@@ -1,4 +1,4 @@
-"""The life of a request: admitted, sent, retried, hedged or queued, and answered exactly once.
+"""Lifecycle of a request: admitted, sent, retried, hedged or queued, and answered exactly once.
 
 It is retried when its attempts have ended without an answer, as `retry_policy.py` and
 `retry_budget.py` permit, and hedged when one is overdue while the fleet is not congested
@@ -6,12 +6,12 @@
 
 Each request ends in one of these ways:
 
-* an attempt is answered, and the host sends the answer on;
+* an attempt is answered, and the host forwards the answer;
 * it is rejected (`RejectRequest`): the client may safely retry;
-* it is failed (`FailRequest`): it may have taken effect;
+* it fails (`FailRequest`): it may have taken effect;
 * its client disconnects.
 
-A request is rejected or failed when it is not admitted (`admission.py`), when no server may be sent
+A request is rejected or fails when it is not admitted (`admission.py`), when no server may be sent
 its next attempt (`candidate_selection.py`, `retry_policy.py`, `retry_budget.py`), or when an origin
 can't answer it in time (`origin_queue.py`).
 """
@@ -41,7 +41,7 @@
 
 @dataclass(eq=False)
 class RequestLifecycle:
-    """Follows each request from its arrival to its final answer, and asks the other parts."""
+    """Takes each request from its arrival to its final answer, as the other parts decide."""
 
     settings: Settings
     context: EventContext
@@ -88,7 +88,7 @@
         )
 
     def advance(self, pending: PendingRequest) -> None:
-        """Send the next attempt of a request, let it wait for an origin, or give it up."""
+        """Send the next attempt of a request, queue it for an origin, or give it up."""
         self.rebuild_ring_if_needed()
         if self.context.now >= pending.give_up_at:
             self._give_up(pending)
@@ -113,14 +113,14 @@
         self.attempt_sender.send(self.context.now, pending, server, self.context.actions)
 
     def _wait_for_origin(self, pending: PendingRequest) -> None:
-        """Queue a request, with a timer that answers it in time whatever else happens."""
+        """Queue a request, and set a timer by which it is answered in time in any case."""
         timer = QueueWaitExpired(pending.request.request_id)
         self.context.actions.append(SetTimer(pending.give_up_at - self.context.now, timer))
         self.origin_queue.push(pending, len(self.pending_requests))
         self.serve_queue()
 
     def serve_queue(self) -> None:
-        """Send queued requests to the origin for as long as it may be sent more."""
+        """Send queued requests to the origin while it may be sent more."""
         while self.origin_queue:
             origin = available_origin(self.context.now, self.servers.values())
             if origin is None:
@@ -137,12 +137,12 @@
             self._give_up(pending)
 
     def advance_queued(self) -> None:
-        """Decide anew on all queued requests, as the endpoint list has changed."""
+        """Decide again on all queued requests after a change of the endpoint list."""
         for pending in self.origin_queue.clear(self.pending_requests.values()):
             self.advance(pending)
 
     def on_queue_wait_expired(self, request_id: str) -> None:
-        """Answer a request that has waited as long as it may, if the origin can't take it now."""
+        """Answer a request whose waiting time is over, unless the origin can take it now."""
         self.serve_queue()
         pending = self.pending_requests.get(request_id)
         if pending is None or not pending.is_queued:
@@ -172,12 +172,12 @@
             self._give_up(pending)
 
     def on_hedge_due(self, request_id: str, attempt_number: int) -> None:
-        """Hedge an overdue attempt; where no two may be in flight cancel it, to be retried."""
+        """Hedge an overdue attempt, or cancel it for a retry where two must not be in flight."""
         pending = self.pending_requests.get(request_id)
         attempt = self.attempts_in_flight.get(AttemptId(request_id, attempt_number))
         if pending is None or attempt is None:
             return
-        if not self.hedging.may_overtake(self.context.now, pending, attempt):
+        if not self.hedging.may_send_another(self.context.now, pending, attempt):
             return
         if self.settings.hedging_allowed:
             self._hedge(pending)
@@ -208,13 +208,13 @@
             self._close(pending)
 
     def on_deadline_reached(self, request_id: str) -> None:
-        """Answer a request whose own timer may be due an instant later."""
+        """Answer a request whose own timer may fire only after the host's deadline."""
         pending = self.pending_requests.get(request_id)
         if pending is not None:
             self._give_up(pending)
 
     def _give_up(self, pending: PendingRequest) -> None:
-        """Reject a request, or fail it where that is not safe; first let its attempts end."""
+        """Reject a request, or fail it if that is not safe, unless attempts of it are in flight."""
         if pending.is_streaming or pending.open_attempt_count():
             self.origin_queue.discard(pending)
             return
@@ -227,7 +227,7 @@
         self._close(pending)
 
     def _close(self, pending: PendingRequest) -> None:
-        """Drop a request that is owed nothing any more."""
+        """Remove a request that needs no answer any more."""
         self.origin_queue.discard(pending)
         del self.pending_requests[pending.request.request_id]
         self._cancel_open_attempts(pending)
--- a/ironrail/policy/retry_budget.py
+++ b/ironrail/policy/retry_budget.py
@@ -1,8 +1,8 @@
-"""The retry budget: how many extra attempts the requests of one router may share.
+"""The retry budget: how many extra attempts all requests of one router may use together.
 
-An extra attempt is a retry or a hedged request. The budget bounds the load that these add when
-servers fail, so that an overload does not feed itself. A request that the budget ends is rejected
-or failed although its class would permit another attempt.
+An extra attempt is a retry or a hedged request. The budget limits the load that these add when
+servers fail, so that retries do not amplify an overload. When it is used up a request is rejected
+or fails although its class would permit another attempt.
 """
 
 from __future__ import annotations
@@ -13,16 +13,16 @@
 from ironrail.policy.settings import RetryBudgetSettings, Settings
 from ironrail.policy.state import PendingRequest
 
-# where the settings state no budget, over the duration of a slow start
+# budget over the duration of a slow start, if the settings contain none
 DEFAULT_RETRY_RATIO = 0.2  # extra attempts for each request
-DEFAULT_RESERVE_ATTEMPTS = 10.0  # covers what is in flight at a server that is lost
+DEFAULT_RESERVE_ATTEMPTS = 10.0  # covers the attempts in flight at a server that fails
 
 
 class RetryBudget:
     """Allows `reserve + ratio x requests` extra attempts in any `window` seconds.
 
-    An attempt is charged to the budget unless its request has a retry token left. A request has one
-    token for its first attempt, and gets one for each miss: a fetch after a miss is regular work.
+    An attempt is charged to the budget unless its request has a free attempt left. The first
+    attempt of a request is free, and so is one after each miss, as that fetch is regular work.
     """
 
     def __init__(self, settings: Settings, policy_overrides: PolicyOverrides) -> None:
@@ -53,7 +53,7 @@
         return len(self._charge_times) + 1 <= allowed
 
     def on_attempt_sent(self, now: float, pending: PendingRequest) -> None:
-        """Take a token of the request or, if it has none left, charge the budget."""
+        """Use a free attempt of the request or, if it has none left, charge the budget."""
         if pending.free_attempts > 0:
             pending.free_attempts -= 1
         else:
@@ -61,6 +61,6 @@
 
 
 def _discard_until(time: float, times: deque[float]) -> None:
-    """Drop what has left the window."""
+    """Drop the entries up to `time`, which are outside the window."""
     while times and times[0] <= time:
         times.popleft()
--- a/ironrail/policy/retry_policy.py
+++ b/ironrail/policy/retry_policy.py
@@ -1,4 +1,4 @@
-"""The retry policy: may this request be sent (again), to this server, or be rejected?
+"""The retry policy: whether a request may be sent (again), to which server, or be rejected.
 
 An attempt that may have run on a server must not take effect twice. The answer depends on the
 idempotency of the request's class:
@@ -65,10 +65,10 @@
         return _first_sent_at(may_have_run) + request_class.idempotency_window - now
 
     def calls_for_attempt(self, pending: PendingRequest, status: AttemptStatus) -> bool:
-        """Return whether an attempt that ended without the answer is followed by another one now.
+        """Return whether an attempt that ended without an answer is followed by another one now.
 
-        While another attempt is in flight its answer is awaited; but where requests may be hedged
-        a miss goes on to the origin at once.
+        While another attempt is in flight its answer is awaited, except that after a miss the
+        origin is tried at once if requests may be hedged.
         """
         if pending.is_queued or pending.is_streaming:
             return False
@@ -80,10 +80,10 @@
     def on_attempt_failed(
         self, pending: PendingRequest, attempt: Attempt, status: AttemptStatus
     ) -> None:
-        """Settle what the next attempt may use: a free one after a miss, the origin or a cache.
+        """Decide whether the next attempt is free, and whether it goes to the origin or a cache.
 
-        With `cache_aside` the other caches lack the key, so the origin is next; only after a broken
-        connection the same cache is asked again, as it most likely still has the key.
+        With `cache_aside` the other caches lack the key, so the origin is next. Only after a broken
+        connection the same cache is tried again, because it most likely still has the key.
         """
         if status is AttemptStatus.MISS:
             self._retry_budget.on_miss(pending)
--- a/ironrail/policy/router.py
+++ b/ironrail/policy/router.py
@@ -1,8 +1,8 @@
 """Every decision of a router, as a state machine without I/O.
 
-Events (`ironrail/policy/events.py`) go in, actions (`ironrail/policy/actions.py`) come out. Each
-module beside this one decides one thing and owns the state that it needs. The router wires these
-parts and hands each event to those that it concerns.
+Its input are events (`ironrail/policy/events.py`), its output actions
+(`ironrail/policy/actions.py`). Each other module of this package makes one kind of decision and
+owns the state for it. The router connects these parts and passes each event to those it concerns.
 """
 
 from __future__ import annotations
@@ -66,7 +66,7 @@
         self.requests = self._new_request_lifecycle()
 
     def _wire_fleet(self, now: float) -> None:
-        """Create the parts that know the servers, and what the operators override."""
+        """Create the parts that keep the state of the servers and the operators' overrides."""
         settings = self.settings
         self.policy_overrides = PolicyOverrides(settings)
         self.zone_latency = ZoneLatency()
@@ -138,11 +138,11 @@
 
     @property
     def pending_requests(self) -> dict[str, PendingRequest]:
-        """The requests that are owed their final answers, by request id."""
+        """The requests without a final answer so far, by request id."""
         return self.requests.pending_requests
 
     def handle(self, now: float, event: Event) -> list[Action]:
-        """Take one event and return the actions that answer it, to be carried out in order."""
+        """Handle one event and return the resulting actions, to be carried out in order."""
         self.context.begin(now)
         match event:
             case AttemptEnded():
@@ -180,7 +180,7 @@
             self.requests.serve_queue()
 
     def _learn_from(self, attempt: Attempt, event: AttemptEnded) -> None:
-        """Have each part learn of the server from the end of an attempt."""
+        """Let each part learn about the server from the end of an attempt."""
         now = self.context.now
         actions = self.context.actions
         if self.concurrency_limiter.servers_are_shared and attempt.server.is_cache:
--- a/ironrail/policy/settings.py
+++ b/ironrail/policy/settings.py
@@ -1,4 +1,4 @@
-"""Settings of the policy, given once at its start. Times are seconds."""
+"""Settings of the policy, passed once at its start. Times are seconds."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
     """Whether requests of a class may be repeated."""
 
     SAFE = "safe"
-    IDEMPOTENCY_KEY = "keyed"  # servers of one scope drop repeats of its key for a while
+    IDEMPOTENCY_KEY = "keyed"  # servers of one scope ignore repeats of a key for some time
     UNSAFE = "unsafe"
 
 
@@ -28,11 +28,11 @@
     """A class of requests and what its clients expect."""
 
     name: str
-    latency_objective: float  # seconds in which an answer is in time
+    latency_objective: float  # seconds within which an answer is in time
     idempotency: Idempotency = Idempotency.SAFE
     idempotency_scope: IdempotencyScope = IdempotencyScope.ALL
     idempotency_window: float = 0.0  # seconds for which a server remembers a key
-    priority_weight: float = 1.0  # the highest goes first to the origin
+    priority_weight: float = 1.0  # the highest weight is sent first to the origin
     client_timeout: float = math.inf  # seconds that a client waits at most
 
 
@@ -57,8 +57,8 @@
     origin_kind: str | None = None  # `Endpoint.kind` of the origins
 
     # discovery
-    polls_endpoint_list: bool = False  # the list has to be called for
-    # seconds without a call until the list counts as stale; four times that after a failed call
+    polls_endpoint_list: bool = False  # the list is polled, not pushed
+    # seconds without a poll until the list counts as stale; four times that after a failed one
     poll_interval: float = math.inf
 
     # attempts
@@ -69,17 +69,17 @@
 
     # servers that warm up
     slow_start_share: float = 0.3  # fraction of its capacity that a server has when it starts
-    slow_start_duration: float = 10.0  # seconds until it has all of it
-    overload_multiple: float = 2.0  # times a fair load that overload a warming server
-    overload_window: float = 1.0  # seconds in which that load is counted
+    slow_start_duration: float = 10.0  # seconds until it has its full capacity
+    overload_multiple: float = 2.0  # multiple of a fair load that overloads a warming server
+    overload_window: float = 1.0  # seconds over which that load is counted
 
     # the routers
     router_index: int = 0  # of this router, from 0
     router_count: int = 1
-    live_weights: bool = False  # endpoint weights follow the load, not capacity alone
+    live_weights: bool = False  # endpoint weights depend on the load, not on capacity alone
     names_tenants: bool = True  # each request names its tenant
 
     # connections
-    connections_are_costly: bool = False  # servers bear few open connections
+    connections_are_costly: bool = False  # servers support few open connections
     connect_timeout: float = 0.25  # seconds
-    connection_idle_timeout: float = 15.0  # seconds unused after which the host closes one
+    connection_idle_timeout: float = 15.0  # seconds without use, after which the host closes it
--- a/ironrail/policy/slow_start.py
+++ b/ironrail/policy/slow_start.py
@@ -1,4 +1,4 @@
-"""Slow start: the work that may be sent to servers which have just started."""
+"""Slow start: limits the work that is sent to servers which have just started."""
 
 from __future__ import annotations
 
@@ -8,13 +8,13 @@
 from ironrail.policy.settings import Settings
 from ironrail.policy.state import Server
 
-# Of the work that a warming server is allowed in a window, the part that routers may plan with.
-# The rest covers chance, weights that rate a server too high, and surges in the fleet.
+# Fraction of a warming server's allowed work in a window that the routers send. The rest covers
+# random variation, weights that rate a server too high, and surges in the fleet.
 BUDGET_FRACTION = 0.35
 
 
 class SlowStart:
-    """Token buckets of work for warming servers, refilled by what the fleet is seen to serve."""
+    """Token buckets of work for warming servers, refilled at the rate that the fleet serves."""
 
     def __init__(self, settings: Settings, draws: random.Random, now: float) -> None:
         self._settings = settings
@@ -22,7 +22,7 @@
         self._started_at = now
         self.server_count = 1  # servers on the ring
         self._fleet_work = 0.0  # decayed sum of work served
-        self._work_per_server = 0.0  # the same, each divided by the servers of its time
+        self._work_per_server = 0.0  # the same, divided by the number of servers at its time
 
     def record_work(self, decay: float, work: float) -> None:
         """Add work that the fleet served; what it served before is multiplied by `decay`."""
@@ -30,7 +30,7 @@
         self._work_per_server = self._work_per_server * decay + work / self.server_count
 
     def capacity_fraction(self, now: float, server: Server) -> float:
-        """Return the fraction of its full capacity that a server is sure to have."""
+        """Return the fraction of its full capacity that a server has at least."""
         started_at = server.endpoint.started_at
         duration = self._settings.slow_start_duration
         if started_at <= 0 or now - started_at >= duration:
@@ -51,7 +51,7 @@
         fair_rate = self._fair_rate(now, server, weight)
         refill_rate = BUDGET_FRACTION * conf.overload_multiple * fair_rate
         self._refill(now, server, cost, refill_rate)
-        # a server that is also slow must not collect work in flight, whatever its tokens
+        # work in flight must not accumulate at a slow server, even if it has tokens
         max_in_flight = BUDGET_FRACTION * fair_rate * conf.overload_window
         if server.in_flight and server.in_flight_work + cost > max_in_flight:
             return False
@@ -70,14 +70,14 @@
         # a router that started recently has counted for a shorter time
         uptime_fraction = 1.0 - math.exp((self._started_at - now) / conf.slow_start_duration)
         span = max(conf.slow_start_duration * uptime_fraction, conf.overload_window)
-        # the lesser of both, as the fleet may have shrunk or grown since the work was counted
+        # the smaller of both, as the fleet may have shrunk or grown since the work was counted
         mean_work = min(self._work_per_server, self._fleet_work / self.server_count)
         return self.capacity_fraction(now, server) * weight * mean_work / span
 
     def _refill(self, now: float, server: Server, cost: float, refill_rate: float) -> None:
         """Add the tokens earned since the last refill, up to those of one overload window."""
         if server.tokens_refilled_at == -math.inf:
-            # at random, as a first attempt by each of hundreds of routers is a flood
+            # random, as hundreds of routers with a first attempt each would overload the server
             server.slow_start_tokens = self._draws.random() * cost
             server.tokens_refilled_at = now
         max_tokens = max(cost, refill_rate * self._settings.overload_window)
--- a/ironrail/policy/state.py
+++ b/ironrail/policy/state.py
@@ -1,4 +1,4 @@
-"""What a router keeps of each server, attempt and request, and which part of the policy writes it.
+"""The state of each server, attempt and request, and which part of the policy writes it.
 
 Times are seconds on the host's clock. -inf stands for "never", and inf for "not known".
 """
@@ -36,7 +36,7 @@
 
 @dataclass(slots=True, frozen=True)
 class AbandonedAttempt:
-    """An attempt that was given up, and that its server may still work on."""
+    """An attempt that was given up, but that its server may still work on."""
 
     sent_at: float
     counted_until: float
@@ -60,7 +60,7 @@
     # ConcurrencyLimiter
     abandoned: deque[AbandonedAttempt] = field(default_factory=deque)
     concurrency_limit: float = INITIAL_CONCURRENCY_LIMIT  # of own attempts in flight
-    limit_cut_at: float = -math.inf
+    limit_decreased_at: float = -math.inf
     paused_until: float = -math.inf
     mean_latency: float = 0.0  # seconds, smoothed
     slowness: float = 0.0  # smoothed latency as a fraction of the latency target
@@ -76,11 +76,11 @@
     consecutive_losses: int = 0  # attempts in a row without any answer
     ejected_until: float = -math.inf
     connect_failed_at: float = -math.inf
-    proven_at: float = -math.inf  # latest send that ended in a hit or a miss
+    last_success_sent_at: float = -math.inf  # send of the latest hit or miss
 
     # ConnectionHealth
-    last_used_at: float = -math.inf  # latest sign of life on a connection
-    connect_refused: bool = False  # at once, since it last answered on a new connection
+    last_used_at: float = -math.inf  # latest send or answer on a connection
+    connect_refused: bool = False  # fast refusal since the latest answer on a new connection
 
 
 @dataclass(slots=True, eq=False)
@@ -97,12 +97,12 @@
     sent_at: float
     connection_idle: float  # seconds for which its connection was unused; inf: a new connection
     hedge_delay: float  # seconds without an answer after which it is overdue
-    link_delay: float = 0.0  # seconds by which its answer may be later for the link's latency
-    round_trip: float = 0.0  # seconds of a round trip to the server's zone when it was sent
+    link_delay: float = 0.0  # seconds by which the link may delay its answer
+    round_trip: float = 0.0  # seconds of a round trip to the server's zone at its send
 
     is_open: bool = True
     may_have_run: bool = True  # the server may have carried it out, or may yet
-    connection_broke: bool = False  # early, so the server itself is likely well
+    connection_broke: bool = False  # before it was overdue; the server itself is likely healthy
     unanswered: bool = False  # it was overdue when it ended without an answer
 
     def mark_overdue(self) -> None:
@@ -112,20 +112,19 @@
 
 @dataclass(slots=True, eq=False)
 class PendingRequest:
-    """A request that is owed its final answer. The router creates and drops it."""
+    """A request without a final answer so far. The router creates and drops it."""
 
     request: RequestReceived
-    key: str  # of the hash ring
+    key: str  # on the hash ring
     request_class: RequestClass
     give_up_at: float  # time after which an answer would be late
-    needs_origin: bool  # no cache is asked (any more); RetryPolicy sets it after a failure
+    needs_origin: bool  # is not sent to caches (any more); RetryPolicy sets it after a failure
     hot_key_offset: int = 0  # servers of a popular key to skip on the ring, to spread its load
     attempts: list[Attempt] = field(default_factory=list)  # appended by AttemptSender
-    free_attempts: int = (
-        1  # attempts, the first included, that need no retry budget; RetryBudget owns it
-    )
+    # attempts, the first included, that need no retry budget; RetryBudget owns it
+    free_attempts: int = 1
     is_queued: bool = False  # waits for an origin, or for any server; OriginQueue owns it
-    is_streaming: bool = False  # its client is being sent an answer
+    is_streaming: bool = False  # its answer is being sent to the client
 
     def open_attempt_count(self) -> int:
         """Count the attempts that have not ended."""
--- a/ironrail/policy/timers.py
+++ b/ironrail/policy/timers.py
@@ -1,7 +1,7 @@
-"""Timers: what the policy asks its host to remind it of.
+"""Timers that the policy asks its host to set.
 
-`actions.SetTimer` carries one, and `events.TimerFired` hands it back. A timer is never cancelled:
-one that is not needed any more is ignored when it fires.
+`actions.SetTimer` carries one, and `events.TimerFired` returns it. A timer is never cancelled: one
+that is not needed any more is ignored when it fires.
 """
 
 from __future__ import annotations
@@ -31,7 +31,7 @@
 
 @dataclass(slots=True, frozen=True)
 class OriginPauseEnded:
-    """An origin that was given a pause may be sent to again."""
+    """The pause of an origin is over: it may be sent to again."""
 
 
 Timer = HedgeDue | QueueWaitExpired | EndpointListPollDue | OriginPauseEnded
--- a/tests/policy/test_concurrency_limit.py
+++ b/tests/policy/test_concurrency_limit.py
@@ -48,7 +48,7 @@
         if f"r{n}" in d.servers_sent_to:
             d.succeed(f"r{n}")
     assert d.router.servers["o"].concurrency_limit >= 20.0
-    d.router.servers["o"].limit_cut_at = d.now  # growth is slow after a decrease
+    d.router.servers["o"].limit_decreased_at = d.now  # growth is slow after a decrease
     before = d.router.servers["o"].concurrency_limit
     d.succeed("r39")
     assert d.router.servers["o"].concurrency_limit - before < 0.2
