--- a/ironrail/connections/__init__.py
+++ b/ironrail/connections/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions about connections, upstream and downstream: pure modules without I/O or a clock."""
+"""Decisions about connections, upstream and downstream, without I/O and without a clock."""
--- a/ironrail/connections/downstream/client_session.py
+++ b/ironrail/connections/downstream/client_session.py
@@ -1,4 +1,4 @@
-"""The state of one client connection, as far as the rules for sessions depend on it."""
+"""The state of one client connection that the rules for sessions depend on."""
 
 from __future__ import annotations
 
@@ -6,18 +6,18 @@
 from enum import Enum
 
 MAX_PIPELINED_COMMANDS = 64
-"""Commands of one session without a written response, at which no more are parsed or read."""
+"""Commands of one session without a written response; at this limit no more are read."""
 
 MAX_CONSECUTIVE_BAD_COMMANDS = 8
-"""Rejected commands in a row after which the session ends: each costs CPU."""
+"""Invalid commands in a row after which the session ends, because each costs CPU."""
 
 
 class SessionState(Enum):
-    """Whether a session goes on."""
+    """Whether a session accepts more commands."""
 
     OPEN = "open"
     MIGRATING = "migrating"
-    """It closes after its next response, because another zone serves its client."""
+    """It closes after its next response, so that the client reconnects in another zone."""
     ENDING = "ending"
     """No more commands are accepted."""
 
@@ -30,7 +30,7 @@
     LONG_VALUE = "long_value"
     """A long value is being received."""
     AWAITING_MEMORY = "awaiting_memory"
-    """A long value follows, which is not read before memory is reserved for it."""
+    """A long value follows, which is not read until memory is reserved for it."""
 
 
 _ENDING = SessionState.ENDING
@@ -45,21 +45,21 @@
     """One client's connection. Times are seconds on a monotonic clock."""
 
     wait_started_at: float
-    """When the wait for the client began: at the connect, the first byte or the last command."""
+    """When the wait for the client began: at the connect, first byte or latest command."""
     last_received_at: float = 0.0
     state: SessionState = SessionState.OPEN
     progress: CommandProgress = CommandProgress.NONE
     has_been_used: bool = False
     """Whether a valid command was received."""
     pending_responses: int = 0
-    """Commands whose responses are not written."""
+    """Commands whose responses are not written yet."""
     consecutive_bad_commands: int = 0
     has_unparsed_input: bool = False
     """Whether parsing stopped at the limit on pipelined commands."""
     responses_unread_since: float | None = None
-    """When the client stopped taking responses; None while it takes them."""
+    """When the client stopped reading responses; None while it reads them."""
     is_reading: bool = True
-    """Whether the transport reads, as last set."""
+    """Whether the transport is set to read."""
 
     @property
     def is_ending(self) -> bool:
@@ -68,7 +68,7 @@
 
     @property
     def is_migrating(self) -> bool:
-        """Whether the session closes after its next response, for another zone to serve."""
+        """Whether the session closes after its next response, to move to another zone."""
         return self.state is SessionState.MIGRATING
 
     @property
@@ -95,8 +95,8 @@
     def should_read(self) -> bool:
         """Whether to read from the client.
 
-        Bounds the memory used by clients that send and never read, and the CPU used for commands
-        whose responses are not taken.
+        Limits the memory used by clients that send and never read, and the CPU used for commands
+        whose responses are not read.
         """
         return (
             self.accepts_commands
@@ -124,7 +124,7 @@
         self.wait_started_at = now
 
     def memory_granted(self, now: float) -> None:
-        """Go on with a long value that had to wait for memory."""
+        """Record that a long value that waited for memory may be read."""
         self.progress = _LONG_VALUE
         self.wait_started_at = now
 
@@ -133,17 +133,17 @@
         self.progress = _PARTIAL
 
     def update_progress(self, has_partial_command: bool) -> None:
-        """Take over the parser's state once all received commands are parsed."""
+        """Record the parser's state once all received commands are parsed."""
         if not has_partial_command:
             self.progress = _NONE
         elif self.progress is _NONE:
             self.progress = _PARTIAL
 
     def reject_partial_command(self) -> None:
-        """End the session behind an error for the command that was not complete in time."""
+        """End the session after an error response to the command that was not complete in time."""
         self.pending_responses += 1
         self.state = _ENDING
 
     def set_responses_unread(self, now: float, is_unread: bool) -> None:
-        """Record whether the client has stopped taking responses."""
+        """Record whether the client has stopped reading responses."""
         self.responses_unread_since = now if is_unread else None
--- a/ironrail/connections/downstream/descriptor_budget.py
+++ b/ironrail/connections/downstream/descriptor_budget.py
@@ -1,28 +1,28 @@
-"""How the descriptors of the process are divided among its parts."""
+"""Divides the file descriptors of the process among its parts."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-RESERVED_DESCRIPTORS_COUNT = 24
-"""For the log, event loop, listeners, discovery, admin endpoint and other routers."""
+NUM_RESERVED_DESCRIPTORS = 24
+"""Descriptors for the log, event loop, listeners, discovery, admin endpoint and routers."""
 
 MAX_ACCEPTS_PER_TURN = 16
-"""Connections accepted in one turn of the event loop: a burst must not delay responses."""
+"""Connections accepted in one turn of the event loop; more would delay responses in a burst."""
 
 EXPECTED_CLIENT_USE_FRACTION = 1 / 3
-"""Of all descriptors: what clients, by their own limit, keep open for requests together.
+"""Fraction of all descriptors that clients, by their own limit, use for requests together.
 
-The sessions that are retained follow from it. How many may be open is `clients` below.
+It determines the sessions that are retained; `DescriptorBudget.clients` limits the open ones.
 """
 
 RETAINED_CLIENT_FRACTION = 5 / 8
-"""Of the clients' descriptors: idle sessions beyond it are evicted to leave some for bursts."""
+"""Fraction of these descriptors; idle sessions beyond it are evicted, to leave some for bursts."""
 
 
 @dataclass(frozen=True, slots=True)
 class DescriptorBudget:
-    """What each part of the process may have open at a time."""
+    """Descriptors that each part of the process may have open at a time."""
 
     servers: int
     """Connections to all servers, including those being opened."""
@@ -40,9 +40,9 @@
     """Divide the descriptors of the process.
 
     Each accepted connection may evict another one, whose descriptor is free only in the next turn
-    of the event loop. Until then both count beside all others.
+    of the event loop. Until then both are open.
     """
-    available = descriptor_limit - RESERVED_DESCRIPTORS_COUNT
+    available = descriptor_limit - NUM_RESERVED_DESCRIPTORS
     servers = available // 3
     clients = (available - servers) * 3 // 4  # half of all; the rest is for closing connections
     transient = available - servers - clients
--- a/ironrail/connections/downstream/idle_retention.py
+++ b/ironrail/connections/downstream/idle_retention.py
@@ -1,12 +1,12 @@
-"""How many used sessions a router retains, learned from how often idle ones are used again."""
+"""Learns how many used sessions to retain, from how often idle ones are used again."""
 
 from __future__ import annotations
 
 MIN_RETAINED_SESSIONS = 4
-"""Retained even if none is used again, as a rise of the reuse ratio would go unnoticed."""
+"""Retained even if none is used again; with none, a rise of the reuse ratio would go unnoticed."""
 
 FULL_RETENTION_REUSE_RATIO = 0.5
-"""Reuse ratio from which on the full limit of sessions is retained."""
+"""Reuse ratio from which the full limit of sessions is retained."""
 
 REUSE_SMOOTHING_FACTOR = 1 / 32
 """Weight of the latest reuse or eviction in the reuse ratio."""
@@ -15,12 +15,12 @@
 class IdleRetention:
     """The number of used sessions beyond which idle ones are evicted.
 
-    Clients that find no free connection open one, up to the clients' quota of descriptors. Where
-    idle sessions fill it, new clients are rejected although the router has capacity.
+    Clients without a free connection open one, up to the clients' quota of descriptors. If idle
+    sessions use up the quota, new clients are rejected although the router has capacity.
     """
 
     def __init__(self, max_sessions: int) -> None:
-        """`max_sessions`: retained at most, however often they are used again."""
+        """`max_sessions`: Upper limit, however often sessions are used again."""
         self.max_sessions = max_sessions
         self.reuse_ratio = 1.0
 
--- a/ironrail/connections/downstream/lingering_close.py
+++ b/ironrail/connections/downstream/lingering_close.py
@@ -1,7 +1,7 @@
 """Limits on connections that are shut down for writing and not yet closed.
 
-A socket that is closed with unread input resets the connection, which destroys responses that are
-still under way. Such connections linger until the client has closed its end.
+Closing a socket with unread input resets the connection, which discards responses that are still
+in transit. Such connections linger until the client has closed its end.
 """
 
 from __future__ import annotations
@@ -12,10 +12,10 @@
 Connection = TypeVar("Connection", bound=Hashable)
 
 LINGER_SECONDS = 1.0
-"""For the client to close first: it has the response by then, or never takes it."""
+"""Time for the client to close first; by then it has read the response or never will."""
 
 MAX_DISCARDED_BYTES = 1024 * 1024
-"""Bytes read and dropped on one lingering connection: more would only cost CPU."""
+"""Bytes read and dropped on one lingering connection; more would only cost CPU."""
 
 
 class LingeringCloseRegistry(Generic[Connection]):
--- a/ironrail/connections/downstream/memory_budget.py
+++ b/ironrail/connections/downstream/memory_budget.py
@@ -8,7 +8,7 @@
 class MemoryBudget:
     """The memory for all long values of one router. Sizes are bytes.
 
-    Reservations that don't fit wait or fail, as their owners decide. The present owner of a
+    Owners decide whether a reservation that does not fit waits or fails. The current owner of a
     reservation releases it.
     """
 
@@ -16,7 +16,7 @@
         self.total_bytes = total_bytes
         self.free_bytes = total_bytes
         self._reserved: dict[Hashable, int] = {}
-        self._waiting: dict[Hashable, int] = {}  # the owner that waits for longest is first
+        self._waiting: dict[Hashable, int] = {}  # the owner that has waited longest is first
 
     @property
     def waiting_count(self) -> int:
@@ -24,10 +24,10 @@
         return len(self._waiting)
 
     def reserve(self, owner: Hashable, size: int) -> bool:
-        """Reserve memory, and return whether it was free and no other owner waits for it.
+        """Reserve memory, and return whether it was free and no other owner is waiting.
 
-        A value larger than the whole budget is admitted while nothing else is reserved: it would
-        wait forever otherwise.
+        A value larger than the whole budget is admitted while nothing else is reserved, because it
+        would otherwise wait forever.
         """
         if self._waiting or not self._fits(size):
             return False
@@ -49,7 +49,7 @@
             }
 
     def release(self, owner: Hashable) -> None:
-        """Return an owner's reservation, or remove it from the queue."""
+        """Free an owner's reservation, or remove the owner from the queue."""
         self.free_bytes += self._reserved.pop(owner, 0)
         self._waiting.pop(owner, None)
 
--- a/ironrail/connections/downstream/session_manager.py
+++ b/ironrail/connections/downstream/session_manager.py
@@ -1,7 +1,7 @@
-"""Admission and eviction of client sessions, and the actions that are due on them.
+"""Admission and eviction of client sessions, and the next action on each.
 
-Pure: is called with events and the time, and returns actions. The caller owns the sockets. Times
-are seconds on one monotonic clock.
+Without I/O: methods get events and the time, and return actions. The caller owns the sockets.
+Times are seconds on one monotonic clock.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 
 
 class NextAction(Enum):
-    """What is due on a session once its responses are written."""
+    """What to do with a session once its responses are written."""
 
     NOTHING = "nothing"
     PARSE = "parse"
@@ -57,11 +57,11 @@
         self.max_sessions = max_sessions
         self.retention = IdleRetention(max_retained_sessions)
         self.is_draining = False
-        # Without a valid command yet; the one that was silent for longest is first.
+        # Without a valid command so far; the one that has been silent longest is first.
         self._unused: dict[ClientSession, None] = {}
         # The least recently used is first.
         self._used: dict[ClientSession, None] = {}
-        # Used ones without a pending response; the one that was idle for longest is first.
+        # Used ones without a pending response; the one that has been idle longest is first.
         self._idle = OrderedDict[ClientSession, None]()
         self._opening = 0
         self._eviction_checks_left = 0
@@ -77,9 +77,9 @@
     def admit(self) -> Admission:
         """Decide on a new connection, and on the session that is evicted at the limit.
 
-        Sessions that were never used are evicted first, the one that was silent for longest
-        before all others: clients that send parts of commands must not evict one whose command
-        is still arriving. Then follows the session that was idle for longest.
+        Sessions that were never used are evicted first, beginning with the one that has been silent
+        longest, so that a session whose command is still arriving is kept. Then follows the session
+        that has been idle longest.
         """
         if len(self) + self._opening < self.max_sessions:
             self._opening += 1
@@ -99,11 +99,11 @@
         return session
 
     def cancel_admission(self) -> None:
-        """Forget an admitted connection that ended before its session began."""
+        """Stop counting an admitted connection that ended before its session began."""
         self._opening -= 1
 
     def remove(self, session: ClientSession) -> None:
-        """Forget a session that has ended or is being closed."""
+        """Remove a session that has ended or is being closed."""
         self._unused.pop(session, None)
         self._used.pop(session, None)
         self._idle.pop(session, None)
@@ -123,7 +123,7 @@
             session.wait_started_at = now
 
     def record_command(self, now: float, session: ClientSession, is_valid: bool) -> None:
-        """Record a complete command, and end a session that sends only invalid ones."""
+        """Record a complete command; too many invalid ones in a row end the session."""
         session.pending_responses += 1
         if is_valid:
             session.consecutive_bad_commands = 0
@@ -149,12 +149,12 @@
         has_partial_command: bool,
         is_closing: bool = False,
     ) -> NextAction:
-        """Record written responses and the parser's state, and return the action that is due.
+        """Record written responses and the parser's state, and return the next action.
 
         Args:
             session: The session whose input was parsed or whose responses were written.
             written: Responses written since the last call.
-            has_partial_command: Whether the parser holds a part of a command.
+            has_partial_command: Whether the parser has received a part of a command.
             is_closing: Whether the connection is closing already.
         """
         session.pending_responses -= written
@@ -181,7 +181,7 @@
     # Eviction of idle sessions
 
     def next_idle_to_evict(self) -> ClientSession | None:
-        """Return the session that was idle for longest if too many are retained.
+        """Return the session that has been idle longest if too many are retained.
 
         The session used last is never evicted, as its client most likely uses it again. The
         caller closes the returned one if no data would be lost and calls `remove`, or otherwise
--- a/ironrail/connections/downstream/session_timeouts.py
+++ b/ironrail/connections/downstream/session_timeouts.py
@@ -1,4 +1,4 @@
-"""Which timeout applies to a client session, and what happens when it expires."""
+"""The timeouts of a client session, and the action when one expires."""
 
 from __future__ import annotations
 
@@ -7,38 +7,38 @@
 from ironrail.connections.downstream.client_session import ClientSession
 
 COMMAND_TIMEOUT_SECONDS = 2.2
-"""For a complete command: silent clients and partial commands would keep their descriptors."""
+"""To receive a complete command; frees descriptors of silent clients and partial commands."""
 
 LONG_VALUE_TIMEOUT_SECONDS = 20.0
-"""For a complete long value: other clients wait for the memory that it occupies."""
+"""To receive a complete long value; other clients wait for the memory that it occupies."""
 
 IDLE_TIMEOUT_SECONDS = 30.0
-"""Between two commands: a client that pauses for longer has more likely gone."""
+"""Between two commands; a client that is idle for longer has most likely disconnected."""
 
 UNREAD_RESPONSE_TIMEOUT_SECONDS = 10.0
-"""Without a response taken: what the client has requested stays in memory."""
+"""For a client to read responses; those that it does not read stay in memory."""
 
 SHUTDOWN_STALL_TIMEOUT_SECONDS = 1.0
-"""Without a byte of a partial command during a graceful shutdown: the client has stopped."""
+"""Without another byte of a partial command during a graceful shutdown: it has stalled."""
 
 
 class TimeoutAction(Enum):
-    """What to do with a session after a look at its timeouts."""
+    """What to do with a session after its timeouts were checked."""
 
     KEEP = "keep"
     ABORT = "abort"
-    """The client takes no responses."""
+    """The client reads no responses."""
     REJECT_COMMAND = "reject_command"
-    """To be sent an error and closed: its command was not complete in time."""
+    """Send an error and close the session: its command was not complete in time."""
     CLOSE = "close"
     """It was idle for too long."""
 
 
 def timeout_action(session: ClientSession, now: float) -> TimeoutAction:
-    """Apply the one timeout that is running for a session.
+    """Check the one timeout that applies to a session in its state.
 
-    Limits the descriptors and the memory that clients occupy which stop in the middle of a
-    command, never send one, read no responses, or stay without using the connection.
+    Limits the descriptors and the memory used by clients that stop in the middle of a command,
+    never send one, read no responses, or leave the connection unused.
     """
     if session.is_ending:
         return TimeoutAction.KEEP
@@ -63,7 +63,7 @@
         return False  # the delay is the router's own
     waited_seconds = now - session.wait_started_at
     if session.has_long_value and waited_seconds < LONG_VALUE_TIMEOUT_SECONDS:
-        # A long value may take its time as long as bytes arrive.
+        # A long value may take longer, as long as bytes arrive.
         waited_seconds = now - max(session.wait_started_at, session.last_received_at)
     return waited_seconds >= COMMAND_TIMEOUT_SECONDS
 
@@ -74,8 +74,8 @@
     Args:
         session: The session in question.
         now: Seconds on the clock of the session.
-        close_partial: Whether sessions with a partial command are closed too. No other process
-            listens then, so waiting for one client keeps all new ones from being served.
+        close_partial: Whether sessions with a partial command are closed too. This is for the time
+            when no other process listens, as new clients are not served while the process waits.
     """
     if session.pending_responses > 0:
         return False
--- a/ironrail/connections/upstream/attempt_canceller.py
+++ b/ironrail/connections/upstream/attempt_canceller.py
@@ -1,4 +1,4 @@
-"""How an attempt is given up before its reply, and what becomes of its connection."""
+"""Gives up attempts before their replies, and handles their connections."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 
 
 class AttemptCanceller:
-    """Gives up attempts: waiting, written in part, or in flight.
+    """Gives up attempts that wait, are partly written, or are in flight.
 
-    `abandon` stops waiting for a reply and leaves the connection to it. `revoke` makes sure that
-    the attempt is not in flight any more. `withdraw` takes back what is unsent, and nothing else.
+    `abandon` stops waiting for a reply; its connection stays busy until the reply. `revoke` makes
+    sure that the attempt is not in flight any more. `withdraw` takes back an unsent attempt only.
     """
 
     def __init__(
@@ -42,7 +42,7 @@
         connection = attempt.connection
         was_open = attempt.is_open
         if connection is not None and is_unsent(attempt):
-            # it never ran, and its remaining bytes would stay in memory
+            # it never ran, and its unsent bytes would stay in memory
             self._writer.end(attempt, AttemptStatus.CONNECT_FAILED)
             fault = ConnectionFault.WRITE_STALLED
             self._lifecycle.abort_with_attempts(now, connection, fault)
@@ -65,25 +65,25 @@
             self.abandon(now, attempt, AttemptStatus.CANCELLED)
             return
         self._lifecycle.remove(now, connection)
-        # before the outcomes, each of which may cause another attempt at once
+        # before the outcomes, because each may cause another attempt at once
         self._actions.add(AbortConnection(connection))
         self._writer.end_all(connection, AttemptStatus.CANCELLED, AttemptStatus.CANCELLED)
 
     def withdraw(self, now: float, attempt: Attempt) -> None:
-        """Take an attempt back if it is unsent, and else leave it to its server."""
+        """Take an attempt back if it is unsent; otherwise do nothing."""
         if not is_unsent(attempt):
             return
         connection = attempt.connection
         self._writer.end(attempt, AttemptStatus.NOT_SENT)
         if connection is None:
             self._state.waiting.remove(attempt)
-        else:  # its remaining bytes would still be sent
-            connection.in_flight.pop()  # the others have a fault, this one has its outcome
+        else:  # its unsent bytes would still be sent
+            connection.in_flight.pop()  # has its outcome; the fault is for the other attempts
             fault = ConnectionFault.WRITE_WITHDRAWN
             self._lifecycle.abort_with_attempts(now, connection, fault)
 
     def _status_of_unserved(self) -> AttemptStatus:
-        """Return the outcome of an attempt that got no connection in its time."""
+        """Return the outcome of an attempt that got no connection in time."""
         if self._state.connecting:
             return AttemptStatus.CONNECT_FAILED
         return AttemptStatus.CANCELLED_BEFORE_SEND
--- a/ironrail/connections/upstream/attempt_writer.py
+++ b/ironrail/connections/upstream/attempt_writer.py
@@ -1,4 +1,4 @@
-"""The two ends of an attempt in a pool: it is written to a connection, and it has one outcome."""
+"""Writes attempts to connections, and reports their outcomes."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class AttemptWriter:
-    """Orders writes and outcomes of attempts."""
+    """Emits the actions that write attempts and report their outcomes."""
 
     def __init__(self, actions: ActionQueue) -> None:
         self._actions = actions
@@ -24,7 +24,7 @@
         self._actions.add(WriteAttempt(connection, attempt))
 
     def end(self, attempt: Attempt, status: AttemptStatus, body: bytes = b"") -> None:
-        """Give an attempt its one outcome; later ones are ignored."""
+        """Report the outcome of an attempt; only the first one counts."""
         if attempt.is_open:
             attempt.is_open = False
             self._actions.add(EndAttempt(attempt, status, body))
@@ -43,7 +43,7 @@
 
 
 def is_unsent(attempt: Attempt) -> bool:
-    """Whether an attempt never ran, and won't if it is taken back: its last byte is not sent."""
+    """Whether an attempt can be taken back before it runs: its last byte is not sent."""
     if not attempt.is_open:
         return False
     connection = attempt.connection
--- a/ironrail/connections/upstream/connection.py
+++ b/ironrail/connections/upstream/connection.py
@@ -1,4 +1,4 @@
-"""A connection to a server, and the attempts in flight on it, as seen by the pool's decisions."""
+"""The state of a connection to a server, and of the attempts in flight on it."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 
 
 class ConnectionState(Enum):
-    """Where a connection is in its life."""
+    """State of a connection."""
 
     CONNECTING = "connecting"
     OPEN = "open"
-    CLOSED = "closed"  # nothing is written to it any more; its end may not have been reported yet
+    CLOSED = "closed"  # not written to any more; the host may not have reported its end yet
 
 
 class ReplyState(Enum):
@@ -21,13 +21,13 @@
 
     NONE = "none"
     PARTIAL = "partial"
-    STREAMING = "streaming"  # a long value that its client receives while it arrives
+    STREAMING = "streaming"  # a long value that is forwarded to its client as it arrives
     PAUSED = "paused"  # the same, while the client is slow and nothing is read
 
 
 @dataclass(slots=True, eq=False)
 class Attempt:
-    """One attempt of a request; a host adds what it needs to carry it out.
+    """One attempt of a request; hosts add the fields that they need to carry it out.
 
     Times are seconds on the host's clock.
     """
@@ -36,28 +36,28 @@
     number: int
     sent_at: float  # when it was handed to the pool
     deadline: float  # when the host stops waiting for it
-    is_exclusive: bool = field(default=False, init=False)  # shares its connection with nothing
-    is_open: bool = field(default=True, init=False)  # it has no outcome yet
+    is_exclusive: bool = field(default=False, init=False)  # must be alone on its connection
+    is_open: bool = field(default=True, init=False)  # has no outcome yet
     connection: UpstreamConnection | None = field(default=None, init=False)  # once written
     written_at: float = field(default=0.0, init=False)
 
 
 @dataclass(slots=True, eq=False)
 class UpstreamConnection:
-    """One connection, from its start to its end. Times are seconds on the host's clock."""
+    """One connection. Times are seconds on the host's clock."""
 
     address: Hashable
-    in_flight: deque[Attempt] = field(default_factory=deque)  # abandoned ones among them
+    in_flight: deque[Attempt] = field(default_factory=deque)  # includes abandoned ones
     connect_started_at: float = 0.0
     opened_at: float = 0.0
     state: ConnectionState = ConnectionState.CONNECTING
     reply_state: ReplyState = ReplyState.NONE
     is_new: bool = True  # no reply has arrived on it
-    is_over_limit: bool = False  # the server holds too many and rejects whatever is sent on it
+    is_over_limit: bool = False  # the server has too many and rejects all requests on this one
     last_used_at: float = 0.0
     last_read_at: float = 0.0
     idle_before_write: float = 0.0  # seconds without use before the attempts in flight
-    has_unsent_bytes: bool = False  # the last bytes written are not yet with the kernel
+    has_unsent_bytes: bool = False  # the kernel has not accepted the last bytes written
 
     @property
     def is_streaming(self) -> bool:
--- a/ironrail/connections/upstream/connection_fault.py
+++ b/ironrail/connections/upstream/connection_fault.py
@@ -6,7 +6,7 @@
 
 
 class ConnectionFault(Enum):
-    """A fault that a pool's decisions detect; the value is for the log."""
+    """A fault that a pool's decisions detect; the value is its text in the log."""
 
     SILENT = "nothing was read since an attempt that timed out"
     REPLY_STALLED = "a reply stopped midway"
--- a/ironrail/connections/upstream/connection_lifecycle.py
+++ b/ironrail/connections/upstream/connection_lifecycle.py
@@ -1,4 +1,4 @@
-"""The steps by which a connection is opened, becomes idle, and ends."""
+"""Opens connections, releases them for reuse, and ends them."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
         self._actions.add(OpenConnection(connection))
 
     def release(self, now: float, connection: UpstreamConnection) -> None:
-        """Use a connection without attempts in flight for one that waits, or keep it idle."""
+        """Use a connection without attempts in flight for a waiting attempt, or keep it idle."""
         state = self._state
         if connection.state is not ConnectionState.OPEN:
             return
@@ -54,7 +54,7 @@
             state.idle.append(connection)
 
     def remove(self, now: float, connection: UpstreamConnection) -> None:
-        """Stop using a connection, and open another if attempts wait that would get none."""
+        """Stop using a connection, and open another if waiting attempts would get none."""
         state = self._state
         if connection.in_flight and connection.state is ConnectionState.OPEN:
             self._opener.note_broken(now)
--- a/ironrail/connections/upstream/connection_opener.py
+++ b/ironrail/connections/upstream/connection_opener.py
@@ -1,28 +1,29 @@
-"""When one more connection to a server pays off. Times are seconds on one clock.
+"""Decides when one more connection to a server pays off. Times are seconds on one clock.
 
 Queueing behind other attempts costs time on each use; opening a connection costs the server once.
 As in the ski rental problem, attempts queue until the time lost equals the cost of a connection,
-then one is opened: at most twice the cost of the best choice, whatever load follows.
+then one is opened: at most twice the cost of the best choice, for any load that follows.
 """
 
 from __future__ import annotations
 
 import math
 
-# After a connection broke, attempts share one only if no other may be opened.
+# For this time after a connection broke, attempts share one only if no other may be opened.
 BREAK_COOLDOWN_SECONDS = 10.0
-# While other routers use all of a server's capacity none is opened for this backoff, which doubles.
+# Backoff before the next connection to a server whose capacity for connections is in use; doubles.
 MIN_FULL_BACKOFF_SECONDS = 0.1
-MAX_FULL_BACKOFF_SECONDS = 10.0  # bounded, as connects also fail for other reasons
-# The server's work for a new connection. The operator's file has the value in service.
+MAX_FULL_BACKOFF_SECONDS = 10.0  # limited, as connects also fail for other reasons
+# Default cost of a new connection to the server; the operator's file can set another.
 CONNECTION_COST_SECONDS = 0.03
 LATEST_REPLY_FRACTION = 0.1  # weight of the latest reply in the mean reply time
-# Expected delay for each attempt ahead, as a fraction of the mean reply time: servers work on both.
+# Expected delay for each attempt ahead, as a fraction of the mean reply time; below 1, because
+# servers process several requests at a time.
 QUEUE_DELAY_FRACTION = 0.5
 
 
 class ConnectionOpener:
-    """Weighs the cost of queueing against that of a new connection.
+    """Compares the cost of queueing with that of a new connection.
 
     Args:
         cost: Seconds that a new connection costs.
@@ -30,8 +31,8 @@
 
     def __init__(self, cost: float) -> None:
         self._cost = cost
-        self._reply_time = 0.0  # mean, of attempts alone on their connection; 0: not known
-        self._queueing_time = 0.0  # expected, since a connection was last opened
+        self._reply_time = 0.0  # mean, of attempts alone on their connection; 0: unknown
+        self._queueing_time = 0.0  # expected total since the latest connection was opened
         self._full_until = -math.inf
         self._full_backoff = MIN_FULL_BACKOFF_SECONDS
         self._cooldown_until = -math.inf
@@ -44,7 +45,7 @@
         return self._queueing_time < self._cost
 
     def note_opened(self) -> None:
-        """Record that one more is being opened."""
+        """Record that a connection is being opened."""
         self._queueing_time = 0.0
 
     def record_reply_time(self, seconds: float) -> None:
@@ -61,7 +62,7 @@
         return now < self._full_until
 
     def note_server_full(self, now: float) -> None:
-        """Open none for a while, which doubles each time until a new connection is served."""
+        """Open no connection for a backoff, which doubles until a new connection is served."""
         self._full_until = now + self._full_backoff
         self._full_backoff = min(MAX_FULL_BACKOFF_SECONDS, 2 * self._full_backoff)
 
--- a/ironrail/connections/upstream/idle_timeout.py
+++ b/ironrail/connections/upstream/idle_timeout.py
@@ -1,17 +1,18 @@
-"""How long a connection may be idle before it is closed; learned from connections that broke."""
+"""Learns from broken connections how long a connection may be idle before it is closed."""
 
 from __future__ import annotations
 
-IDLE_TIMEOUT_FRACTION = 0.75  # of the server's, which may close as the next request is written
-MIN_IDLE_TIMEOUT_SECONDS = 0.5  # a break after a shorter pause says nothing of idle connections
-RECOVERY_FACTOR = 1.03  # for each check of the connections: doubles in half a minute
+# of the server's idle timeout: near its end the server may close while a request is being written
+IDLE_TIMEOUT_FRACTION = 0.75
+MIN_IDLE_TIMEOUT_SECONDS = 0.5  # breaks after shorter idle times have other causes
+RECOVERY_FACTOR = 1.03  # for each check of the connections; doubles the timeout in 30 s
 
 
 class IdleTimeout:
-    """The idle timeout of one server, for those that close idle connections early."""
+    """The idle timeout for one server, shortened if it closes idle connections early."""
 
     def __init__(self, server_timeout: float) -> None:
-        """Start below the server's own idle timeout, in seconds."""
+        """Start with a fraction of the server's own idle timeout, in seconds."""
         self._limit = server_timeout * IDLE_TIMEOUT_FRACTION
         self.seconds = self._limit
 
@@ -22,5 +23,5 @@
             self.seconds = max(MIN_IDLE_TIMEOUT_SECONDS, shorter)
 
     def recover(self) -> None:
-        """Lengthen the timeout, up to where it started."""
+        """Lengthen the timeout, up to its initial value."""
         self.seconds = min(self._limit, self.seconds * RECOVERY_FACTOR)
--- a/ironrail/connections/upstream/pool_actions.py
+++ b/ironrail/connections/upstream/pool_actions.py
@@ -1,4 +1,4 @@
-"""Actions: what a pool's decisions order its host to do."""
+"""Actions: what a pool's decisions order the host to do."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
     """
 
     connection: UpstreamConnection
-    attempt: Attempt | None  # to be written there; None: the one that waits longest
+    attempt: Attempt | None  # to be written to it; None: the one that has waited longest
 
 
 @dataclass(slots=True)
@@ -57,8 +57,8 @@
 class AbortConnection:
     """End a connection at once. Emitted when it must not be used any more.
 
-    Its replies can't be matched or are overdue, an attempt on it is revoked, it came up late, or
-    the server was restarted or moved.
+    Reasons: its replies can't be matched or are overdue, an attempt on it is revoked, it was
+    established too late, or the server was restarted or has a new address.
 
     The host reports `on_closed`, as at any other end.
     """
@@ -105,7 +105,7 @@
         self._actions.append(action)
 
     def take(self) -> list[PoolAction]:
-        """Return the actions and forget them."""
+        """Return the actions and clear the queue."""
         actions = self._actions
         self._actions = []
         return actions
--- a/ironrail/connections/upstream/pool_manager.py
+++ b/ironrail/connections/upstream/pool_manager.py
@@ -1,4 +1,4 @@
-"""Decides for the connections to one server: takes events, returns actions; no I/O, no clock.
+"""Manages the connections to one server: takes events, returns actions; no I/O, no clock.
 
 A host carries out the actions one after another, and reports no other event before the last is
 done; only `CheckIdle` is answered at once, and what the answer causes precedes the remaining
@@ -28,16 +28,17 @@
 from ironrail.connections.upstream.stream_scheduler import StreamScheduler
 from ironrail.policy.events import AttemptStatus
 
-# A connection is aborted when a partial reply got no byte for so long: it blocks those behind it.
+# A connection is aborted after this time without a byte of a partial reply, because that blocks the
+# replies behind it.
 PARTIAL_REPLY_TIMEOUT_SECONDS = 1.2
 STREAM_TIMEOUT_SECONDS = 5.0  # the same for a long value, which blocks only its own client
 
 
 class UpstreamPoolManager:
-    """Decides how many connections there are, which carries an attempt, and which ends.
+    """Decides which connections to open and to end, and which one carries an attempt.
 
     Args:
-        address: Of the server.
+        address: The address of the server.
         settings: Limits and costs.
     """
 
@@ -62,12 +63,12 @@
         """Send an attempt on an idle, a new or a busy connection, or end it at once."""
         if self.state.is_ready:
             self._scheduler.assign(now, attempt)
-        else:  # the server went while the attempt was queued for it
+        else:  # the server was drained or removed before the attempt was assigned
             self.writer.end(attempt, AttemptStatus.CONNECT_FAILED)
         return self.actions.take()
 
     def on_idle_checked(self, now: float, check: CheckIdle, is_quiet: bool) -> list[PoolAction]:
-        """Use a connection if nothing has arrived on it: that would be taken for the next reply."""
+        """Use a connection unless bytes have arrived on it, which would be taken for a reply."""
         if check.attempt is None:
             self._scheduler.assign_waiting(now, check.connection, is_quiet)
         elif is_quiet:
@@ -178,7 +179,7 @@
         return self.actions.take()
 
     def expire(self, now: float) -> list[PoolAction]:
-        """Close what has been idle for long, and abort where a reply has stopped midway."""
+        """Close connections that were idle for too long, and abort those with a stalled reply."""
         for connection in [c for c in self.state.connected if _is_reply_overdue(now, c)]:
             self._lifecycle.abort_with_attempts(now, connection, ConnectionFault.REPLY_STALLED)
         self.idle_timeout.recover()
@@ -189,11 +190,11 @@
         return self.actions.take()
 
     def resume(self) -> None:
-        """Send to the server again."""
+        """Allow attempts to the server again."""
         self.state.is_ready = True
 
     def stop(self, now: float) -> list[PoolAction]:
-        """Send nothing new to a server that is draining or gone; what is in flight may end."""
+        """Send nothing new to a draining or removed server; attempts in flight may end."""
         self.state.is_ready = False
         while self.state.waiting:
             self.writer.end(self.state.waiting.popleft(), AttemptStatus.CONNECT_FAILED)
@@ -216,7 +217,7 @@
 
 
 def _is_reply_overdue(now: float, connection: UpstreamConnection) -> bool:
-    """Whether a reply has begun and stopped; a paused one waits for its client."""
+    """Whether a reply has stalled midway; a paused one only waits for its client."""
     silent_for = now - connection.last_read_at
     if connection.reply_state is ReplyState.PARTIAL:
         return silent_for >= PARTIAL_REPLY_TIMEOUT_SECONDS
--- a/ironrail/connections/upstream/pool_settings.py
+++ b/ironrail/connections/upstream/pool_settings.py
@@ -1,4 +1,4 @@
-"""What the decisions about the connections to one server depend on."""
+"""Settings of the connections to one server."""
 
 from __future__ import annotations
 
--- a/ironrail/connections/upstream/pool_state.py
+++ b/ironrail/connections/upstream/pool_state.py
@@ -10,20 +10,20 @@
 
 
 class PoolState:
-    """Which connections there are, and which attempts are not written yet.
+    """The existing connections, and the attempts that are not written yet.
 
     Args:
-        address: Of connections opened from now on.
+        address: The address for new connections.
         settings: Limits and costs.
     """
 
     def __init__(self, address: Hashable, settings: PoolSettings) -> None:
         self.address = address
         self.wanted_connections = settings.max_connections
-        self.max_connections = settings.max_connections  # the part that descriptors allow
+        self.max_connections = settings.max_connections  # as far as descriptors allow
         self.max_streams = settings.max_streams
         self.hedging_allowed = settings.hedging_allowed
-        self.is_ready = True  # may be sent to; a draining or removed server may not
+        self.is_ready = True  # attempts may be sent; False for a draining or removed server
         self.connecting: dict[UpstreamConnection, None] = {}
         self.connected: dict[UpstreamConnection, None] = {}
         self.idle: list[UpstreamConnection] = []  # the most recently used is last
@@ -37,7 +37,7 @@
         self.connecting[connection] = None
 
     def mark_connected(self, connection: UpstreamConnection) -> None:
-        """Make a connection available that has been opened."""
+        """Make a connection available that was opened."""
         del self.connecting[connection]
         self.connected[connection] = None
         connection.state = ConnectionState.OPEN
@@ -56,7 +56,7 @@
 
     @property
     def unserved_count(self) -> int:
-        """Waiting attempts that no connection is being opened for; negative if there are more."""
+        """Waiting attempts minus connections being opened; negative if there are more of these."""
         return len(self.waiting) - len(self.connecting)
 
     def has_capacity(self) -> bool:
--- a/ironrail/connections/upstream/reply_handler.py
+++ b/ironrail/connections/upstream/reply_handler.py
@@ -1,4 +1,4 @@
-"""What replies mean for their attempts, for their connection and for the others."""
+"""Handles replies: ends their attempts, and updates the state of their connection."""
 
 from __future__ import annotations
 
@@ -83,8 +83,9 @@
     def on_client_paused(self, now: float, connection: UpstreamConnection, is_paused: bool) -> None:
         """Record that the client of a long value is too slow, or has caught up.
 
-        The replies to the other attempts are not read meanwhile, so they go elsewhere; not where
-        hedging is forbidden, for they are in flight as long as the connection.
+        The replies to the other attempts are not read meanwhile, so these are cancelled and can be
+        retried elsewhere. Where hedging is forbidden they are not cancelled, because an attempt is
+        in flight as long as its connection is open.
         """
         if connection.is_streaming:
             connection.reply_state = ReplyState.PAUSED if is_paused else ReplyState.STREAMING
@@ -106,7 +107,7 @@
     ) -> None:
         """Learn from the first reply on a connection whether the server has capacity for it.
 
-        A cache that holds too many connections, of all routers, rejects all requests on one.
+        A cache that has too many connections, of all routers, rejects all requests on a new one.
         """
         is_shared = self._state.max_streams > 1 and len(self._state.connected) > 1
         if first is AttemptStatus.BUSY and is_shared:
@@ -125,7 +126,7 @@
         self, connection: UpstreamConnection, ended: Sequence[Attempt], fault: Fault | None
     ) -> None:
         if fault is not None:
-            # the oldest has a reply that can't be read; those behind it will have none
+            # the reply to the oldest is malformed; those behind it will get none
             self._writer.end_all(connection, AttemptStatus.ERROR, AttemptStatus.CANCELLED)
         elif ended:
             self._scheduler.record_reply(ended[-1])
--- a/ironrail/connections/upstream/socket_budget.py
+++ b/ironrail/connections/upstream/socket_budget.py
@@ -1,7 +1,7 @@
-"""Shares of a cache's connections among routers, and of a router's descriptors among pools.
+"""Divides a cache's connections among routers, and a router's descriptors among pools.
 
-A cache accepts a fixed number of connections from all routers together, which no message
-announces; each costs it work when opened and memory while open. A router has a fixed number of
+A cache accepts a fixed number of connections from all routers together, which it does not
+announce; each costs it work when opened and memory while open. A router has a fixed number of
 descriptors for all servers.
 """
 
@@ -11,7 +11,7 @@
 
 # of a cache's capacity; the rest serves connections that replace broken ones
 USABLE_CAPACITY_FRACTION = 0.4
-MIN_CONNECTIONS_PER_SERVER = 2  # so that a broken one is not the last
+MIN_CONNECTIONS_PER_SERVER = 2  # so that one is left when the other breaks
 MAX_CONNECTIONS_PER_SERVER = 16
 
 
@@ -19,7 +19,7 @@
 class SocketDemand:
     """The connections that one pool asks for."""
 
-    minimum: int  # granted as far as there are descriptors; fewer impair its service
+    minimum: int  # granted first; with fewer the pool's service suffers
     wanted: int
 
 
@@ -32,8 +32,8 @@
 def share_sockets(total: int, demands: list[SocketDemand]) -> list[int]:
     """Return each pool's share of `total` descriptors: its minimum, then an equal part of the rest.
 
-    Each pool gets one at least, for a server without a connection can't be reached, so that more
-    pools than descriptors exceed the total. Earlier pools get what rounding leaves over.
+    Each pool gets at least one, because a server without a connection can't be reached; if there
+    are more pools than descriptors the shares exceed the total. Earlier pools get the remainder.
     """
     if not demands:
         return []
@@ -46,7 +46,7 @@
 
 
 def _share_rest(rest: int, demands: list[SocketDemand], shares: list[int]) -> None:
-    """Raise the shares evenly up to what each pool wants."""
+    """Raise the shares evenly, each at most to what its pool wants."""
     while rest > 0:
         unsatisfied = [i for i, demand in enumerate(demands) if shares[i] < demand.wanted]
         if not unsatisfied:
--- a/ironrail/connections/upstream/stream_scheduler.py
+++ b/ironrail/connections/upstream/stream_scheduler.py
@@ -1,4 +1,4 @@
-"""Which connection carries an attempt: an idle one, a new one, a busy one, or none."""
+"""Chooses the connection for an attempt: an idle one, a new one, a busy one, or none."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 from ironrail.connections.upstream.pool_state import PoolState
 from ironrail.policy.events import AttemptStatus
 
-# A connection is suspect once another one has replied to an attempt that was written later, by this
-# fraction of the older attempt's timeout.
+# A connection is suspect once another one has replied to an attempt written later than its oldest,
+# by more than this fraction of the oldest attempt's timeout.
 OVERTAKEN_FRACTION = 0.4
 
 
@@ -39,7 +39,7 @@
         self._latest_answered_write = -math.inf  # when the latest answered attempt was written
 
     def record_reply(self, attempt: Attempt) -> None:
-        """Record that an attempt has its reply, for comparison with other connections."""
+        """Record that an attempt was answered, for comparison with other connections."""
         self._latest_answered_write = max(self._latest_answered_write, attempt.written_at)
 
     def assign(self, now: float, attempt: Attempt) -> None:
@@ -54,7 +54,7 @@
         self.assign_without_idle(now, attempt)
 
     def assign_without_idle(self, now: float, attempt: Attempt) -> None:
-        """Have an attempt queue on a busy connection, or wait for a new one, or end it."""
+        """Queue an attempt on a busy connection, let it wait for a new one, or end it."""
         state = self._state
         shared = None if attempt.is_exclusive else self._find_shared()
         if shared is not None and self._opener.prefers_queueing(now, len(shared.in_flight)):
@@ -90,7 +90,7 @@
         return attempt.is_exclusive and len(self._state.waiting) < self._state.max_connections
 
     def _may_open(self, now: float) -> bool:
-        """Whether one more connection may be opened, if need be in place of an abandoned one."""
+        """Whether one more connection may be opened, if need be instead of an abandoned one."""
         state = self._state
         if state.connected and self._opener.is_server_full(now):
             return False
@@ -108,7 +108,7 @@
     def _find_shared(self) -> UpstreamConnection | None:
         """Return the connection with the fewest attempts in flight that one more may queue on."""
         usable = [c for c in self._state.connected if self._may_share(c)]
-        reserved = self._state.unserved_count  # for the attempts that wait for one of their own
+        reserved = self._state.unserved_count  # for attempts that need a connection of their own
         if reserved > 0:
             usable = sorted(usable, key=lambda c: len(c.in_flight))[reserved:]
         return min(usable, key=lambda c: len(c.in_flight), default=None)
@@ -121,7 +121,7 @@
     def _is_suspect(self, connection: UpstreamConnection) -> bool:
         """Whether a connection has been silent while later attempts were answered on others.
 
-        It may as well be slow, so it is not closed until an attempt on it times out.
+        It may only be slow, so it is not closed until an attempt on it times out.
         """
         oldest = connection.in_flight[0]
         patience = OVERTAKEN_FRACTION * (oldest.deadline - oldest.written_at)
--- a/tests/mutants/soak/overcommits_descriptors.py
+++ b/tests/mutants/soak/overcommits_descriptors.py
@@ -9,4 +9,4 @@
 
 
 def break_it() -> None:
-    descriptor_budget.RESERVED_DESCRIPTORS_COUNT = -200
+    descriptor_budget.NUM_RESERVED_DESCRIPTORS = -200
--- a/tests/net/downstream/test_lingering_close.py
+++ b/tests/net/downstream/test_lingering_close.py
@@ -5,7 +5,7 @@
 import pytest
 
 from ironrail.connections.downstream import lingering_close, session_timeouts
-from ironrail.connections.downstream.descriptor_budget import RESERVED_DESCRIPTORS_COUNT, allocate_descriptors
+from ironrail.connections.downstream.descriptor_budget import NUM_RESERVED_DESCRIPTORS, allocate_descriptors
 from ironrail.net.downstream import client_listener
 from tests.net.downstream.test_client_admission import is_ready
 from tests.net.downstream.test_connection_close import RESPONSE_BYTES, connection_of
@@ -93,7 +93,7 @@
     assert min(shares.servers, shares.clients, shares.lingering, shares.accepts_per_turn) >= 1
     # in one turn of the loop: so many taken, and so many closed whose descriptors are not yet free
     assert (
-        RESERVED_DESCRIPTORS_COUNT
+        NUM_RESERVED_DESCRIPTORS
         + shares.servers
         + shares.clients
         + shares.lingering
