--- a/ironrail/__main__.py
+++ b/ironrail/__main__.py
@@ -1,4 +1,4 @@
-"""Entry point of the daemon, `python -m ironrail`; imports nothing of the kit."""
+"""Entry point of the daemon, `python -m ironrail`; does not import the rehearsal kit."""
 
 from __future__ import annotations
 
@@ -45,7 +45,7 @@
 
 
 def _read_operator(path: str) -> OperatorSettings:
-    from ironrail.operator_reader import read_operator  # noqa: PLC0415 - saves memory without one
+    from ironrail.operator_reader import read_operator  # noqa: PLC0415 - saves memory if unused
 
     return read_operator(path)
 
--- a/ironrail/cli.py
+++ b/ironrail/cli.py
@@ -1,4 +1,4 @@
-"""The command `ironrail`; subcommands are imported late, so that `run` needs little memory."""
+"""The command `ironrail`; subcommands are imported late, so that `run` uses little memory."""
 
 from __future__ import annotations
 
--- a/ironrail/errors.py
+++ b/ironrail/errors.py
@@ -1,4 +1,4 @@
-"""Base classes of all errors, with the advice and the exit code of each kind."""
+"""Base classes of all errors, each with advice for the operator and an exit code."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
     """Base class of all errors.
 
     Attributes:
-        advice: One sentence: what an operator can do.
+        advice: What an operator can do, in one sentence.
         exit_code: Exit code of a command that ends with this error.
         reason: What is wrong.
         location: The file, field, address or router that it concerns; may be empty.
@@ -41,7 +41,7 @@
 
 
 class InputError(IronrailError, ValueError):
-    """Input that can't be used; nothing of it was taken."""
+    """Input that can't be used; none of it was applied."""
 
 
 class RejectedError(IronrailError):
--- a/ironrail/operator_file.py
+++ b/ironrail/operator_file.py
@@ -1,4 +1,4 @@
-"""Settings of the operator's own file, beyond what the platform configures; all are optional."""
+"""Settings in the operator's own file, in addition to the platform's; all are optional."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class OperatorError(InputError):
-    """A file that can't be used; the message names the file, the field and the mistake."""
+    """A file that can't be used; the message names the file, the field and the error."""
 
     advice = "correct that line; `deploy/operator.toml` has every field with its usual value"
 
@@ -26,8 +26,8 @@
 
     Attributes:
         total_per_cache: Connections that a cache accepts from all routers together.
-        per_router: Connections of one router; None for its quota of the total.
-        max_in_flight: Requests on one connection; None for the platform's limit.
+        per_router: Connections of one router; None for its share of the total.
+        max_in_flight: Requests in flight on one connection; None for the platform's limit.
         connect_cost_milliseconds: Queueing delay that justifies another connection.
     """
 
@@ -37,7 +37,7 @@
     connect_cost_milliseconds: int = 30
 
     def limit_per_router(self, routers: int) -> int:
-        """Return the connections of one router, of `routers`, to one cache."""
+        """Return the maximum of connections from one of `routers` routers to one cache."""
         if self.per_router is not None:
             return self.per_router
         return connections_per_router(self.total_per_cache, routers)
@@ -45,12 +45,12 @@
 
 @dataclass(frozen=True, slots=True)
 class AccessLogSettings:
-    """The access log: the table `[access_log]`. `ironrail trace import` reads it as it is.
+    """The access log: the table `[access_log]`. `ironrail trace import` can read the log.
 
     Attributes:
-        path: The file; `{index}` in it is replaced by the router's index.
-        sample_ratio: Fraction of requests that are logged; retries of one key stay together.
-        max_megabytes: Size of a file, which is then renamed to PATH.1.
+        path: Path of the log; `{index}` in it is replaced by the router's index.
+        sample_ratio: Fraction of requests that are logged; all retries of one key or none.
+        max_megabytes: Size at which the file is renamed to PATH.1.
         hash_keys: Whether keys are hashed, because they identify subscribers.
         secret_file: File with the secret of the hashes; empty for a random one at each start.
     """
@@ -74,23 +74,24 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerSettings:
-    """Exchange with the other routers, whose addresses the platform lists: the table `[peers]`.
+    """Messages between routers, whose addresses the platform lists: the table `[peers]`.
 
     Attributes:
         key_files: Files with the secrets of the datagrams, by key id; two during a key change.
-        sending_key_id: The key that datagrams are sent with.
+        sending_key_id: Id of the key for outgoing datagrams.
         zones: Zone of each router, by its index.
-        voters: 3, 5 or 7 indexes of routers that vote on policies; none for no policies.
-        max_bytes_per_second: Sending rate of a router.
-        lease_milliseconds: How long a router without contact acts by its policy.
-        max_clock_drift_ratio: Largest error of a clock's rate.
-        record_folder: Folder of a voter's record, `{index}` replaced by its index; empty for none.
-        start_mode: A router without a policy is not ready (`wait`), or acts by the `floor`.
-        fallback_policy_file: Policy in force where none can be decided on; empty for no rows.
+        voters: Indexes of the 3, 5 or 7 routers that vote on policies; empty for no policies.
+        max_bytes_per_second: Limit of a router's sending rate.
+        lease_milliseconds: How long a router without contact keeps applying its policy.
+        max_clock_drift_ratio: Maximum relative error of a clock's rate.
+        record_folder: Folder of a voter's record, `{index}` is its index; empty for no record.
+        start_mode: A router without a policy is not ready (`wait`), or applies the `floor`, which
+            is the fallback policy.
+        fallback_policy_file: Policy while none can be decided on; empty for one without rows.
         zone_latency_map: Whether latency between zones is measured and used.
         steering_interval: Seconds between a voter's proposals of a steering table; 0 for none.
         requests_per_weight: Requests/s that a cache serves for each unit of weight; 0 if unknown.
-        exploration_ratio: Fraction of a region's readers that may go to unmeasured zones.
+        exploration_ratio: Fraction of a region's clients that may be sent to unmeasured zones.
     """
 
     key_files: dict[int, str]
@@ -124,8 +125,8 @@
     Attributes:
         connections: Connections to caches.
         access_log: The access log; None for none.
-        peers: Exchange with other routers; None for none.
-        regions: Address ranges of readers, by the region's name.
+        peers: Messages between routers; None for none.
+        regions: Address ranges of clients, by the region's name.
     """
 
     connections: ConnectionSettings = ConnectionSettings()
--- a/ironrail/operator_reader.py
+++ b/ironrail/operator_reader.py
@@ -1,6 +1,6 @@
-"""Parser of the operator's file. Imported only where there is one, as msgspec needs memory.
+"""Parser of the operator's file. Imported only if there is one, as msgspec uses much memory.
 
-The names of the file's fields are mapped here to those of `ironrail.operator_file`.
+The field names of the file are mapped here to those of `ironrail.operator_file`.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 MAX_FILE_BYTES = 64 * 1024
 MAX_KEY_ID = 255
 VOTER_COUNTS = (0, 3, 5, 7)
-# Problem and location in msgspec's messages.
+# Matches the problem and the location in msgspec's messages.
 MSGSPEC_MESSAGE = re.compile(r"(.*?)(?: - at `\$(.*?)`)?", re.DOTALL)
 PATH_FIELDS = ("path", "hash_key", "keep", "floor")
 
@@ -166,7 +166,7 @@
     if form.regions is UNSET:
         return {}
     if form.peers is UNSET:
-        raise OperatorError("regions: are told between routers, and there is no [peers]", path)
+        raise OperatorError("regions: need [peers], as they are sent between routers", path)
     try:
         Regions(form.regions)
     except InputError as error:
@@ -191,7 +191,7 @@
     voters = () if form.voters is UNSET else form.voters
     if len(voters) not in VOTER_COUNTS or len(set(voters)) < len(voters):
         raise OperatorError(
-            "peers.voters must be 3, 5 or 7 different numbers of routers, or none", path
+            "peers.voters must be 3, 5 or 7 different router indexes, or none", path
         )
     routers = len(form.halls)
     if any(voter >= routers for voter in voters):
@@ -200,7 +200,7 @@
 
 
 def _attributes(form: Struct | UnsetType, names: dict[str, str]) -> dict[str, Any]:
-    """Return the fields that are set, by the names of the settings' attributes."""
+    """Return the fields that are set, keyed by the names of the settings' attributes."""
     if form is UNSET:
         return {}
     values = {names[field]: getattr(form, field) for field in form.__struct_fields__}
@@ -208,7 +208,7 @@
 
 
 def _explain(message: str, table: dict[str, Any]) -> str:
-    """Rewrite msgspec's message: the field, what it must be, and what it is."""
+    """Rewrite msgspec's message: name the field, the permitted values and the actual one."""
     found = MSGSPEC_MESSAGE.fullmatch(message)
     assert found is not None
     problem = found[1]
@@ -232,7 +232,7 @@
 
 
 def _expected(location: str, problem: str) -> str:
-    """Describe what a field must be, by its bounds if it is a number."""
+    """Describe the permitted values of a field, by its bounds if it is a number."""
     table, _, name = location.partition(".")
     if not name:
         return "a table"
--- a/ironrail/settings.py
+++ b/ironrail/settings.py
@@ -1,7 +1,7 @@
 """Reads the settings document that the simulator and the deployment share into `policy.settings`.
 
-This module alone knows the keys and words of the document. Unknown keys are ignored, absent ones
-take defaults. Times are seconds.
+Only this module knows the keys and values of the document. Unknown keys are ignored, absent ones
+get defaults. Times are seconds.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
     Settings,
 )
 
-# words of the document
+# values in the document
 IDEMPOTENCY_BY_EFFECT = {
     "free": Idempotency.SAFE,
     "guarded": Idempotency.IDEMPOTENCY_KEY,
@@ -41,19 +41,19 @@
 
 
 def read_number(
-    table: dict[str, Any], field: str, default: float, where: str, least: float = 0.0
+    table: dict[str, Any], field: str, default: float, where: str, minimum: float = 0.0
 ) -> float:
     """Read a number, or its default if it is absent.
 
     Raises:
-        SettingsError: It is no number, or less than `least`.
+        SettingsError: It is not a number, or less than `minimum`.
     """
     value = table.get(field)
     if value is None:
         return default
-    if isinstance(value, bool) or not isinstance(value, (int, float)) or value < least:
+    if isinstance(value, bool) or not isinstance(value, (int, float)) or value < minimum:
         raise SettingsError(
-            f"{where}{field} must be a number of at least {least:g}, not {value!r}", "settings"
+            f"{where}{field} must be a number of at least {minimum:g}, not {value!r}", "settings"
         )
     return value
 
@@ -61,10 +61,10 @@
 def read_choice(
     table: dict[str, Any], field: str, default: str, known: dict[str, Any], where: str
 ) -> Any:
-    """Read one of the known words, and return what it stands for.
+    """Read one of the known values, and return its meaning.
 
     Raises:
-        SettingsError: It is none of these words.
+        SettingsError: It is none of these values.
     """
     value = table.get(field)
     if value is None:
@@ -80,7 +80,7 @@
     """Read a nested object, empty if it is absent.
 
     Raises:
-        SettingsError: It is no object.
+        SettingsError: It is not an object.
     """
     value = conf.get(field)
     if value is None:
@@ -94,7 +94,7 @@
     """Read a list of objects that each have a name, empty if it is absent.
 
     Raises:
-        SettingsError: It is no such list.
+        SettingsError: It is not such a list.
     """
     value = conf.get(field)
     if value is None:
@@ -156,7 +156,7 @@
 
 
 def _with_fleet(settings: Settings, conf: dict[str, Any]) -> Settings:
-    """Read what the routers and servers are like as a whole."""
+    """Read the properties of the routers and servers as a whole."""
     modes = POLLING_BY_MEMBERSHIP_MODE
     penalties = read_section(conf, "penalties")
     return replace(
@@ -172,7 +172,7 @@
 
 
 def _with_limits(settings: Settings, limits: dict[str, Any]) -> Settings:
-    """Read what a router may do."""
+    """Read the limits on what a router may do."""
     return replace(
         settings,
         hedging_allowed=bool(limits.get("secondCopies", False)),
@@ -186,7 +186,7 @@
 
 
 def _with_rules(settings: Settings, rules: dict[str, Any]) -> Settings:
-    """Read the rules that the platform holds routers to."""
+    """Read the rules that the platform sets for routers."""
 
     def number(field: str, default: float) -> float:
         return read_number(rules, field, default, "rules.")
@@ -203,7 +203,7 @@
 
 
 def _read_retry_budget(rules: dict[str, Any]) -> RetryBudgetSettings | None:
-    """Read the retry budget; None if none is stated, and 0 for the half that is absent."""
+    """Read the retry budget; None if none is stated. An absent reserve or ratio counts as 0."""
     if rules.get("extraFree") is None and rules.get("repeatRatio") is None:
         return None
     window = read_number(rules, "lookBack", 0.0, "rules.")
--- a/ironrail/simhost.py
+++ b/ironrail/simhost.py
@@ -1,4 +1,4 @@
-"""Hosts routers for the simulator: JSON lines in, JSON lines out. It decides nothing."""
+"""Hosts routers for the simulator: reads and writes lines of JSON, makes no decisions itself."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
 
 ROUTER_STARTED = "Born"
 ROUTER_KILLED = "Kill"
-IGNORED_EVENTS = {"Pong", "Heard"}  # answer what no router here asks for
-MAX_EXCERPT = 200  # characters of a malformed event that an error shows
+IGNORED_EVENTS = {"Pong", "Heard"}  # belong to commands that no router here sends
+MAX_EXCERPT_CHARS = 200  # of a malformed event, in the error message
 
 
 @dataclass(slots=True, frozen=True)
@@ -46,7 +46,7 @@
         self.routers: dict[int, Router] = {}  # by the simulator's id
 
     def answer_batch(self, line: bytes) -> bytes:
-        """Hand the events of one line to their routers and return the line of their commands.
+        """Pass the events of one line to their routers and return the line of their commands.
 
         Raises:
             WireError: The line or one of its events is malformed.
@@ -58,7 +58,7 @@
         return orjson.dumps({"cmds": commands}) + b"\n"
 
     def handle_event(self, now: float, event: Any, commands: list[WireObject]) -> None:
-        """Hand one event to its router and append the commands that answer it.
+        """Pass one event to its router and append the resulting commands.
 
         Raises:
             WireError: The event is malformed.
@@ -72,7 +72,7 @@
             commands.append({"op": "InternalError", "routerId": router_id, "line": str(error)})
             return
         except (KeyError, TypeError, ValueError, AttributeError) as error:
-            excerpt = str(event)[:MAX_EXCERPT]
+            excerpt = str(event)[:MAX_EXCERPT_CHARS]
             raise WireError(f"malformed event: {error!r} in {excerpt}") from error
         if router is None or router_event is None:
             return
@@ -82,7 +82,7 @@
             commands.append(command)
 
     def _read_event(self, now: float, router_id: int, event: WireObject) -> Event | None:
-        """Start or kill a router, or read an event for it; None if there is none to hand over."""
+        """Start or kill a router, or read an event for it; None if there is none to pass on."""
         operation = event["op"]
         if operation == ROUTER_STARTED:
             settings = read_settings(event["conf"])
--- a/ironrail/simulator_wire.py
+++ b/ironrail/simulator_wire.py
@@ -1,6 +1,6 @@
-"""The simulator's wire: reads its events, and writes actions as its commands.
+"""The simulator's wire protocol: reads its events, and writes actions as its commands.
 
-This module alone knows the keys and words of the simulator's wire. Times are seconds.
+Only this module knows the keys and values of the protocol. Times are seconds.
 """
 
 from __future__ import annotations
@@ -63,7 +63,7 @@
     "empty": AttemptStatus.MISS,
 }
 
-# contexts of timers, which the simulator hands back; at most 64 characters each
+# contexts of timers, which the simulator returns when they fire; at most 64 characters each
 HEDGE_DUE_PREFIX = "late:"
 QUEUE_WAIT_PREFIX = "wait:"
 ENDPOINT_LIST_POLL_CONTEXT = "list"
@@ -71,11 +71,11 @@
 
 
 class WireError(ValueError):
-    """A line that breaks the protocol of the wire."""
+    """A line that violates the wire protocol."""
 
 
 def encode_timer(timer: Timer) -> str:
-    """Write a timer as the context that the simulator hands back when it fires."""
+    """Encode a timer as the context that the simulator returns when it fires."""
     match timer:
         case HedgeDue(request_id, attempt_number):
             return f"{HEDGE_DUE_PREFIX}{request_id}:{attempt_number}"
@@ -88,7 +88,7 @@
 
 
 def decode_timer(context: str) -> Timer:
-    """Read a timer from its context; an unknown one only has the origin's queue served."""
+    """Decode a timer from its context; an unknown one counts as the end of an origin's pause."""
     if context.startswith(HEDGE_DUE_PREFIX):
         request_id, attempt_number = context.removeprefix(HEDGE_DUE_PREFIX).rsplit(":", 1)
         return HedgeDue(request_id, int(attempt_number))
