--- a/tests/connections/downstream/test_session_invariants.py
+++ b/tests/connections/downstream/test_session_invariants.py
@@ -12,7 +12,7 @@
 
 
 class SessionLifecycle(RuleBasedStateMachine):
-    """Sessions of all kinds under random events: limits hold, and closed ones are forgotten."""
+    """Under any order of events the limits hold, and no state is kept of closed sessions."""
 
     MAX_SESSIONS = 6
     MAX_RETAINED_SESSIONS = 3
--- a/tests/connections/downstream/test_session_manager.py
+++ b/tests/connections/downstream/test_session_manager.py
@@ -1,4 +1,4 @@
-"""Admission, eviction and timeouts of client sessions, without a socket."""
+"""Admission, eviction and timeouts of client sessions, without sockets."""
 
 from __future__ import annotations
 
@@ -157,7 +157,7 @@
             1,
             IDLE_TIMEOUT_SECONDS + 0.1,
             TimeoutAction.KEEP,
-        ),  # the router is slow, not the client
+        ),  # the response is pending, so the router is slow, not the client
     ],
 )
 def test_each_state_of_a_session_has_its_timeout(
@@ -215,13 +215,13 @@
     sessions = ClientSessionManager(max_sessions=3, max_retained_sessions=2)
     slow, silent, partial = (open_session(sessions, float(n)) for n in range(3))
     sessions.record_data(2.1, partial)
-    sessions.record_data(2.2, slow)  # the oldest, and it goes on
+    sessions.record_data(2.2, slow)  # the oldest, and still sending
     assert sessions.admit().evicted is silent
     assert sessions.admit().evicted is partial
 
 
 def test_idle_sessions_are_retained_by_the_learned_reuse_ratio() -> None:
-    """Idle sessions that are never used again are evicted, and retained where they are."""
+    """Idle sessions are evicted while none is used again, and retained once they are."""
     sessions = ClientSessionManager(max_sessions=200, max_retained_sessions=40)
 
     def open_and_use_once(now: float) -> ClientSession:
--- a/tests/connections/upstream/test_socket_budget.py
+++ b/tests/connections/upstream/test_socket_budget.py
@@ -1,4 +1,4 @@
-"""Connections shared out: a cache's places among routers, a router's descriptors among pools."""
+"""Division of a cache's connections among routers, and of a router's descriptors among pools."""
 
 from __future__ import annotations
 
@@ -17,9 +17,9 @@
 ORIGIN = SocketDemand(32, 32)
 
 
-@pytest.mark.parametrize(("places", "routers", "each"), [(90, 3, 12), (90, 4, 9), (90, 1, 16), (90, 100, 2)])
-def test_a_cache_s_capacity_is_shared_by_all_routers(places: int, routers: int, each: int) -> None:
-    assert connections_per_router(places, routers) == each
+@pytest.mark.parametrize(("capacity", "routers", "each"), [(90, 3, 12), (90, 4, 9), (90, 1, 16), (90, 100, 2)])
+def test_a_cache_s_capacity_is_shared_by_all_routers(capacity: int, routers: int, each: int) -> None:
+    assert connections_per_router(capacity, routers) == each
 
 
 @pytest.mark.parametrize(
@@ -31,7 +31,7 @@
 ) -> None:
     *shares, last = share_sockets(total, [CACHE] * caches + [ORIGIN])
     assert last == origin
-    assert set(shares) <= {each, each + 1} and each in shares  # the remainder goes to the first
+    assert set(shares) <= {each, each + 1} and each in shares  # the first ones get the remainder
 
 
 @given(
@@ -44,7 +44,7 @@
     shares = share_sockets(total, demands)
     assert all(1 <= share <= demand.wanted for share, demand in zip(shares, demands, strict=True))
     assert sum(shares) <= total + len(shares)
-    least = sum(demand.minimum for demand in demands)
-    if least < total:
+    total_minimum = sum(demand.minimum for demand in demands)
+    if total_minimum < total:
         assert all(share >= demand.minimum for share, demand in zip(shares, demands, strict=True))
         assert sum(shares) == min(total, sum(demand.wanted for demand in demands))
--- a/tests/connections/upstream/test_stream_scheduler.py
+++ b/tests/connections/upstream/test_stream_scheduler.py
@@ -1,4 +1,4 @@
-"""Whether an attempt queues on a busy connection, gets a new one, or waits."""
+"""Whether an attempt queues on a busy connection, gets a new one, or waits for one."""
 
 from __future__ import annotations
 
@@ -17,24 +17,24 @@
 
 
 def test_attempts_queue_until_the_time_lost_equals_the_cost_of_a_connection() -> None:
-    host = PoolHost(most=8)
+    host = PoolHost(max_connections=8)
     host.send()
     connection = host.connect()
-    host.read(connection, AttemptStatus.OK)  # with the handshake: tells nothing of what a reply takes
+    host.read(connection, AttemptStatus.OK)  # includes the handshake, so it is no sample of the reply time
     took = CONNECTION_COST_SECONDS / 2
     host.send()
     host.now += took
     host.read(connection, AttemptStatus.OK)
     host.send()
-    for behind in (1, 2):  # half a reply's time for each that is ahead: a quarter of the cost, then a half
+    for behind in (1, 2):  # half a reply time for each attempt ahead: a quarter of the cost, then a half
         assert host.written[host.send()] is connection, behind
     assert not host.connecting
-    host.send()  # three quarters more would be past the cost
+    host.send()  # three quarters more would exceed the cost
     assert len(host.connecting) == 1
 
 
 def test_attempts_do_not_queue_behind_slow_replies_below_the_limit() -> None:
-    host = PoolHost(most=3)
+    host = PoolHost(max_connections=3)
     host.send()
     connection = host.connect()
     host.read(connection, AttemptStatus.OK)
@@ -47,7 +47,7 @@
 
 
 def test_after_a_break_attempts_do_not_queue_below_the_limit() -> None:
-    host = PoolHost(most=4)
+    host = PoolHost(max_connections=4)
     host.send()
     connection = host.connect()
     host.read(connection, AttemptStatus.OK)
@@ -68,14 +68,14 @@
 
 
 def test_no_attempt_queues_on_an_overtaken_connection_until_it_is_read_again() -> None:
-    host = PoolHost(most=2)
-    slow = host.send(patience=1.0)
+    host = PoolHost(max_connections=2)
+    slow = host.send(timeout=1.0)
     connection = host.connect()
     host.now += OVERTAKEN_FRACTION + 0.01
     host.send()
     other = host.connect()
     host.read(other, AttemptStatus.OK)
-    assert host.status(slow) == [None]  # slow, and not lost
+    assert host.status(slow) == [None]  # slow, but not lost
     behind = [host.send() for _ in range(3)]
     assert all(host.written[attempt] is other for attempt in behind)
     host.read(connection, AttemptStatus.OK)
@@ -84,7 +84,7 @@
 
 
 def test_an_exclusive_attempt_shares_no_connection() -> None:
-    host = PoolHost(most=1)
+    host = PoolHost(max_connections=1)
     read = host.send()
     connection = host.connect()
     write = host.send(is_exclusive=True)
@@ -98,7 +98,7 @@
 
 
 def test_queued_reads_do_not_starve_a_write() -> None:
-    host = PoolHost(most=2)
+    host = PoolHost(max_connections=2)
     for _ in range(4):
         host.send()
     first, second = host.connect(), host.connect()
@@ -112,7 +112,7 @@
 
 
 def test_a_waiting_write_survives_the_end_of_the_last_connection() -> None:
-    host = PoolHost(most=1)
+    host = PoolHost(max_connections=1)
     host.send()
     connection = host.connect()
     write = host.send(is_exclusive=True)
@@ -122,7 +122,7 @@
 
 
 def test_a_write_that_got_no_connection_never_ran() -> None:
-    host = PoolHost(most=1)
+    host = PoolHost(max_connections=1)
     host.send()
     host.connect()
     write = host.send(is_exclusive=True)
@@ -131,14 +131,14 @@
 
 
 def test_a_connection_rejected_at_its_first_reply_is_over_the_server_s_limit() -> None:
-    host = PoolHost(most=8)
+    host = PoolHost(max_connections=8)
     host.send()
     connection = host.connect()
     host.send()
     other = host.connect()
     host.read(other, AttemptStatus.BUSY)
     assert other in host.closing
-    assert host.written[host.send()] is connection  # behind, for the places are taken
+    assert host.written[host.send()] is connection  # it queues, because the server's capacity is used up
     assert not host.connecting
     host.now += MIN_FULL_BACKOFF_SECONDS
     host.send()
@@ -146,7 +146,7 @@
 
 
 def test_the_backoff_of_a_full_server_grows_until_a_connection_is_served() -> None:
-    host = PoolHost(most=8)
+    host = PoolHost(max_connections=8)
     host.send()
     connection = host.connect()
     ended = [0.0]
@@ -155,7 +155,7 @@
             host.now += 0.05
             host.read(connection, *[AttemptStatus.OK] * len(connection.in_flight))
             host.send()
-            host.send()  # behind, or for one of its own
+            host.send()  # queues, or needs a connection of its own
         host.now += 0.05
         host.read(connection, *[AttemptStatus.OK] * len(connection.in_flight))  # it works
         host.fail_connect()
@@ -166,7 +166,7 @@
 
 
 def test_a_busy_first_reply_keeps_the_only_connection() -> None:
-    host = PoolHost(most=8)
+    host = PoolHost(max_connections=8)
     host.send()
     connection = host.connect()
     host.read(connection, AttemptStatus.BUSY)
@@ -174,7 +174,7 @@
 
 
 def test_a_refused_connect_beside_a_working_connection_queues_the_waiting_attempts() -> None:
-    host = PoolHost(most=8)
+    host = PoolHost(max_connections=8)
     host.send()
     connection = host.connect()
     waiting = host.send()
@@ -183,8 +183,8 @@
     assert host.written[waiting] is connection
     late = host.send()
     host.now += 0.05
-    host.read(connection, part=True)  # it works, though nothing is whole
+    host.read(connection, is_partial=True)  # it works, although no reply is complete
     connection.reply_state = ReplyState.NONE
-    host.fail_connect()  # of the dial that the first of the two began
+    host.fail_connect()  # the connect that was started for the first attempt
     assert host.written[late] is connection
     assert host.status(late) == [None]
--- a/tests/driver.py
+++ b/tests/driver.py
@@ -1,6 +1,6 @@
-"""Drives one router by hand, as its host would, and checks its actions against the service's rules.
+"""Drives one router step by step, as its host would, and checks its actions against the rules.
 
-The checks keep records of their own, so that they don't depend on those of the policy.
+The checks keep their own records, so that they don't depend on those of the policy.
 """
 
 from __future__ import annotations
@@ -42,7 +42,7 @@
     AttemptStatus.MISS,
     AttemptStatus.NOT_SENT,
 }
-GRACE_SECONDS = 0.02  # after its deadline, in which a request has to be answered
+GRACE_SECONDS = 0.02  # time after its deadline in which a request may still be answered
 
 
 class Outcome(StrEnum):
@@ -55,7 +55,7 @@
 
 
 class Due(NamedTuple):
-    """What happens next: the time-out of an attempt or a timer; ordered by its first three fields."""
+    """The next timer or timeout of an attempt; ordered by the first three fields."""
 
     at: float
     request_id: str
@@ -65,7 +65,7 @@
 
 
 def settings(**changes: Any) -> Settings:
-    """Make settings with three request classes, where hedging and cancellation are allowed."""
+    """Make settings with three request classes that allow hedging and cancellation."""
     base = Settings(
         classes={c.name: c for c in (SAFE_READ, KEYED_WRITE, UNSAFE_WRITE)},
         hedging_allowed=True,
@@ -82,12 +82,12 @@
 
 
 class Driver:
-    """A router with a clock, and what its client, the servers and the rules see of it."""
+    """A router with a clock, and the records of its requests, attempts and servers."""
 
-    def __init__(self, conf: Settings, seed: int = 1, make: type[Router] = Router) -> None:
+    def __init__(self, conf: Settings, seed: int = 1, router_class: type[Router] = Router) -> None:
         self.conf = conf
         self.now = 100.0
-        self.router = make(conf, seed, self.now)
+        self.router = router_class(conf, seed, self.now)
         self.pending: dict[str, RequestReceived] = {}
         self.deadlines: dict[str, float] = {}
         self.outcomes: dict[str, Outcome] = {}
@@ -102,19 +102,19 @@
         self.charged_at: dict[AttemptId, float] = {}
 
     def handle(self, event: Event) -> list[Action]:
-        """Hand an event to the router and check the actions that answer it."""
+        """Pass an event to the router and check the resulting actions."""
         self.last_actions = self.router.handle(self.now, event)
         for action in self.last_actions:
             self.check(action)
         return self.last_actions
 
     def is_in_flight(self, request_id: str, attempt_number: int | None = None) -> bool:
-        """Whether an attempt of a request has not ended; the latest one if none is named."""
+        """Whether an attempt of a request has not ended; by default the latest one."""
         if attempt_number is None:
             attempt_number = len(self.servers_sent_to[request_id]) - 1
         return self.statuses[AttemptId(request_id, attempt_number)] is None
 
-    # The rules that actions must keep
+    # Checks of the actions against the rules
 
     def check(self, action: Action) -> None:
         if isinstance(action, SetTimer):
@@ -122,7 +122,7 @@
             self.timers.append((self.now + action.delay, action.timer))
         elif isinstance(action, CancelAttempt):
             attempt_id = AttemptId(action.request_id, action.attempt_number)
-            assert attempt_id in self.statuses, "cancels an attempt never made"
+            assert attempt_id in self.statuses, "cancels an attempt that was never sent"
         elif isinstance(action, SendAttempt):
             self.check_send(action)
         elif isinstance(action, RejectRequest):
@@ -133,14 +133,14 @@
 
     def check_send(self, action: SendAttempt) -> None:
         name = action.request_id
-        assert name in self.pending, f"rule 1: sends for {name}, which is ended or unknown"
+        assert name in self.pending, f"rule 1: sends an attempt for {name}, which has ended or is unknown"
         target = self.endpoints.get(action.server)
-        assert target is not None and target.state is EndpointState.READY, "rule 3: sends to a drained server"
+        assert target is not None and target.state is EndpointState.READY, "rule 3: sends to a server that is not ready"
         earlier = self.servers_sent_to.setdefault(name, [])
         assert len(earlier) < self.conf.max_attempts, "more attempts than allowed"
         ran = self.attempts_that_may_have_run(name)
         outstanding = [number for number in ran if self.is_in_flight(name, number)]
-        assert self.conf.hedging_allowed or not outstanding, "rule 2: two copies out at once"
+        assert self.conf.hedging_allowed or not outstanding, "rule 2: two attempts in flight at once"
         if ran:
             self.check_repeat(name, ran, target)
         attempt_id = AttemptId(name, len(earlier))
@@ -154,32 +154,32 @@
         self.sent_at.setdefault(name, []).append(self.now)
 
     def attempts_that_may_have_run(self, name: str) -> list[int]:
-        """Numbers of the attempts of a request that may have taken effect, or may yet."""
+        """Return the numbers of the attempts that may have taken effect, or may still."""
         numbers = range(len(self.servers_sent_to.get(name, [])))
         return [number for number in numbers if self.statuses[AttemptId(name, number)] not in NEVER_RAN]
 
     def check_repeat(self, name: str, ran: list[int], target: Endpoint) -> None:
-        """Rule 2: what may have run is not to take effect twice."""
+        """Rule 2: a request that may have run must not take effect twice."""
         kind = self.conf.classes[self.pending[name].class_name]
         if kind.idempotency is Idempotency.SAFE:
             return
-        assert kind.idempotency is Idempotency.IDEMPOTENCY_KEY, "rule 2: an unsafe request sent again"
+        assert kind.idempotency is Idempotency.IDEMPOTENCY_KEY, "rule 2: an unsafe request is sent again"
         first = min(self.sent_at[name][number] for number in ran)
-        assert self.now <= first + kind.idempotency_window, "rule 2: a keyed request sent after its window"
+        assert self.now <= first + kind.idempotency_window, "rule 2: a keyed request is sent after its window"
         for number in ran:
             other = self.endpoints.get(self.servers_sent_to[name][number])
             assert in_one_scope(kind.idempotency_scope, other, target), (
-                "rule 2: a keyed request sent outside its group"
+                "rule 2: a keyed request is sent outside its scope"
             )
 
     def check_budget(self, attempt_id: AttemptId) -> None:
-        """Rule 5, counted anew from all attempts ever sent: not as the policy counts it."""
+        """Rule 5, the retry budget, counted from all attempts ever sent, unlike the policy's count."""
         name = attempt_id.request_id
         misses = sum(
             status is AttemptStatus.MISS for key, status in self.statuses.items() if key.request_id == name
         )
         charged = sum(key.request_id == name for key in self.charged_at)
-        if attempt_id.attempt_number <= misses + charged:  # the first, and one for each miss
+        if attempt_id.attempt_number <= misses + charged:  # free: the first, and one for each miss
             return
         self.charged_at[attempt_id] = self.now
         budget = self.conf.retry_budget
@@ -189,21 +189,21 @@
         counted = [key for key, at in self.charged_at.items() if at > since]
         used = sum(self.statuses.get(key) is not AttemptStatus.CANCELLED_BEFORE_SEND for key in counted)
         allowed = budget.reserve + budget.ratio * sum(at > since for at in self.request_times)
-        assert used <= allowed, f"rule 5: {used} further attempts where {allowed} are allowed"
+        assert used <= allowed, f"rule 5: {used} extra attempts, {allowed} are allowed"
 
     def check_rejection(self, name: str) -> None:
         """Rule 2: a client that is rejected may retry."""
-        assert name in self.pending, "rule 1: a second answer"
+        assert name in self.pending, "rule 1: answers a request again, or an unknown one"
         kind = self.conf.classes[self.pending[name].class_name]
         if self.attempts_that_may_have_run(name) and kind.idempotency is not Idempotency.SAFE:
             harmless = (
                 kind.idempotency is Idempotency.IDEMPOTENCY_KEY
                 and kind.idempotency_scope is IdempotencyScope.ALL
             )
-            assert harmless, "rule 2: a refusal of what may have run"
+            assert harmless, "rule 2: rejects a request that may have run"
 
     def finish_request(self, name: str, outcome: Outcome) -> None:
-        assert name in self.pending, "rule 1: a second answer"
+        assert name in self.pending, "rule 1: answers a request again, or an unknown one"
         del self.pending[name]
         self.outcomes[name] = outcome
 
@@ -216,7 +216,7 @@
     def update_endpoints(
         self, *endpoints: Endpoint, kind: EndpointListKind = EndpointListKind.FULL
     ) -> list[Action]:
-        """Discovery lists these servers."""
+        """Let discovery list these servers."""
         if kind in (EndpointListKind.FULL, EndpointListKind.CACHED):
             removed = EndpointState.REMOVED
             self.endpoints = {name: replace(known, state=removed) for name, known in self.endpoints.items()}
@@ -224,7 +224,7 @@
         return self.handle(EndpointListUpdate(kind, endpoints))
 
     def receive(self, name: str, finish: bool = False, **fields: Any) -> str | None:
-        """A request arrives; returns the server that its first attempt went to, if any."""
+        """Let a request arrive; return the server that its first attempt went to, if any."""
         fields.setdefault("class_name", "read")
         fields.setdefault("time_left", 2.0)
         event = RequestReceived(name, **fields)
@@ -240,7 +240,7 @@
     def end_attempt(
         self, name: str, status: AttemptStatus, attempt: int | None = None, latency: float = 0.05
     ) -> str | None:
-        """An attempt ends; returns the server that the next one went to, if one was sent."""
+        """End an attempt; return the server that the next one went to, if one was sent."""
         count = len(self.servers_sent_to[name])
         number = count - 1 if attempt is None else attempt
         assert self.is_in_flight(name, number)
@@ -252,11 +252,11 @@
         return self.servers_sent_to[name][-1] if len(self.servers_sent_to[name]) > count else None
 
     def succeed(self, name: str) -> None:
-        """The latest attempt of a request is served."""
+        """End the latest attempt of a request with success."""
         self.end_attempt(name, AttemptStatus.OK)
 
     def advance(self, seconds: float) -> None:
-        """Let time pass, with timers and time-outs in their order."""
+        """Let time pass, with timers and timeouts in their order."""
         until = self.now + seconds
         while (due := self.next_due()) is not None and due.at <= until:
             self.now = max(self.now, due.at)
@@ -270,7 +270,7 @@
         self.check_deadlines()
 
     def next_due(self) -> Due | None:
-        """The first timer or time-out that is still to come."""
+        """Return the next timer or timeout."""
         due = [Due(at, "", encode_timer(timer), 0, timer) for at, timer in self.timers]
         due += [
             Due(at, key.request_id, "", key.attempt_number, None)
--- a/tests/net/dispatch/test_revoked_attempts.py
+++ b/tests/net/dispatch/test_revoked_attempts.py
@@ -31,7 +31,7 @@
 
 def test_revoking_aborts_the_connection_before_any_outcome_is_reported() -> None:
     """A retry of the same request may follow an outcome at once."""
-    host = PoolHost(most=1)
+    host = PoolHost(max_connections=1)
     host.send()
     connection = host.connect()
     first, second = host.send(), host.send()
@@ -39,6 +39,6 @@
     assert host.written[second] is host.written[first] is connection
     actions = host.manager.revoke(host.now, first)
     assert [type(action).__name__ for action in actions] == ["AbortConnection", "EndAttempt", "EndAttempt"]
-    host.do(actions)
+    host.carry_out(actions)
     assert host.status(first, second) == [AttemptStatus.CANCELLED, AttemptStatus.CANCELLED]
     assert connection in host.closing
--- a/tests/policy/fleets.py
+++ b/tests/policy/fleets.py
@@ -1,4 +1,4 @@
-"""Endpoints for tests of decisions, and the order in which a key visits them."""
+"""Endpoints for tests of the policy, and the order in which a key visits them."""
 
 from __future__ import annotations
 
--- a/tests/policy/streams.py
+++ b/tests/policy/streams.py
@@ -1,4 +1,4 @@
-"""Streams of events drawn from a seed, as a host might hand them to a router."""
+"""Random streams of events, reproducible by seed, as a host might pass them to a router."""
 
 from __future__ import annotations
 
@@ -37,9 +37,9 @@
 )
 
 TRAFFIC_SECONDS = 14.0  # in which requests arrive
-QUIET_SECONDS = 6.0  # after them, in which all are answered
+QUIET_SECONDS = 6.0  # after the traffic, until all requests are answered
 ROUTER_COUNTS = (1, 10, 40, 200)
-ENDPOINT_LIST_KINDS = (  # named, so that a kind that is added changes no stream
+ENDPOINT_LIST_KINDS = (  # listed explicitly, so that a new kind does not change the streams
     EndpointListKind.DELTA,
     EndpointListKind.FULL,
     EndpointListKind.CACHED,
@@ -78,7 +78,7 @@
 
 
 def draw_settings(draws: random.Random, subsets: bool, many: bool) -> Settings:
-    """Draw settings; `subsets`: routers share the servers out, `many`: 200 routers before one origin."""
+    """Draw settings; `subsets`: routers divide the servers, `many`: 200 routers share an origin."""
     routers = 40 if subsets else 200 if many else draws.choice(ROUTER_COUNTS)
     return Settings(
         {kind.name: kind for kind in CLASSES},
@@ -99,17 +99,17 @@
 
 
 class World:
-    """Servers, clients and a clock around one router; the seed decides all of them."""
+    """Simulated servers and clients of one router, with a clock; all is determined by the seed."""
 
-    def __init__(self, seed: int, make: type[Router] = Router) -> None:
+    def __init__(self, seed: int, router_class: type[Router] = Router) -> None:
         self.draws = random.Random(seed)
-        # a fleet that routers share out, an overloaded one, and many routers before one origin
+        # a fleet that routers divide into subsets, an overloaded one, many routers with one origin
         subsets = seed % 4 == 0
         overloaded = seed % 4 == 1
         many = seed % 4 == 2
         self.settings = draw_settings(self.draws, subsets, many)
         self.now = 1000.0
-        self.router = make(self.settings, seed, self.now)
+        self.router = router_class(self.settings, seed, self.now)
         self.scheduled: list[tuple[float, int, Event]] = []
         self.event_count = 0
         self.pending: dict[str, float] = {}  # time until which its client waits
@@ -117,7 +117,7 @@
         self.names = [f"s{n}" for n in range(self.size)] + ["o", "o2"]
         self.behaviours = dict.fromkeys(self.names, SERVER_BEHAVIOURS[2 if overloaded else 0])
         self.rate = 80.0 if overloaded else self.draws.choice([20.0, 80.0])
-        self.turbulence = self.draws.random()  # how often servers change
+        self.churn = self.draws.random()  # how often servers change
 
     def schedule(self, seconds: float, event: Event) -> None:
         self.event_count += 1
@@ -126,14 +126,14 @@
     def draw_endpoint(self, name: str) -> Endpoint:
         number, draws = self.names.index(name), self.draws
         state = draws.choices(list(EndpointState), [0.94, 0.04, 0.02])[0]
-        since = self.now - draws.random() * 2.0 if draws.random() < 0.05 + 0.2 * self.turbulence else 0.0
+        started_at = self.now - draws.random() * 2.0 if draws.random() < 0.05 + 0.2 * self.churn else 0.0
         kind, weight = "origin" if name in ("o", "o2") else "std", draws.choice([0.0, 1.0, 2.0])
-        return Endpoint(name, state, kind, "xy"[number % 2], number % 3, weight, since)
+        return Endpoint(name, state, kind, "xy"[number % 2], number % 3, weight, started_at)
 
     def draw_list_update(self) -> EndpointListUpdate:
         kind = self.draws.choice(ENDPOINT_LIST_KINDS)
         if kind in (EndpointListKind.FULL, EndpointListKind.CACHED):
-            first = self.size // 2 if self.draws.random() < 0.3 else 0  # as where a half is lost
+            first = self.size // 2 if self.draws.random() < 0.3 else 0  # as after a loss of half of them
             return EndpointListUpdate(kind, tuple(map(self.draw_endpoint, self.names[first:])))
         if kind is EndpointListKind.DELTA:
             return EndpointListUpdate(kind, tuple(map(self.draw_endpoint, self.draws.sample(self.names, 2))))
@@ -168,7 +168,7 @@
                 self.schedule(0.2, self.draw_list_update())
 
     def as_host_event(self, event: Event) -> Event:
-        """The event as a host would emit it now: the end of an attempt may end its request."""
+        """Return the event as a host would emit it now: the end of an attempt may end its request."""
         if not isinstance(event, AttemptEnded):
             return event
         request_ended = event.request_id not in self.pending or event.status is AttemptStatus.OK
@@ -179,21 +179,21 @@
         )
 
     def steps(self) -> Iterator[tuple[float, Event, list[Action]]]:
-        """All events, each with its time and the actions that answer it."""
+        """Yield all events, each with its time and the resulting actions."""
         self.schedule(
             0.0, EndpointListUpdate(EndpointListKind.CACHED, tuple(map(self.draw_endpoint, self.names)))
         )
-        arrives, changes, ends = self.now, self.now + 2.0, self.now + TRAFFIC_SECONDS
-        while arrives < ends or self.scheduled and self.scheduled[0][0] < ends + QUIET_SECONDS:
-            if arrives < ends and (not self.scheduled or arrives <= self.scheduled[0][0]):
-                self.now = arrives
-                arrives += self.draws.random() * 2.0 / self.rate
+        next_arrival, next_change, traffic_end = self.now, self.now + 2.0, self.now + TRAFFIC_SECONDS
+        while next_arrival < traffic_end or self.scheduled and self.scheduled[0][0] < traffic_end + QUIET_SECONDS:
+            if next_arrival < traffic_end and (not self.scheduled or next_arrival <= self.scheduled[0][0]):
+                self.now = next_arrival
+                next_arrival += self.draws.random() * 2.0 / self.rate
                 event: Event = self.draw_request()
             else:
                 self.now, _, event = heapq.heappop(self.scheduled)
                 event = self.as_host_event(event)
-            if self.now >= changes:
-                changes += 0.2 + 2.0 * (1.0 - self.turbulence) * self.draws.random()
+            if self.now >= next_change:
+                next_change += 0.2 + 2.0 * (1.0 - self.churn) * self.draws.random()
                 self.behaviours[self.draws.choice(self.names)] = self.draws.choice(SERVER_BEHAVIOURS)
                 if self.draws.random() < 0.4:
                     self.schedule(0.0, self.draw_list_update())
--- a/tests/policy/test_attempts_in_flight.py
+++ b/tests/policy/test_attempts_in_flight.py
@@ -1,4 +1,4 @@
-"""What is in flight at each server, and what the end of an attempt proves."""
+"""Attempts in flight at each server, and the effects of their ends."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from tests.policy.fleets import fleet
 
 
-def test_an_attempt_that_was_not_sent_leaves_no_trace_at_its_server() -> None:
+def test_an_attempt_that_was_not_sent_changes_no_state_of_its_server() -> None:
     d = Driver(settings(cancellation_allowed=False))
     d.update_endpoints(*fleet("a"))
     d.receive("r")
@@ -19,7 +19,7 @@
         server.consecutive_losses,
         server.ejected_until,
     )
-    d.now += 0.9  # overdue: any other end would speak against the server
+    d.now += 0.9  # overdue: any other status would count against the server
     d.finish_request("r", Outcome.DISCONNECTED)
     d.handle(AttemptEnded("r", 0, AttemptStatus.NOT_SENT, True, 0.9))
     d.handle(ClientDisconnected("r"))
--- a/tests/policy/test_candidate_selection.py
+++ b/tests/policy/test_candidate_selection.py
@@ -1,4 +1,4 @@
-"""Which servers a key goes to after its first one."""
+"""The servers that a key goes to when its first one is not chosen."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def test_a_key_visits_three_servers_at_their_limit_at_most() -> None:
-    """More visits send keys to servers without them; with two, idle servers are left unused."""
+    """With more visits keys go to servers that do not cache them; with two, idle servers stay unused."""
     d = Driver(settings())
     d.update_endpoints(*fleet("a", "b", "c", "d"))
     first, second, third, fourth = servers_clockwise(d, "k")
@@ -28,7 +28,7 @@
 
 
 def test_ejected_servers_do_not_count_as_visited() -> None:
-    """Otherwise keys of servers beyond a cut link would be rejected."""
+    """Otherwise keys of servers behind a cut link would be rejected."""
     d = Driver(settings())
     d.update_endpoints(*fleet("a", "b", "c", "d"))
     first, second, third, _ = servers_clockwise(d, "k")
--- a/tests/policy/test_concurrency_limit.py
+++ b/tests/policy/test_concurrency_limit.py
@@ -24,7 +24,7 @@
 
 
 def test_the_initial_growth_of_the_origin_limit_is_shared_by_all_routers() -> None:
-    """200 routers grew from 4 fetches each to 16, and the origin rejected 413 in a second."""
+    """The limits of 200 routers grew from 4 to 16 fetches each: the origin rejected 413 in a second."""
     limits = {}
     for routers in (1, 40, 200):
         d = Driver(settings(cache_aside=True, origin_kind="o", router_count=routers))
@@ -39,7 +39,7 @@
 
 
 def test_a_limit_grows_faster_before_its_first_decrease() -> None:
-    """The limit at the origin took seconds to reach the load, and most requests were rejected."""
+    """Guards against a limit that takes seconds to reach the load, while most requests are rejected."""
     d = Driver(settings(cache_aside=True, origin_kind="o"))
     d.update_endpoints(*fleet("a"), endpoint("o", kind="o"))
     for n in range(40):
@@ -55,7 +55,7 @@
 
 
 def test_one_slow_answer_does_not_decrease_the_limit() -> None:
-    """A single heavy request decreased the limit of a healthy server."""
+    """Guards against a single expensive request that lowers the limit of a healthy server."""
     d = Driver(settings())
     d.update_endpoints(*fleet("a"))
     for n in range(20):
@@ -65,7 +65,7 @@
 
 
 def test_abandoned_attempts_count_as_in_flight_until_a_later_answer_or_the_latency_objective() -> None:
-    """Servers work on abandoned attempts: 200 routers kept their queues full of these."""
+    """Servers still work on abandoned attempts: 200 routers kept their queues full of these."""
     d = Driver(settings(max_attempts=1, hedging_allowed=False, router_count=hash_ring.NUM_ROUTERS_PER_SUBSET))
     d.update_endpoints(*fleet("a"))
     d.router.servers["a"].concurrency_limit = 3.0
@@ -73,7 +73,7 @@
     d.end_attempt("r0", AttemptStatus.TIMEOUT, latency=0.1)
     d.end_attempt("r1", AttemptStatus.CANCELLED, latency=0.1)
     assert d.receive("early", key="k") is None  # one in flight, two abandoned
-    d.end_attempt("r2", AttemptStatus.BUSY, latency=0.1)  # says nothing of earlier attempts
+    d.end_attempt("r2", AttemptStatus.BUSY, latency=0.1)  # says nothing about earlier attempts
     d.router.servers["a"].concurrency_limit = 3.0
     assert d.receive("r4", key="k") == "a" and d.receive("more", key="k") is None
     d.succeed("r4")  # was sent after the abandoned ones
@@ -108,11 +108,11 @@
     assert found == [
         9.0 * concurrency_limit.MULTIPLICATIVE_DECREASE_FACTOR,
         limit,
-    ]  # two in flight of which one has ended, or one left
+    ]  # the second end leaves two in flight, counting itself, or one
 
 
 def test_a_rejection_lowers_the_limit_to_what_is_in_flight() -> None:
-    """Limits fell a quarter in a round while small servers rejected two attempts in three."""
+    """Limits fell by only a quarter at a time, while small servers rejected two of three attempts."""
     d = Driver(settings())
     d.update_endpoints(*fleet("a"))
     d.router.servers["a"].concurrency_limit = 9.0
@@ -123,7 +123,7 @@
 
 
 def test_failed_connects_to_a_cache_do_not_decrease_its_limit() -> None:
-    """Few routers would be slow to raise a limit again after a cut link recovers."""
+    """With few routers the limit would take long to rise again after a cut link recovers."""
     d = Driver(settings())
     d.update_endpoints(*fleet("a"))
     for n in range(5):
@@ -135,7 +135,7 @@
 
 
 def test_connects_to_the_origin_that_time_out_do_not_decrease_its_limit() -> None:
-    """Otherwise fetches stay few for long after a cut link recovers."""
+    """Otherwise few fetches are sent for a long time after a cut link recovers."""
     d = Driver(settings(**CACHE_ASIDE, router_count=10 * concurrency_limit.NUM_ROUTERS_PER_ORIGIN))
     d.update_endpoints(*fleet("a", "o"))
     for n in range(20):
@@ -147,7 +147,7 @@
 
 
 def test_few_routers_keep_an_origin_limit_of_one() -> None:
-    """With three routers a third of the capacity of the origin is lost in each pause of one."""
+    """With three routers, a third of the origin's capacity is lost whenever one of them pauses."""
     d = Driver(settings(**CACHE_ASIDE, router_count=3))
     d.update_endpoints(*fleet("a", "o"))
     for n in range(20):
--- a/tests/policy/test_connection_health.py
+++ b/tests/policy/test_connection_health.py
@@ -1,4 +1,4 @@
-"""Idle connections that lose attempts, and connects that fail."""
+"""Idle connections on which attempts are lost, and connects that fail."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def lose_idle_connections(d: Driver, lost: AttemptStatus, count: int) -> None:
-    """Lose attempts on connections idle for three seconds, and answer the next ones."""
+    """Lose attempts on connections that were idle for 3 s, and answer the next ones."""
     for n in range(count):
         d.now += 3.0
         server = d.receive(f"old{n}", key="k")
@@ -37,7 +37,7 @@
 
 
 def test_losses_on_connections_in_use_leave_the_idle_survival_as_it_is() -> None:
-    """Two timeouts at a silent server led to a new connection for every second request."""
+    """Guards against two timeouts at a silent server causing a new connection for every other request."""
     d = Driver(settings(max_attempts=1))
     d.update_endpoints(*fleet("a"))
     for n in range(8):
@@ -62,7 +62,7 @@
 
 
 def test_connections_are_closed_after_use_while_accept_queues_are_full() -> None:
-    """Idle connections of other routers filled the accept queues, and half of all connects failed."""
+    """Guards against idle connections of routers that fill accept queues: half of all connects failed."""
     d = Driver(settings(max_attempts=1))
     d.update_endpoints(*fleet("a"))
     for n in range(6):
@@ -75,7 +75,7 @@
 
 
 def test_connects_refused_by_stopped_servers_close_no_other_connections() -> None:
-    """While six in ten servers were replaced, routers opened a connection for each request."""
+    """Guards against a new connection for each request while six of ten servers are replaced."""
     d = Driver(settings(max_attempts=1))
     names = [f"s{n}" for n in range(10)]
     d.update_endpoints(*fleet(*names))
--- a/tests/policy/test_decisions.py
+++ b/tests/policy/test_decisions.py
@@ -1,6 +1,6 @@
-"""Decisions are what they were: a tidying that changes one is seen here.
+"""Decisions on recorded event streams are unchanged, so that a refactoring that changes one fails.
 
-Where a change is meant, `python -m tests.policy.decision_digests` writes new digests; the commit says why.
+After an intended change, `python -m tests.policy.decision_digests` writes new digests; the commit says why.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 from tests.policy.decision_digests import FILE, SEEDS, VALUES_FILE, digest, value_digest
 
 KNOWN = dict(line.split() for line in FILE.read_text().splitlines())
-RENEW = "renew on purpose: python -m tests.policy.decision_digests"
+RENEW = "after an intended change: python -m tests.policy.decision_digests"
 KNOWN_VALUES = dict(line.split() for line in VALUES_FILE.read_text().splitlines())
 
 
--- a/tests/policy/test_discovery_freshness.py
+++ b/tests/policy/test_discovery_freshness.py
@@ -1,4 +1,4 @@
-"""Polls for the endpoint list by many routers at one service that can serve few."""
+"""Polls for the endpoint list by many routers, at one service that handles few calls."""
 
 from __future__ import annotations
 
@@ -29,14 +29,14 @@
 
 @dataclass
 class Service:
-    """Serves calls in turn, also those that it refused as they had waited too long."""
+    """Handles calls in order, also those that it has refused because they waited too long."""
 
     rate: float  # calls a second
-    patience: float  # seconds that a call waits
+    patience: float  # seconds that a call waits before it is refused
     free_at: float = 0.0
 
     def call(self, now: float) -> tuple[float, bool]:
-        """Return when the call ends, and whether it brings a list."""
+        """Return when the call ends, and whether it returns a list."""
         begins = max(now, self.free_at)
         self.free_at = begins + 1 / self.rate
         if begins - now > self.patience:
@@ -46,7 +46,7 @@
 
 @dataclass
 class Fleet:
-    """Routers that start together, each of which polls until it has the list."""
+    """Routers that start at the same time, each of which polls until it has the list."""
 
     routers: int
     service: Service
@@ -74,7 +74,7 @@
                 self.listed_at.append(ends)
                 continue
             if not self.grows:
-                schedules[n].failures = -1  # no growth of the spread
+                schedules[n].failures = -1  # the backoff does not grow
             heapq.heappush(due, (ends + schedules[n].on_failure(ends, EndpointListKind.FAILED, draws), n))
 
 
@@ -137,13 +137,13 @@
 
 
 def test_a_pause_after_a_malformed_list_is_no_longer_than_a_short_slow_start() -> None:
-    """An example that the test above found; the bound is the same."""
+    """Guards against a pause that is longer than the slow start; found by the test above."""
     failures = [EndpointListKind.FAILED, EndpointListKind.FAILED, EndpointListKind.MALFORMED]
     check_pauses(routers=1, ramp=0.25, window=0.25, must_ask=1.0, seed=0, ways=failures)
 
 
 def test_after_a_malformed_answer_polls_are_not_spread_until_there_is_a_list() -> None:
-    """This holds after refused calls too: one of them delayed the next by half a minute."""
+    """Also after refused calls, one of which delayed the next poll by half a minute."""
     conf = settings(
         polls_endpoint_list=True,
         router_count=40,
@@ -165,7 +165,7 @@
             freshness.require_success_since(11.9) == -math.inf
             and freshness.require_success_since(12.0) == 7.0
         )
-        freshness.on_failure(11.0, malformed, draws)  # the earlier one counts
+        freshness.on_failure(11.0, malformed, draws)  # the earlier failure counts
         assert freshness.require_success_since(12.0) == 7.0
         freshness.on_update()
         assert (
@@ -175,7 +175,7 @@
 
 
 def test_after_a_watch_timeout_two_polls_are_immediate() -> None:
-    """The watch ends half a second after its wait; changes it missed count 2 s after the wait."""
+    """The watch times out 0.5 s after its wait; changes that it missed count 2 s after the wait."""
     conf = settings(
         polls_endpoint_list=True,
         router_count=200,
@@ -192,14 +192,14 @@
     )
     assert (
         freshness.on_failure(21.5, EndpointListKind.FAILED, draws) > 4.0
-    )  # the service may be overloaded: no third one at once
+    )  # the service may be overloaded, so the third poll backs off
     freshness.on_update()
     assert freshness.require_success_since(99.0) == -math.inf
 
 
 @pytest.mark.parametrize("missed", [EndpointListKind.MALFORMED, EndpointListKind.WATCH_TIMED_OUT])
 def test_with_a_stale_list_only_servers_with_recent_successes_are_used(missed: EndpointListKind) -> None:
-    """Draining servers reject new requests, and the update that they drain was missed."""
+    """Draining servers reject new requests, and the update about them was missed."""
     d = Driver(settings(polls_endpoint_list=True, router_count=5, poll_interval=10.0, max_attempts=3))
     d.update_endpoints(*(endpoint(name) for name in "abcdef"))
     d.update_endpoints(kind=missed)
@@ -217,11 +217,11 @@
     assert all(sent[True][name] for name in "cdef")
     d.update_endpoints(*(endpoint(name) for name in "abcdef"))
     again = {d.receive(f"s{n}", key=f"k{n}") for n in range(60)}
-    assert again & {"a", "b"}  # a list ends the staleness
+    assert again & {"a", "b"}  # a new list ends the staleness
 
 
 def test_with_a_stale_list_a_server_that_refused_a_connect_is_not_used_again() -> None:
-    """The server may have been removed from the list, though it answers after a restart."""
+    """The server may have been removed from the list, even if it answers after a restart."""
     d = Driver(settings(polls_endpoint_list=True, router_count=5, poll_interval=10.0, max_attempts=3))
     d.update_endpoints(*(endpoint(name) for name in "abcdef"))
     d.update_endpoints(kind=EndpointListKind.MALFORMED)
@@ -243,7 +243,7 @@
 
 
 def test_the_backoff_is_bounded_without_a_poll_interval() -> None:
-    """With a thousand routers the backoff stays bounded, however many polls failed."""
+    """With a thousand routers the backoff stays bounded after any number of failures."""
     freshness, draws = (
         DiscoveryFreshness(settings(polls_endpoint_list=True, router_count=1000, slow_start_duration=5.0)),
         random.Random(1),
@@ -262,7 +262,7 @@
 
 
 def test_polls_are_spread_after_the_list_is_relocated() -> None:
-    """SIGHUP reaches the whole fleet within a second."""
+    """SIGHUP relocates the list for the whole fleet within a second."""
     pauses = []
     for index in range(40):
         d = Driver(
--- a/tests/policy/test_hash_ring.py
+++ b/tests/policy/test_hash_ring.py
@@ -1,4 +1,4 @@
-"""Virtual nodes, placement of keys and bounded loads, against values worked out by hand."""
+"""Virtual nodes, placement of keys and bounded loads, compared with values calculated by hand."""
 
 import hashlib
 
@@ -48,7 +48,7 @@
 
 
 def primary_of(key: str, servers: dict[str, int]) -> str:
-    """Return the server of the first virtual node clockwise, by plain search."""
+    """Return the server of the first virtual node clockwise, by linear search."""
     ring = sorted((md5_16(f"{s}-vnode-{j}"), s) for s, n in servers.items() for j in range(n))
     return next((s for p, s in ring if p >= md5_16(key)), ring[0][1])
 
@@ -98,7 +98,7 @@
 
 
 def test_an_updated_ring_equals_one_built_from_the_same_servers() -> None:
-    """A deployment over 150 servers and 1,000 routers cost 150 us of CPU for each event."""
+    """A full rebuild cost 150 us of CPU for each event in a release of 150 servers at 1,000 routers."""
     d = Driver(settings())
     d.update_endpoints(*(endpoint(f"s{n}", weight=1 + n % 3) for n in range(30)))
     for n in range(40):
@@ -115,7 +115,7 @@
 
 
 def test_a_hot_key_is_replicated_before_the_bounded_load_is_reached() -> None:
-    """Hundreds of routers with one request each in flight overloaded the server of a hot key."""
+    """Hundreds of routers with one request in flight each overloaded the server of a hot key."""
     d = Driver(settings())
     d.update_endpoints(*(endpoint(f"s{n}") for n in range(50)))
     for n in range(200):
--- a/tests/policy/test_hedging.py
+++ b/tests/policy/test_hedging.py
@@ -1,4 +1,4 @@
-"""Overdue attempts are hedged, or replaced, while the fleet is not congested."""
+"""Overdue attempts are hedged or replaced while the fleet is not congested."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
 
 @pytest.mark.parametrize("early", [0.0003, 0.01])
 def test_an_attempt_cancelled_as_overdue_is_not_taken_for_a_broken_connection(early: float) -> None:
-    """Its timer may fire early by rounding; the silent server must not be sent the request again."""
+    """Its timer may fire early by rounding; the request must not go to the silent server again."""
     d = Driver(settings(**CACHE_ASIDE, hedging_allowed=False))
     d.update_endpoints(*fleet("a", "b", "o"))
     d.receive("r", key="k")
--- a/tests/policy/test_load_shedding.py
+++ b/tests/policy/test_load_shedding.py
@@ -1,4 +1,4 @@
-"""The share of new requests that is shed in an overload."""
+"""The fraction of new requests that is shed in an overload."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def test_requests_are_shed_while_few_are_answered_in_time() -> None:
-    """Without shedding hardly any request is answered in time in an overload."""
+    """Without shedding, hardly any request is answered in time in an overload."""
     d = Driver(settings(max_attempts=1))
     d.update_endpoints(*fleet("a", "b"))
     for n in range(400):
@@ -27,11 +27,11 @@
 
 
 def test_shedding_goes_on_until_most_answers_are_in_time() -> None:
-    """The effect of shedding must not reduce the share that is shed."""
+    """Guards against shedding that stops because shed requests are not counted."""
     d = Driver(settings(max_attempts=1))
     d.update_endpoints(*fleet("a", "b"))
     sent = 0
-    for n in range(600):  # every second attempt is answered in time, whatever is shed
+    for n in range(600):  # every other attempt is answered in time, independent of shedding
         d.now += 0.05
         if d.receive(f"r{n}", key=f"k{n}"):
             sent += n >= 300
--- a/tests/policy/test_membership.py
+++ b/tests/policy/test_membership.py
@@ -1,4 +1,4 @@
-"""The endpoint list: when it is fetched, and what an update resets."""
+"""The endpoint list: when it is fetched, and the state that an update resets."""
 
 from __future__ import annotations
 
@@ -50,12 +50,12 @@
             (again,) = [
                 a for a in d.update_endpoints(kind=EndpointListKind.FAILED) if isinstance(a, SetTimer)
             ]
-            assert 1.0 < again.delay < 4 * 3.0  # the old list may not be used for longer than the interval
-    assert max(delays) < 3.0  # nor at the start
+            assert 1.0 < again.delay < 4 * 3.0  # the old list must not be used for longer than four poll intervals
+    assert max(delays) < 3.0  # also at the start
     assert max(delays) - min(delays) > 1.5
 
 
-def test_nothing_learned_of_a_server_outlives_its_restart() -> None:
+def test_a_restart_discards_what_was_learned_about_a_server() -> None:
     """Limits and losses of an earlier process do not apply to its successor."""
     d = Driver(settings())
     d.update_endpoints(*fleet("a"))
--- a/tests/policy/test_origin_queue.py
+++ b/tests/policy/test_origin_queue.py
@@ -1,4 +1,4 @@
-"""Which requests wait for the origin, in which order, and which fetches are sent."""
+"""Requests that wait for the origin, their order, and the fetches that are sent."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 @pytest.mark.parametrize("how", ["disconnected", "failed"])
-def test_a_failed_fetch_lets_the_next_queued_request_go(how: str) -> None:
+def test_after_a_failed_fetch_the_next_queued_request_is_sent(how: str) -> None:
     d = Driver(settings(**CACHE_ASIDE))
     d.update_endpoints(*fleet("a", "o"))
     d.router.servers["o"].concurrency_limit = 1.0
@@ -27,7 +27,7 @@
 
 
 def test_no_fetch_is_sent_that_cannot_finish_in_time() -> None:
-    """A fetch that comes back after the latency objective only keeps others waiting."""
+    """A fetch that is answered after the latency objective only delays others."""
     d = Driver(settings(**CACHE_ASIDE))
     d.update_endpoints(*fleet("a", "o"))
     d.router.servers["o"].concurrency_limit = 2.0
@@ -41,7 +41,7 @@
 
 
 def test_a_fetch_needs_time_for_twice_the_mean_latency() -> None:
-    """A fetch whose client gives up midway is not stored."""
+    """A fetch whose client stops waiting midway is not stored, so its work is wasted."""
     d = Driver(settings(**CACHE_ASIDE))
     d.update_endpoints(*fleet("a", "o"))
     d.router.servers["o"].mean_latency = 0.4
@@ -53,7 +53,7 @@
 
 
 def test_a_write_needs_time_for_the_mean_latency_once() -> None:
-    """A write stores nothing, so that it may be tried with less time left."""
+    """A write wastes no fetch, so it may be tried with less time left."""
     d = Driver(settings(**CACHE_ASIDE))
     d.update_endpoints(*fleet("a", "o"))
     d.receive("r0", key="k0", is_write=True)
@@ -64,7 +64,7 @@
 
 
 def test_the_highest_priority_weight_goes_first() -> None:
-    """Writes must not wait behind the misses of reads when the origin is slow."""
+    """Writes must not queue behind fetches for reads when the origin is slow."""
     d = Driver(settings(**CACHE_ASIDE))
     d.update_endpoints(*fleet("a", "o"))
     d.router.servers["o"].concurrency_limit = 1.0
@@ -76,7 +76,7 @@
 
 
 def test_a_stopped_origin_is_seldom_tried_and_recovers() -> None:
-    """Hundreds of routers with a fetch each would keep a stopped origin from starting."""
+    """Hundreds of routers with a fetch each would prevent a stopped origin from starting."""
     d = Driver(settings(**CACHE_ASIDE, router_count=10 * concurrency_limit.NUM_ROUTERS_PER_ORIGIN))
     d.update_endpoints(*fleet("a", "o"))
     tries = 0
@@ -92,12 +92,12 @@
                     AttemptStatus.CONNECT_FAILED if stopped else AttemptStatus.OK,
                     latency=0.002 if stopped else 0.05,
                 )
-    assert tries <= 20  # of 200 that missed in ten seconds
-    assert d.router.servers["o"].concurrency_limit >= 1.0  # it came back
+    assert tries <= 20  # of 200 misses in ten seconds
+    assert d.router.servers["o"].concurrency_limit >= 1.0  # it recovered
 
 
 def test_the_queue_stays_bounded() -> None:
-    """Stale entries of low priority must not pile up behind a steady flow of writes."""
+    """Stale entries of low priority must not accumulate behind a steady flow of writes."""
     d = Driver(settings(**CACHE_ASIDE))
     d.update_endpoints(*fleet("a", "o"))
     d.router.servers["o"].concurrency_limit = 1.0
--- a/tests/policy/test_outlier_detection.py
+++ b/tests/policy/test_outlier_detection.py
@@ -1,4 +1,4 @@
-"""Ejection of servers that fail, with backoff and probing."""
+"""Ejection of servers that fail, with growing backoff."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from tests.policy.fleets import fleet, servers_clockwise
 
 
-def test_a_server_is_probed_after_a_thousand_losses() -> None:
+def test_a_server_is_tried_again_after_a_thousand_losses() -> None:
     d = Driver(settings())
     d.update_endpoints(*fleet("a"))
     for n in range(1100):
@@ -18,7 +18,7 @@
         d.now += 2 * d.conf.slow_start_duration
 
 
-def test_an_ejected_server_is_probed_after_growing_backoff() -> None:
+def test_an_ejected_server_is_tried_again_after_growing_backoff() -> None:
     d = Driver(settings(max_attempts=1))
     d.update_endpoints(*fleet("a", "b"))
     first, second = servers_clockwise(d, "k")
--- a/tests/policy/test_policy_overrides.py
+++ b/tests/policy/test_policy_overrides.py
@@ -35,7 +35,7 @@
     assert d.outcomes["r1"] == Outcome.REJECTED
 
 
-# the burst of a second, and two seconds of the rate
+# rate, routers, and the maximum served: a burst of one second, and two seconds of the rate
 RATES = [(20.0, 1, 60), (20.0, 4, 15), (1.0, 4, 1), (0.0, 1, 0)]
 
 
@@ -58,7 +58,7 @@
 
 
 def overload(d: Driver, shed: dict[str, float]) -> dict[str, Counter[str]]:
-    """Count what each class is sent in a fleet that answers a third of its requests in time."""
+    """Count requests of each class that are sent or shed, a third of the answers being in time."""
     d.update_endpoints(*ENDPOINTS)
     d.handle(PolicyOverridesChanged(shed_thresholds=shed))
     out: dict[str, Counter[str]] = {"read": Counter(), "late": Counter()}
--- a/tests/policy/test_poll_deadlines.py
+++ b/tests/policy/test_poll_deadlines.py
@@ -1,4 +1,4 @@
-"""The time from a failed call to the next usable list, against every bound that the list has to keep."""
+"""The time from a failed call to the next usable list stays within all limits on stale lists."""
 
 from __future__ import annotations
 
@@ -24,17 +24,17 @@
     EndpointListKind.MALFORMED,
     EndpointListKind.WATCH_TIMED_OUT,
 )
-TOLD = 6.0  # seconds after which a change counts as told, whether or not it arrived
-GRACE = 1.0  # seconds in which sends to a server must cease once its drain counts as told
-HELD_UP = 0.15  # seconds for which a router may be held up at any moment
-MAX_CALL = (
+CHANGE_DEADLINE_SECONDS = 6.0  # after this time a router must act on a change, even if it did not receive it
+DRAIN_GRACE_SECONDS = 1.0  # time in which sends to a server must end, once the router must act on its drain
+MAX_STALL_SECONDS = 0.15  # longest time for which a router process may be stalled
+MAX_CALL_SECONDS = (
     timeouts.SERVICE_FIRST_BYTE_TIMEOUT_SECONDS
     + timeouts.RESPONSE_REST_TIMEOUT_SECONDS
     + 2 * STALL_GRACE_SECONDS
 )
 
 FAILED_CALLS = st.lists(
-    st.tuples(st.sampled_from([FAILED, MALFORMED]), st.floats(0.0, MAX_CALL)), max_size=20
+    st.tuples(st.sampled_from([FAILED, MALFORMED]), st.floats(0.0, MAX_CALL_SECONDS)), max_size=20
 )
 
 
@@ -59,7 +59,7 @@
     FAILED_CALLS,
     st.floats(0.0, 20.0),
 )
-def test_no_order_of_failed_calls_leaves_a_router_sending_by_an_old_list_past_the_grace(
+def test_no_order_of_failed_calls_lets_a_router_send_by_a_stale_list_past_the_drain_grace(
     routers: int,
     slow_start: float,
     window: float,
@@ -68,15 +68,15 @@
     calls: list[tuple[EndpointListKind, float]],
     watched: float,
 ) -> None:
-    """Guards against a drain that is missed while calls fail: each call's own time is counted."""
+    """Guards against a drain that is missed while calls fail; the duration of each call is counted."""
     freshness = freshness_of(routers, slow_start, window, poll_interval)
     draws = random.Random(seed)
-    current_as_of = watched  # all changes until then were passed on
+    current_as_of = watched  # all changes until then were received
     now = current_as_of
     for kind, seconds in [(FAILED, 0.0), *calls]:
         now += seconds
         now += freshness.on_failure(now, kind, draws, now - current_as_of)
-    counts = current_as_of + TOLD + GRACE - HELD_UP
+    counts = current_as_of + CHANGE_DEADLINE_SECONDS + DRAIN_GRACE_SECONDS - MAX_STALL_SECONDS
     assert freshness.require_success_since(counts) >= current_as_of
 
 
@@ -87,10 +87,10 @@
     st.integers(0, 2**32),
     st.lists(st.sampled_from([FAILED, MALFORMED]), min_size=1, max_size=60),
 )
-def test_few_routers_never_wait_longer_than_two_polls_within_the_staleness_limit_allow(
+def test_few_routers_never_back_off_longer_than_the_maximum(
     routers: int, slow_start: float, window: float, seed: int, kinds: list[EndpointListKind]
 ) -> None:
-    """Guards against a list that comes too late though only few routers poll for it."""
+    """Guards against a list that arrives too late although few routers poll for it."""
     freshness, draws = freshness_of(routers, slow_start, window, math.inf), random.Random(seed)
     assert all(freshness.on_failure(9.0, kind, draws, 0.0) <= MAX_BACKOFF_SECONDS for kind in kinds)
 
@@ -113,14 +113,14 @@
     kinds: list[EndpointListKind],
     call: float,
 ) -> None:
-    """Guards against a list that counts as told because the router asked too seldom; calls take up to 2 s."""
+    """Guards against polls that are too rare for the poll interval; calls take up to 2 s."""
     freshness, draws = freshness_of(routers, slow_start, window, poll_interval), random.Random(seed)
     for kind in kinds:
         assert call + freshness.on_failure(5.0, kind, draws) <= FAILED_POLL_INTERVAL_FACTOR * poll_interval
 
 
 def test_a_lost_watch_a_relocation_and_a_lost_call_to_an_agent_fit_into_the_grace_period() -> None:
-    """Guards against pauses of the watcher that each fit but do not together."""
+    """Guards against pauses of the watcher that fit singly, but not together."""
     silent = timeouts.AGENT_WATCH_WAIT_SECONDS + timeouts.AGENT_WATCH_GRACE_SECONDS
     paused = STALL_GRACE_SECONDS + timeouts.AGENT_CALL_INTERVAL_SECONDS
-    assert silent + paused <= GRACE - HELD_UP
+    assert silent + paused <= DRAIN_GRACE_SECONDS - MAX_STALL_SECONDS
--- a/tests/policy/test_random_events.py
+++ b/tests/policy/test_random_events.py
@@ -1,4 +1,4 @@
-"""All rules under random legal sequences of events."""
+"""All rules hold under random valid sequences of events."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class RandomDriver(Driver):
-    """Hands random legal events to a router; hypothesis chooses them."""
+    """Passes random valid events to a router; hypothesis chooses them."""
 
     def step(self, data: st.DataObject, n: int) -> None:
         moves = ["receive"] * 4 + ["end_attempt"] * 5 + ["advance"] * 2 + ["list", "disconnect"]
@@ -62,7 +62,7 @@
             )
             for n in names
         ]
-        if kind in (*FAILED_UPDATES, EndpointListKind.RELOCATED):  # none brings entries
+        if kind in (*FAILED_UPDATES, EndpointListKind.RELOCATED):  # these contain no endpoints
             self.handle(EndpointListUpdate(kind))
         else:
             self.update_endpoints(*rows, kind=kind)
@@ -77,7 +77,7 @@
     return {c.name: c for c in (RequestClass("read", 1.0), keyed, once, late)}
 
 
-def drive(data: st.DataObject, make: type[Router] = Router) -> None:
+def drive(data: st.DataObject, router_class: type[Router] = Router) -> None:
     conf = settings(
         classes=request_classes(data.draw(st.sampled_from(list(IdempotencyScope)))),
         hedging_allowed=data.draw(st.booleans()),
@@ -89,13 +89,13 @@
         ),
         **(CACHE_ASIDE if data.draw(st.booleans()) else {}),
     )
-    d = RandomDriver(conf, make=make)
+    d = RandomDriver(conf, router_class=router_class)
     d.update_endpoints(*fleet("a", "b", "c", "d", "o"), kind=EndpointListKind.CACHED)
     for n in range(data.draw(st.integers(5, 40))):
         d.step(data, n)
     d.advance(10.0)
-    assert not d.pending, "rule 1: left without an answer"
-    assert not d.router.pending_requests, "something is still pending"
+    assert not d.pending, "rule 1: requests without an answer"
+    assert not d.router.pending_requests, "requests are still pending"
 
 
 CHECKS = hypothesis_settings(
@@ -115,7 +115,7 @@
 
 
 class UnsafeRetrier(Router):
-    """Broken on purpose: sends anything again, and rejects anything."""
+    """Broken on purpose: retries and rejects every request."""
 
     def __init__(self, *given: Any) -> None:
         super().__init__(*given)
@@ -135,7 +135,7 @@
 
 
 class BudgetIgnorer(Router):
-    """Broken on purpose: knows no retry budget."""
+    """Broken on purpose: ignores the retry budget."""
 
     def __init__(self, *given: Any) -> None:
         super().__init__(*given)
--- a/tests/policy/test_request_lifecycle.py
+++ b/tests/policy/test_request_lifecycle.py
@@ -1,4 +1,4 @@
-"""Each request gets one answer in time, and no state is kept of it afterwards."""
+"""Each request gets one answer in time, and its state is removed afterwards."""
 
 from __future__ import annotations
 
@@ -48,7 +48,7 @@
 
 @pytest.mark.parametrize("kind", ["read", "once"])
 def test_a_queued_request_is_rejected_at_its_deadline_even_before_its_timer(kind: str) -> None:
-    """The timer may be due within the same millisecond as the host's deadline, or after it."""
+    """The request's timer may fire in the same millisecond as the host's deadline, or after it."""
     d = Driver(settings(**CACHE_ASIDE, timer_resolution=0.001))
     d.update_endpoints(*fleet("a", "o"))
     for n in range(40):  # more than the origin's initial concurrency limit
@@ -122,7 +122,7 @@
 
 
 def test_memory_stays_bounded_in_a_long_run() -> None:
-    """Many keys, servers and requests pass through; state is kept of the current ones alone."""
+    """Keys, servers and requests come and go; state is kept only for the current ones."""
     d = Driver(settings(**CACHE_ASIDE))
     for n in range(3000):
         if n % 20 == 0:
--- a/tests/policy/test_retry_budget.py
+++ b/tests/policy/test_retry_budget.py
@@ -9,7 +9,7 @@
 
 
 def test_retries_are_bounded_by_the_requests_received() -> None:
-    """Retries of requests that full servers reject must not feed the overload."""
+    """Retries of requests that overloaded servers reject must not add to the overload."""
     d = Driver(settings())
     d.update_endpoints(*fleet("a", "b", "c", "d"))
     for n in range(200):
@@ -21,7 +21,7 @@
 
 
 def test_retries_keep_to_the_stated_budget() -> None:
-    """At most two and a tenth of the requests in any five seconds."""
+    """At most two, plus a tenth of the requests, in any five seconds."""
     d = Driver(settings(retry_budget=RetryBudgetSettings(2, 0.1, 5.0)))
     d.update_endpoints(*fleet("a", "b", "c", "d"))
     for n in range(200):
@@ -42,7 +42,7 @@
 
 
 def test_requests_leave_the_retry_budget_after_its_window() -> None:
-    """Without retries the record of requests must not grow."""
+    """The record of request times must not grow while there are no retries."""
     d = Driver(settings())
     d.update_endpoints(endpoint("a"), endpoint("b"))
     for n in range(200):
--- a/tests/policy/test_retry_policy.py
+++ b/tests/policy/test_retry_policy.py
@@ -1,4 +1,4 @@
-"""Which attempts the idempotency of a request class permits, and which rejections."""
+"""The attempts and the rejections that the idempotency of a request class permits."""
 
 from __future__ import annotations
 
@@ -61,7 +61,7 @@
 
 
 def test_the_origin_is_next_after_a_failure_at_a_cache() -> None:
-    """The other caches most likely lack the key: asking them costs time and retry budget."""
+    """The other caches most likely lack the key; trying them costs time and retry budget."""
     d = Driver(settings(**CACHE_ASIDE))
     d.update_endpoints(*fleet("a", "b", "o"))
     d.receive("r", key="k")
@@ -70,7 +70,7 @@
 
 @pytest.mark.parametrize("status", [AttemptStatus.RESET, AttemptStatus.ERROR, AttemptStatus.CANCELLED])
 def test_a_request_lost_with_its_connection_is_retried_at_the_same_cache(status: AttemptStatus) -> None:
-    """Its server is likely well and has the key, and the origin bears few fetches."""
+    """The cache is likely healthy and has the key, and the origin can serve few fetches."""
     d = Driver(settings(**CACHE_ASIDE))
     d.update_endpoints(*fleet("a", "b", "o"))
     first = d.receive("r", key="k")
@@ -85,7 +85,7 @@
 
 
 def test_a_retry_with_idempotency_key_is_bounded_by_the_rest_of_its_window() -> None:
-    """It may have to wait for a connection, so the host has to know until when it may be sent."""
+    """The host may have to wait for a connection, so it needs the time until which it may send."""
     d = Driver(settings())
     d.update_endpoints(*fleet("a", "b", "c"))
     d.receive("r", class_name="keyed", time_left=3.0)
@@ -94,7 +94,7 @@
     d.end_attempt("r", AttemptStatus.RESET)
     assert [s.send_within for s in sent(d.last_actions)] == [pytest.approx(1.1)]
     d.now += 0.5
-    d.end_attempt("r", AttemptStatus.RESET)  # from the first that may have run, not from the last
+    d.end_attempt("r", AttemptStatus.RESET)  # counted from the first attempt that may have run, not the last
     assert [s.send_within for s in sent(d.last_actions)] == [pytest.approx(0.6)]
 
 
--- a/tests/policy/test_ring_subsets.py
+++ b/tests/policy/test_ring_subsets.py
@@ -1,4 +1,4 @@
-"""Subsets of a fleet, each of which some routers send to."""
+"""Subsets of a fleet: each router sends only to the servers of one subset."""
 
 from ironrail.policy import hash_ring
 from ironrail.policy.actions import CloseIdleConnections
@@ -7,7 +7,7 @@
 
 
 def servers_used(routers: int, servers: int) -> list[set[str | None]]:
-    """Return the servers that each of so many routers sends to."""
+    """Return, for each router, the servers that it sends to."""
     used, count = [], 30 * servers // routers + 90
     for index in range(routers):
         d = Driver(settings(router_index=index, router_count=routers, connections_are_costly=True))
@@ -17,14 +17,14 @@
 
 
 def test_routers_send_to_a_subset_where_connections_are_costly() -> None:
-    """With forty routers and sixty servers every other attempt needed a new connection."""
+    """Without subsets, forty routers at sixty servers needed a new connection for every other attempt."""
     used = servers_used(40, 60)
     assert all(sum(f"s{n}" in part for part in used) == hash_ring.NUM_ROUTERS_PER_SUBSET for n in range(60))
     assert len({frozenset(part) for part in used}) == 4
 
 
 def test_a_subset_has_the_minimum_of_servers() -> None:
-    """By the number of routers alone a subset would have had a server or two."""
+    """By the number of routers alone a subset would have only one or two servers."""
     used = servers_used(90, 30)
     assert {len(part) for part in used} == {hash_ring.MIN_SUBSET_SERVERS}
     assert set().union(*used) == {f"s{n}" for n in range(30)}
@@ -48,7 +48,7 @@
 
 
 def test_servers_that_warm_up_beside_those_they_replace_add_no_subset() -> None:
-    """A release of six in ten of 138 servers changed 13 subsets to 17, and moved all keys."""
+    """A release that replaced six of ten of 138 servers changed 13 subsets to 17, and moved all keys."""
     d = Driver(settings(router_count=200, connections_are_costly=True, slow_start_duration=8.0))
     old = [endpoint(f"s{n}") for n in range(138)]
     d.update_endpoints(*old)
@@ -57,7 +57,7 @@
     new = [endpoint(f"t{n}", started_at=d.now) for n in range(42)]
     d.update_endpoints(*old, *new)
     assert members(d) and d.router.ring.subset_count == 13
-    d.now += 10.0  # they are warm, and those that they replace are removed
+    d.now += 10.0  # the new ones are warm, and those that they replace are removed
     d.update_endpoints(*old[42:], *new)
     assert members(d) and d.router.ring.subset_count == 13
     d.update_endpoints(*old, *new)  # a larger fleet has more subsets
@@ -77,7 +77,7 @@
 
 
 def test_the_first_list_with_ready_servers_sets_the_subsets_even_if_all_warm_up() -> None:
-    """The router kept one subset until an update after the servers had warmed up."""
+    """Guards against a router that keeps one subset until an update after the servers have warmed up."""
     d = Driver(settings(router_count=200, connections_are_costly=True, slow_start_duration=8.0))
     d.update_endpoints(*(endpoint(f"s{n}", state=EndpointState.DRAINING) for n in range(60)))
     d.receive("early")
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -1,4 +1,4 @@
-"""The work that is sent to servers which have just started."""
+"""Limits on the work that is sent to servers which have just started."""
 
 from __future__ import annotations
 
@@ -7,12 +7,12 @@
 from ironrail.policy import slow_start
 from ironrail.policy.events import AttemptStatus
 from tests.driver import Driver, endpoint, settings
-from tests.policy.warming_fleet import ServerStart, play
+from tests.policy.warming_fleet import ServerStart, simulate_start
 
 
 @pytest.mark.parametrize("hits", [1, 10])
 def test_a_warming_server_gets_its_share_from_a_new_router_and_with_few_hits(hits: int) -> None:
-    """A router that has just started has seen little of the work of the fleet."""
+    """A router that has just started has counted little of the work of the fleet."""
     d = Driver(
         settings(
             slow_start_duration=10.0,
@@ -35,7 +35,7 @@
 
 
 def test_a_warming_server_gets_no_more_than_its_share_in_a_surge() -> None:
-    """A surge of a thousand requests in a second follows the start of the server."""
+    """A surge of 1,000 requests in a second follows the start of the server."""
     d = Driver(
         settings(slow_start_duration=10.0, slow_start_share=0.3, overload_multiple=2.0, overload_window=1.0)
     )
@@ -71,7 +71,7 @@
 
 
 def test_many_routers_with_little_load_do_not_overload_a_warming_server_together() -> None:
-    """One request of each of hundreds of routers in a window is too much."""
+    """One request from each of hundreds of routers in a window is too much."""
     sent = 0
     for seed in range(200):
         d = Driver(
@@ -87,14 +87,15 @@
             d.now += 0.5
             d.receive(f"r{n}", key=f"k{seed}-{n}", finish=True)
         sent += sum(s == ["b"] and d.sent_at[n][0] > 120.0 for n, s in d.servers_sent_to.items())
-    # a warm server gets 200 a second, this one 0.3 to 0.65 of that in 5 s, and as much for chance
+    # a warm server gets 200 a second, this one 0.3 to 0.65 of that in 5 s, and as much for variation
     assert 50 < sent < 200 * 5 * 0.65
 
 
 def sent_to_a_warming_server(routers: int, takes: float, answers: bool) -> list[float]:
-    """Return when routers sent to a server of this latency, in 4 s from its start.
+    """Return the times of sends to a server of this latency in the 4 s after its start.
 
-    All other servers are congested."""
+    All other servers are congested.
+    """
     sent: list[float] = []
     for seed in range(routers):
         conf = settings(
@@ -125,7 +126,7 @@
 
 
 def test_the_work_in_flight_at_a_slow_warming_server_is_bounded() -> None:
-    """A slow server got nearly five times its capacity within the budgets of the routers."""
+    """Within the budgets of the routers a slow server got nearly five times its capacity."""
     quick, slow = (sent_to_a_warming_server(15, takes, True) for takes in (0.02, 0.8))
     assert len(quick) > 160 * slow_start.BUDGET_FRACTION  # its budget
     in_a_window = max(sum(t - 1.0 < u <= t for u in slow) for t in slow)
@@ -141,14 +142,14 @@
 
 
 def test_a_fleet_of_warming_servers_gets_its_first_request() -> None:
-    """Without any work served there is no rate for a budget."""
+    """Before any work is served there is no rate for a budget."""
     d = Driver(settings(slow_start_duration=10.0, slow_start_share=0.3))
     d.update_endpoints(endpoint("a", started_at=d.now), endpoint("b", started_at=d.now))
     assert d.receive("r0", key="k0", finish=True) in ("a", "b")
 
 
 def test_a_fleet_of_warming_servers_gets_one_request_each_before_the_first_answer() -> None:
-    """The other requests of the first moment are rejected at once."""
+    """All other requests that arrive before the first answer are rejected at once."""
     d = Driver(settings(slow_start_duration=10.0, slow_start_share=0.3))
     d.update_endpoints(endpoint("a", started_at=d.now), endpoint("b", started_at=d.now))
     chosen = [d.receive(f"r{n}", key=f"k{n}") for n in range(40)]
@@ -180,7 +181,7 @@
     assert before and sum(s == ["d"] for s in sent) <= 10
 
 
-PLAYS = [
+SERVER_STARTS = [
     ServerStart(3, 40.0),
     ServerStart(3, 40.0, hints=False),
     ServerStart(3, 40.0, surge_after=3.0, was_listed=True, hints=False),
@@ -194,25 +195,25 @@
 ]
 
 
-@pytest.mark.parametrize("p", PLAYS, ids=str)
+@pytest.mark.parametrize("p", SERVER_STARTS, ids=str)
 def test_all_routers_together_keep_below_the_capacity_of_a_warming_server(p: ServerStart) -> None:
-    """A budget fraction of 0.5 gave 1.2 times the capacity without work hints."""
+    """Without work hints, a budget fraction of 0.5 led to 1.2 times the capacity."""
     worst = max(
-        (play(p, seed) for seed in range(2 if p.routers < 200 else 1)), key=lambda sent: sent.max_load
+        (simulate_start(p, seed) for seed in range(2 if p.routers < 200 else 1)), key=lambda sent: sent.max_load
     )
     assert worst.count > 0 and worst.max_load < 1.0
 
 
 def test_routers_that_know_of_a_start_are_not_the_main_cause_of_an_overload() -> None:
-    """They cannot limit what the other routers send, but must not send most of an overload."""
+    """They can't limit what the other routers send, but must not cause most of an overload."""
     for informed, seed in ((0.6, 0), (0.8, 1), (0.95, 2)):
-        sent = play(ServerStart(25, 20.0, informed_fraction=informed, hints=False), seed)
+        sent = simulate_start(ServerStart(25, 20.0, informed_fraction=informed, hints=False), seed)
         assert sent.count > 0 and (sent.max_load < 1.0 or sent.informed_fraction <= 2 / 3), (informed, sent)
 
 
-def test_the_play_detects_routers_that_overload_a_warming_server() -> None:
-    """With three times the budget the routers overload it, which shows that the play can fail."""
+def test_the_simulation_detects_routers_that_overload_a_warming_server() -> None:
+    """With three times the budget the routers overload it, so the simulation can fail."""
     with pytest.MonkeyPatch.context() as patch:
         patch.setattr(slow_start, "BUDGET_FRACTION", 3 * slow_start.BUDGET_FRACTION)
-        sent = play(ServerStart(3, 40.0, hints=False), 0)
+        sent = simulate_start(ServerStart(3, 40.0, hints=False), 0)
     assert sent.max_load > 1.0 and sent.informed_fraction == 1.0
--- a/tests/policy/warming_fleet.py
+++ b/tests/policy/warming_fleet.py
@@ -1,4 +1,4 @@
-"""All routers of a fleet, and what they send together to a server that has just started."""
+"""Simulates the work that all routers of a fleet send to a server that has just started."""
 
 from __future__ import annotations
 
@@ -8,42 +8,42 @@
 
 from tests.driver import Driver, endpoint, settings
 
-WARM_UP_SECONDS = 15.0  # seconds that the fleet has run before the start
-COUNTED_SECONDS = 8.0  # seconds of the slow start of 10 that are counted
-WEIGHT_ERROR_FACTOR = 1.3  # by which the weight of the server is too high
-OVERLOAD_FACTOR, FIRST_CAPACITY_FRACTION = 2.5, 0.3
+WARM_UP_SECONDS = 15.0  # time that the fleet runs before the server starts
+COUNTED_SECONDS = 8.0  # part of the slow start of 10 s in which the load is counted
+WEIGHT_ERROR_FACTOR = 1.3  # factor by which the weight of the server is too high
+OVERLOAD_FACTOR, INITIAL_CAPACITY_FRACTION = 2.5, 0.3
 
 
 @dataclass(frozen=True, slots=True)
 class ServerStart:
-    """One start: nine warm servers get `request_rate` requests a second, and the tenth is warming up."""
+    """One start of a server: nine warm ones get `request_rate` requests/s each, the tenth warms up."""
 
     routers: int
     request_rate: float
-    surge_factor: float = 3.0  # times as many requests, all of which the warm servers can serve
+    surge_factor: float = 3.0  # increase of the request rate, which the warm servers can serve
     surge_after: float = 0.0  # seconds from the start to the surge
-    hints: bool = True  # clients know the work, which is drawn
-    informed_fraction: float = 1.0  # fraction of the routers that know of the start
+    hints: bool = True  # clients send the work of each request as a hint
+    informed_fraction: float = 1.0  # fraction of the routers whose list has the start
     was_listed: bool = False  # the server was listed before
-    live_weight: float = 0.0  # weight of the warming server where weights are live; the others have 1
+    live_weight: float = 0.0  # weight of the warming server if weights are live; the others have 1
     removed_servers: int = 0  # warm servers that are removed at the start
 
 
 @dataclass(frozen=True, slots=True)
 class LoadAtWarmingServer:
-    """The result, relative to N + 2 roots of N + 2 requests of mean work in a window."""
+    """The highest load in a window, relative to N + 2 sqrt(N) + 2, N being the server's capacity."""
 
     max_load: float = 0.0
-    # sent by routers that knew of the start, at the first overload
+    # part of the work sent by informed routers, at the first overload
     informed_fraction: float = 0.0
-    count: int = 0
+    count: int = 0  # requests sent to the server
 
 
-def play(p: ServerStart, seed: int) -> LoadAtWarmingServer:
-    """Play one start; the standard deviation of the work is its mean, 1."""
+def simulate_start(p: ServerStart, seed: int) -> LoadAtWarmingServer:
+    """Simulate one start; the work of a request has mean 1 and standard deviation 1."""
     conf = settings(
         slow_start_duration=10.0,
-        slow_start_share=FIRST_CAPACITY_FRACTION,
+        slow_start_share=INITIAL_CAPACITY_FRACTION,
         overload_multiple=OVERLOAD_FACTOR,
         overload_window=1.0,
         max_attempts=1,
@@ -51,7 +51,7 @@
     )
     draws = random.Random(seed)
     fleet = [Driver(conf, seed * p.routers + n) for n in range(p.routers)]
-    knows = [draws.random() < p.informed_fraction for _ in fleet]
+    is_informed = [draws.random() < p.informed_fraction for _ in fleet]
     warm = [endpoint(f"s{n}") for n in range(9)]
     before = [*warm, endpoint("cold")] if p.was_listed or p.informed_fraction < 1.0 else warm
     for d in fleet:
@@ -59,12 +59,12 @@
     now = fleet[0].now
     start, count, sent = now + WARM_UP_SECONDS, 0, list[tuple[float, float, bool]]()
     while now < start + COUNTED_SECONDS:
-        then = now
+        previous = now
         now += draws.expovariate(
             9 * p.request_rate * (1.0 if now < start + p.surge_after else p.surge_factor)
         )
-        if then < start <= now:
-            for d in (d for d, k in zip(fleet, knows, strict=True) if k):
+        if previous < start <= now:
+            for d in (d for d, k in zip(fleet, is_informed, strict=True) if k):
                 d.update_endpoints(
                     *warm[p.removed_servers :],
                     endpoint("cold", started_at=start, weight=p.live_weight or 1.0),
@@ -76,24 +76,24 @@
             fleet[n].receive(f"r{count}", key=f"k{count}", work_hint=hint, finish=True) == "cold"
             and now >= start
         ):
-            sent.append((now - start, work, knows[n]))
-    return _most(sent, p.request_rate / WEIGHT_ERROR_FACTOR)
+            sent.append((now - start, work, is_informed[n]))
+    return _find_max_load(sent, p.request_rate / WEIGHT_ERROR_FACTOR)
 
 
-def _most(sent: list[tuple[float, float, bool]], can: float) -> LoadAtWarmingServer:
-    """Return the largest load in a window; `can` is the rate of the server when warm."""
-    most = informed = in_all = known = 0.0
-    oldest = 0
-    for at, work, knows in sent:
-        in_all, known = in_all + work, known + work * knows
-        while sent[oldest][0] <= at - 1.0:
-            _, old, knew = sent[oldest]
-            in_all, known, oldest = in_all - old, known - old * knew, oldest + 1
+def _find_max_load(sent: list[tuple[float, float, bool]], warm_rate: float) -> LoadAtWarmingServer:
+    """Return the highest load in a window of 1 s; `warm_rate` is the server's rate when warm."""
+    max_load = informed_fraction = window_work = informed_work = 0.0
+    first_index = 0
+    for at, work, is_informed in sent:
+        window_work, informed_work = window_work + work, informed_work + work * is_informed
+        while sent[first_index][0] <= at - 1.0:
+            _, old, was_informed = sent[first_index]
+            window_work, informed_work, first_index = window_work - old, informed_work - old * was_informed, first_index + 1
         allowed = (
-            OVERLOAD_FACTOR * (FIRST_CAPACITY_FRACTION + (1.0 - FIRST_CAPACITY_FRACTION) * at / 10.0) * can
+            OVERLOAD_FACTOR * (INITIAL_CAPACITY_FRACTION + (1.0 - INITIAL_CAPACITY_FRACTION) * at / 10.0) * warm_rate
         )
-        of_it = in_all / (allowed + 2 * math.sqrt(allowed) + 2)
-        if of_it > 1.0 >= most:
-            informed = known / in_all
-        most = max(most, of_it)
-    return LoadAtWarmingServer(most, informed, len(sent))
+        load_ratio = window_work / (allowed + 2 * math.sqrt(allowed) + 2)
+        if load_ratio > 1.0 >= max_load:
+            informed_fraction = informed_work / window_work
+        max_load = max(max_load, load_ratio)
+    return LoadAtWarmingServer(max_load, informed_fraction, len(sent))
