--- a/tests/machine_room.py
+++ b/tests/machine_lock.py
@@ -143,7 +143,7 @@
 
 
 @pytest.fixture(autouse=True)
-def machine_room(request: pytest.FixtureRequest) -> Iterator[None]:
+def hold_machine_lock(request: pytest.FixtureRequest) -> Iterator[None]:
     """Hold the shared lock during each test in real time."""
     runs_without_verdict.clear()
     if request.node.get_closest_marker("sockets") is None:
--- a/tests/rehearsal/links/test_rig.py
+++ b/tests/rehearsal/links/test_rig.py
@@ -22,7 +22,7 @@
 from ironrail.rehearsal.run import Result
 from ironrail.rehearsal.scenario.model import Scenario
 from ironrail.rehearsal.virtual.play import play_virtual
-from tests.machine_room import play_until_verdict
+from tests.machine_lock import play_until_verdict
 
 PATIENCE = 60.0  # seconds of all tries: the rig bounds itself well within
 KINDS = (Kind.CUT, Kind.KILL, Kind.STOP, Kind.RESET, Kind.DELAY, Kind.STALL, Kind.CLOCK)
--- a/tests/rehearsal/test_mutants.py
+++ b/tests/rehearsal/test_mutants.py
@@ -13,7 +13,7 @@
 
 import pytest
 
-from tests.machine_room import play_until_verdict
+from tests.machine_lock import play_until_verdict
 from tests.mutants import replace_method
 
 ROOT = Path(__file__).parent.parent.parent
--- a/tests/rehearsal/test_soak.py
+++ b/tests/rehearsal/test_soak.py
@@ -24,7 +24,7 @@
 from ironrail.rehearsal.soak.rehearsal import SoakRehearsal, read_violations
 from ironrail.rehearsal.soak.troubles import draw_troubles
 from ironrail.rehearsal.soak.world import draw_world, kill_after
-from tests.machine_room import play_until_verdict
+from tests.machine_lock import play_until_verdict
 
 FOLDER = Path(__file__).parents[1] / "mutants" / "soak"
 MUTANTS = sorted(path.stem for path in FOLDER.glob("*.py") if path.stem != "__init__")
--- a/tests/test_machine_room.py
+++ b/tests/test_machine_lock.py
@@ -8,8 +8,8 @@
 
 import pytest
 
-from tests import machine_room
-from tests.machine_room import MAX_RUNS, MachineLock, NoVerdictError, play_until_verdict
+from tests import machine_lock
+from tests.machine_lock import MAX_RUNS, MachineLock, NoVerdictError, play_until_verdict
 
 MAX_WAIT_SECONDS = 5.0  # within this time another process must act
 BLOCKED_SECONDS = 0.2  # within this time it must not
@@ -42,18 +42,18 @@
 
 
 def test_a_run_without_a_verdict_is_repeated_alone_and_recorded(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(machine_room, "MAX_IDLE_WAIT_SECONDS", 0.0)
+    monkeypatch.setattr(machine_lock, "MAX_IDLE_WAIT_SECONDS", 0.0)
     reasons = iter(["late", "later", ""])
-    with machine_room.MACHINE_LOCK.shared("own"):
+    with machine_lock.MACHINE_LOCK.shared("own"):
         assert play_until_verdict(lambda: next(reasons), str) == ""
-    assert [run.reason for run in machine_room.runs_without_verdict] == ["late", "later"]
-    machine_room.runs_without_verdict.clear()  # so that they are not printed
+    assert [run.reason for run in machine_lock.runs_without_verdict] == ["late", "later"]
+    machine_lock.runs_without_verdict.clear()  # so that they are not printed
 
 
 def test_no_verdict_in_any_run_fails_with_every_reason(monkeypatch: pytest.MonkeyPatch) -> None:
     """Guards against taking a busy machine for a fault of the router."""
-    monkeypatch.setattr(machine_room, "MAX_IDLE_WAIT_SECONDS", 0.0)
-    with machine_room.MACHINE_LOCK.shared("own"), pytest.raises(NoVerdictError, match=f"in {MAX_RUNS} runs: .*31 ms"):
+    monkeypatch.setattr(machine_lock, "MAX_IDLE_WAIT_SECONDS", 0.0)
+    with machine_lock.MACHINE_LOCK.shared("own"), pytest.raises(NoVerdictError, match=f"in {MAX_RUNS} runs: .*31 ms"):
         play_until_verdict(lambda: "one in a hundred sends was 31 ms late", str)
-    assert all(0.0 <= run.busy_share <= 1.0 for run in machine_room.runs_without_verdict)
-    machine_room.runs_without_verdict.clear()
+    assert all(0.0 <= run.busy_share <= 1.0 for run in machine_lock.runs_without_verdict)
+    machine_lock.runs_without_verdict.clear()
