--- a/benchmarks/connections_choice.py
+++ b/benchmarks/connections_choice.py
@@ -1,10 +1,10 @@
-"""How many connections to a cache, and how many requests on each: choices compared on the kit, side by side.
+"""Compares limits of connections to a cache, and of requests on each, by rehearsals.
 
     python benchmarks/connections_choice.py --choices 2x100,12x1,12x100 --scenarios calm,stalls --seeds 1,2
 
-A choice is CONNECTIONSxDEPTH, or `adaptive` for the router as it is without an operator's file. Every choice
-meets the same scenarios and seeds; they take turns, `--at-once` at a time, so that a slow minute of the
-machine meets them alike.
+A choice is CONNECTIONSxDEPTH, or `adaptive` for the router without an operator's file. All choices run the
+same scenarios and seeds, interleaved and `--at-once` at a time, so that a slow phase of the machine affects
+them equally.
 """
 
 from __future__ import annotations
@@ -31,7 +31,7 @@
 
 
 def play_one(job: Job) -> Line:
-    """One run of one choice. Its router reads an operator's file written for it."""
+    """Run one choice once, with an operator's file for it."""
     choice, scenario, seed, virtual = job
     with tempfile.TemporaryDirectory(prefix="ironrail-") as folder:
         path = Path(folder) / "operator.toml"
@@ -52,7 +52,7 @@
 
 
 def figures(line: Line) -> tuple[float, ...]:
-    """Of one run, in the order of FIGURES."""
+    """Return the figures of one run, in the order of FIGURES."""
     tail = [1000 * line.latencies.get(q, float("nan")) for q in (0.5, 0.99, 0.999)]
     return (line.service, line.retries, line.lost_behind, *tail, line.connections, line.handshakes)
 
@@ -63,7 +63,7 @@
     parser.add_argument("--scenarios", default="calm,stalls,bad-replies")
     parser.add_argument("--seeds", default="1")
     parser.add_argument("--at-once", type=int, default=3)
-    parser.add_argument("--virtual", action="store_true", help="in virtual time: exact, for any --at-once")
+    parser.add_argument("--virtual", action="store_true", help="in virtual time: exact with any --at-once")
     args = parser.parse_args()
     choices, scenarios = args.choices.split(","), args.scenarios.split(",")
     jobs = [
--- a/benchmarks/fleet_cost.py
+++ b/benchmarks/fleet_cost.py
@@ -1,9 +1,10 @@
-"""What grows with the fleet: `python benchmarks/fleet_cost.py [--json FILE]`, ten seconds on one core.
+"""Costs that grow with the fleet: `python benchmarks/fleet_cost.py [--json FILE]`, ten seconds on one core.
 
-For fleets of 10, 60, 200 and 1,000 caches: CPU of a rebuild of the ring after one change, of the decisions on
-a request that is served at its first cache, the same while a tenth of the caches is cold and with 40 routers;
-how far the fullest and the emptiest cache stand from their share, and the share of keys that move when one
-cache leaves, against the ideal. And the CPU of the daemon from exec until it answers, by the list it knows.
+For fleets of 10, 60, 200 and 1,000 caches: CPU of a rebuild of the ring after one change; CPU of the
+decisions on a request that its first cache serves, also while a tenth of the caches is cold and with 40
+routers; the load of the fullest and the emptiest cache relative to the mean; the fraction of keys that move
+when one cache leaves, relative to the ideal; CPU of the daemon from exec until it answers, with a cached
+endpoint list.
 """
 
 from __future__ import annotations
@@ -33,7 +34,7 @@
 SIZES = (10, 60, 200, 1000)
 KEYS = 20_000
 REQUESTS = 4_000
-READY_PATIENCE = 20.0  # seconds
+READY_TIMEOUT_SECONDS = 20.0
 READ = RequestClass("read", latency_objective=0.8, client_timeout=1.5)
 
 
@@ -49,17 +50,17 @@
         connections_are_costly=routers > 1,
     )
     router = Router(settings, 1, 1000.0)
-    router.handle(1000.0, EndpointListUpdate(EndpointListKind.FULL, rows(caches, cold)))
+    router.handle(1000.0, EndpointListUpdate(EndpointListKind.FULL, endpoints(caches, cold)))
     return router
 
 
-def rows(caches: int, cold: int = 0) -> tuple[Endpoint, ...]:
+def endpoints(caches: int, cold: int = 0) -> tuple[Endpoint, ...]:
     made = [Endpoint(f"s-{n:04x}", weight=1.0, started_at=999.0 if n < cold else 0.0) for n in range(caches)]
     return (*made, Endpoint("origin", kind="origin"))
 
 
-def cpu(work: Callable[[], int]) -> float:
-    """Microseconds of CPU for each unit of work, the best of three."""
+def measure_cpu(work: Callable[[], int]) -> float:
+    """Return the microseconds of CPU for each unit of work, the best of three runs."""
     best = float("inf")
     for _ in range(3):
         began = time.process_time()
@@ -68,22 +69,22 @@
     return best * 1e6
 
 
-def rebuild(router: Router, caches: int) -> float:
-    """Of the ring, after one cache drained or came back."""
-    one = rows(caches)[0]
+def rebuild_cost(router: Router, caches: int) -> float:
+    """Return the CPU of a rebuild of the ring after one cache drained or returned."""
+    endpoint = endpoints(caches)[0]
 
     def work() -> int:
         for n in range(40):
             state = EndpointState.DRAINING if n % 2 == 0 else EndpointState.READY
-            router.handle(1000.0, EndpointListUpdate(EndpointListKind.DELTA, (replace(one, state=state),)))
+            router.handle(1000.0, EndpointListUpdate(EndpointListKind.DELTA, (replace(endpoint, state=state),)))
             router.requests.rebuild_ring_if_needed()
         return 40
 
-    return cpu(work)
+    return measure_cpu(work)
 
 
-def request(router: Router) -> float:
-    """Of a request and its outcome, both at the module."""
+def request_cost(router: Router) -> float:
+    """Return the CPU of the decisions on a request and on the end of its attempt."""
     count, now = 0, 1000.0
 
     def work() -> int:
@@ -98,40 +99,40 @@
                     )
         return REQUESTS
 
-    return cpu(work)
+    return measure_cpu(work)
 
 
-def homes(caches: tuple[Endpoint, ...], size: int) -> list[str]:
+def chosen_caches(caches: tuple[Endpoint, ...], size: int) -> list[str]:
     router = make_router(size, 1)
     router.handle(1000.0, EndpointListUpdate(EndpointListKind.FULL, caches))
     router.requests.rebuild_ring_if_needed()
     sends = []
     for n in range(KEYS):
-        held = f"k{n}"
-        for action in router.handle(1000.0, RequestReceived(held, "read", 1.0, f"grid-{n}", 0.1)):
+        request_id = f"k{n}"
+        for action in router.handle(1000.0, RequestReceived(request_id, "read", 1.0, f"grid-{n}", 0.1)):
             if isinstance(action, SendAttempt):
                 sends.append(action.server)
                 router.handle(
-                    1000.0, AttemptEnded(held, action.attempt_number, AttemptStatus.OK, True, 0.001)
+                    1000.0, AttemptEnded(request_id, action.attempt_number, AttemptStatus.OK, True, 0.001)
                 )
     return sends
 
 
 def placement(size: int) -> dict[str, float]:
-    """Balance and keys moved on the whole ring, no key being popular."""
-    before, after = homes(rows(size), size), homes((*rows(size)[1:],), size)
+    """Return the balance and the moved keys of the whole ring, without hot keys."""
+    before, after = chosen_caches(endpoints(size), size), chosen_caches((*endpoints(size)[1:],), size)
     moved = sum(a != b for a, b in zip(before, after, strict=True)) / KEYS
     counts = Counter(before)
     return {
         "fullest": max(counts.values()) * size / KEYS,
-        "emptiest": min(counts.get(entry.name, 0) for entry in rows(size)[:-1]) * size / KEYS,
+        "emptiest": min(counts.get(entry.name, 0) for entry in endpoints(size)[:-1]) * size / KEYS,
         "moved": moved,
         "ideal": 1 / size,
     }
 
 
-def start(caches: int) -> float:
-    """Seconds of CPU of the daemon from exec until it answers `mn`."""
+def start_cost(caches: int) -> float:
+    """Return the CPU seconds of the daemon from exec until it answers `mn`."""
     with tempfile.TemporaryDirectory() as folder, socket.socket() as probe:
         probe.bind(("127.0.0.1", 0))
         port = probe.getsockname()[1]
@@ -147,7 +148,7 @@
                 "weight": 1.0,
                 "started_ms": 0,
             }
-            for e in rows(caches)
+            for e in endpoints(caches)
         ]
         config: dict[str, Any] = {
             "name": "n0",
@@ -169,7 +170,7 @@
             [sys.executable, "-B", "-m", "ironrail"], env=environ, stderr=subprocess.DEVNULL
         )
         try:
-            until = time.monotonic() + READY_PATIENCE
+            until = time.monotonic() + READY_TIMEOUT_SECONDS
             while time.monotonic() < until:
                 try:
                     with socket.create_connection(("127.0.0.1", port), 1.0) as client:
@@ -186,8 +187,8 @@
 
 def main() -> None:
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0] if __doc__ else "")
-    parser.add_argument("--json", metavar="FILE", help="write the figures for programs")
-    told = []
+    parser.add_argument("--json", metavar="FILE", help="write the figures to a JSON file")
+    results = []
     options = parser.parse_args()
     print(
         "caches  rebuild us  request us  a tenth cold  40 routers  fullest  emptiest  moved/ideal  start ms"
@@ -195,21 +196,21 @@
     for size in SIZES:
         row = {
             "caches": size,
-            "rebuild": rebuild(make_router(size, 1), size),
-            "request": request(make_router(size, 1)),
-            "cold": request(make_router(size, 1, cold=size // 10)),
-            "parts": request(make_router(size, 40)),
+            "rebuild": rebuild_cost(make_router(size, 1), size),
+            "request": request_cost(make_router(size, 1)),
+            "cold": request_cost(make_router(size, 1, cold=size // 10)),
+            "parts": request_cost(make_router(size, 40)),
             **placement(size),
-            "start": min(start(size) for _ in range(3)) * 1e3,
+            "start": min(start_cost(size) for _ in range(3)) * 1e3,
         }
-        told.append(row)
+        results.append(row)
         moved = row["moved"] / row["ideal"]
         print(
             f"{size:6} {row['rebuild']:11.0f} {row['request']:11.1f} {row['cold']:13.1f} {row['parts']:11.1f}"
             f" {row['fullest']:8.2f} {row['emptiest']:9.2f} {moved:12.2f} {row['start']:9.0f}"
         )
     if options.json:
-        Path(options.json).write_text(json.dumps(told, indent=2) + "\n")
+        Path(options.json).write_text(json.dumps(results, indent=2) + "\n")
 
 
 if __name__ == "__main__":
--- a/benchmarks/router_cost.py
+++ b/benchmarks/router_cost.py
@@ -1,9 +1,10 @@
-"""CPU that a served request costs a router, beside a bare relay on the same library in the same run.
+"""CPU that a router uses for a served request, compared with a minimal relay in the same run.
 
     python benchmarks/router_cost.py --seconds 4 --rounds 3
 
-16 clients, each with one request out, values of 512 bytes, one cache and one origin on loopback. Router and
-relay take turns; CPU is the process's own, from the system's accounts. The ratio is printed last.
+16 clients with one request in flight each, values of 512 bytes, one cache and one origin on loopback. Router
+and relay, both on uvloop, are measured alternately; CPU is that of the process, as the system counts it. The
+ratio is printed last.
 """
 
 from __future__ import annotations
@@ -56,7 +57,7 @@
 
 
 class Cache(asyncio.Protocol):
-    """Answers reads with a value, or all with a miss."""
+    """Answers each request with a value, or each with a miss."""
 
     misses = False
 
@@ -75,7 +76,7 @@
 
 
 class Origin(asyncio.Protocol):
-    """Answers each request at once."""
+    """Answers each request immediately."""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport, self.buffer = cast(asyncio.Transport, transport), b""
@@ -95,7 +96,7 @@
 
 
 class Discovery(asyncio.Protocol):
-    """Tells the list once; watches wait for good."""
+    """Serves the endpoint list; watches get no answer."""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
@@ -113,16 +114,16 @@
 
 
 class Client(asyncio.Protocol):
-    """One request out at a time."""
+    """Keeps one request in flight."""
 
     def __init__(self, number: int, kind: str) -> None:
         self.number, self.kind, self.served, self.failed, self.sent = number, kind, 0, 0, 0
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport, self.buffer = cast(asyncio.Transport, transport), b""
-        self.ask()
+        self.send_request()
 
-    def ask(self) -> None:
+    def send_request(self) -> None:
         self.sent += 1
         name = f"{self.number:04x}{self.sent:012x}"
         if self.kind == "write":
@@ -138,7 +139,7 @@
             return
         good = self.buffer.startswith((b"VA ", b"HD "))
         self.served, self.failed, self.buffer = self.served + good, self.failed + (not good), b""
-        self.ask()
+        self.send_request()
 
 
 def programs(folder: Path) -> Iterator[tuple[str, int, subprocess.Popen[bytes]]]:
@@ -161,17 +162,17 @@
     yield "relay", RELAY, subprocess.Popen([sys.executable, "-c", RELAY_PROGRAM % (CACHE, RELAY)])
 
 
-async def load(port: int, pid: int, kind: str, seconds: float) -> tuple[float, float, int]:
-    """Seconds of CPU and requests a second, and how many failed."""
+async def measure_load(port: int, pid: int, kind: str, seconds: float) -> tuple[float, float, int]:
+    """Return the CPU seconds for each request, requests per second, and failed requests."""
     loop = asyncio.get_running_loop()
-    made = [await loop.create_connection(lambda n=n: Client(n, kind), LOCAL, port) for n in range(CLIENTS)]  # type: ignore[misc]
-    clients = [client for _, client in made]
-    await asyncio.sleep(0.5)  # limits grow, connections open
+    connected = [await loop.create_connection(lambda n=n: Client(n, kind), LOCAL, port) for n in range(CLIENTS)]  # type: ignore[misc]
+    clients = [client for _, client in connected]
+    await asyncio.sleep(0.5)  # until limits have grown and connections are open
     process = psutil.Process(pid)
     before, served = sum(process.cpu_times()[:2]), sum(c.served for c in clients)
     await asyncio.sleep(seconds)
     after, done = sum(process.cpu_times()[:2]), sum(c.served for c in clients)
-    for transport, _ in made:
+    for transport, _ in connected:
         transport.abort()
     await asyncio.sleep(0.3)
     return (after - before) / max(1, done - served), (done - served) / seconds, sum(c.failed for c in clients)
@@ -187,21 +188,21 @@
         try:
             ratios: dict[str, list[float]] = {}
             for _ in range(rounds):
-                told: dict[str, float] = {}
-                for what in ("read", "miss", "write"):
-                    Cache.misses = what == "miss"
-                    cost, rate, failed = await load(ROUTER, running[0][2].pid, what, seconds)
-                    told[what] = cost
-                    print(f"router {what:>5} {cost * 1e6:6.0f} us {rate:6.0f} a second, {failed} failed")
+                costs: dict[str, float] = {}
+                for request_kind in ("read", "miss", "write"):
+                    Cache.misses = request_kind == "miss"
+                    cost, rate, failed = await measure_load(ROUTER, running[0][2].pid, request_kind, seconds)
+                    costs[request_kind] = cost
+                    print(f"router {request_kind:>5} {cost * 1e6:6.0f} us {rate:6.0f} a second, {failed} failed")
                 Cache.misses = False
-                cost, rate, _ = await load(RELAY, running[1][2].pid, "read", seconds)
+                cost, rate, _ = await measure_load(RELAY, running[1][2].pid, "read", seconds)
                 print(f"relay   read {cost * 1e6:6.0f} us {rate:6.0f} a second")
-                for what, own in told.items():
-                    ratios.setdefault(what, []).append(own / cost)
-            for what, values in ratios.items():
-                middle = sorted(values)[len(values) // 2]
+                for request_kind, own in costs.items():
+                    ratios.setdefault(request_kind, []).append(own / cost)
+            for request_kind, values in ratios.items():
+                median = sorted(values)[len(values) // 2]
                 print(
-                    f"{what}: {min(values):.2f} to {max(values):.2f} times the relay's, median {middle:.2f}"
+                    f"{request_kind}: {min(values):.2f} to {max(values):.2f} times the relay's, median {median:.2f}"
                 )
         finally:
             for _, _, program in running:
--- a/tests/policy/test_discovery_freshness.py
+++ b/tests/policy/test_discovery_freshness.py
@@ -32,15 +32,15 @@
     """Handles calls in order, also those that it has refused because they waited too long."""
 
     rate: float  # calls a second
-    patience: float  # seconds that a call waits before it is refused
+    max_wait: float  # seconds that a call waits before it is refused
     free_at: float = 0.0
 
     def call(self, now: float) -> tuple[float, bool]:
         """Return when the call ends, and whether it returns a list."""
         begins = max(now, self.free_at)
         self.free_at = begins + 1 / self.rate
-        if begins - now > self.patience:
-            return now + self.patience, False
+        if begins - now > self.max_wait:
+            return now + self.max_wait, False
         return self.free_at, True
 
 
@@ -50,7 +50,7 @@
 
     routers: int
     service: Service
-    grows: bool = True
+    backoff_grows: bool = True
     listed_at: list[float] = field(default_factory=list)
     calls: int = 0
 
@@ -73,7 +73,7 @@
             if listed:
                 self.listed_at.append(ends)
                 continue
-            if not self.grows:
+            if not self.backoff_grows:
                 schedules[n].failures = -1  # the backoff does not grow
             heapq.heappush(due, (ends + schedules[n].on_failure(ends, EndpointListKind.FAILED, draws), n))
 
@@ -90,7 +90,7 @@
 
 @pytest.mark.parametrize("seed", range(5))
 def test_without_growing_backoff_most_routers_never_get_the_list(seed: int) -> None:
-    fleet = Fleet(40, Service(2.6, 2.0), grows=False)
+    fleet = Fleet(40, Service(2.6, 2.0), backoff_grows=False)
     fleet.run(seed, 90.0)
     assert len(fleet.listed_at) < 20 and fleet.calls > 6 * 40
 
@@ -98,26 +98,26 @@
 KINDS = (EndpointListKind.FAILED, EndpointListKind.MALFORMED, EndpointListKind.WATCH_TIMED_OUT)
 
 
-def check_pauses(
-    routers: int, ramp: float, window: float, must_ask: float, seed: int, ways: list[EndpointListKind]
+def check_delays(
+    routers: int, slow_start: float, overload_window: float, poll_interval: float, seed: int, kinds: list[EndpointListKind]
 ) -> None:
     conf = settings(
         polls_endpoint_list=True,
         router_count=routers,
-        slow_start_duration=ramp,
-        overload_window=window,
-        poll_interval=must_ask,
+        slow_start_duration=slow_start,
+        overload_window=overload_window,
+        poll_interval=poll_interval,
     )
     freshness, draws = DiscoveryFreshness(conf), random.Random(seed)
-    assert 0 <= freshness.initial_delay(draws) <= POLL_INTERVAL_FRACTION * must_ask
-    at_once = 0
-    for n, how in enumerate(ways):
-        at_once = NUM_IMMEDIATE_POLLS if how is EndpointListKind.WATCH_TIMED_OUT else at_once
-        pause = freshness.on_failure(1.0, how, draws)
-        assert (pause == 0) is (at_once > 0)
-        at_once -= 1
-        assert pause <= POLL_INTERVAL_FRACTION * FAILED_POLL_INTERVAL_FACTOR * must_ask
-        assert EndpointListKind.MALFORMED not in ways[: n + 1] or pause <= max(ramp, window)
+    assert 0 <= freshness.initial_delay(draws) <= POLL_INTERVAL_FRACTION * poll_interval
+    immediate_polls = 0
+    for n, kind in enumerate(kinds):
+        immediate_polls = NUM_IMMEDIATE_POLLS if kind is EndpointListKind.WATCH_TIMED_OUT else immediate_polls
+        delay = freshness.on_failure(1.0, kind, draws)
+        assert (delay == 0) is (immediate_polls > 0)
+        immediate_polls -= 1
+        assert delay <= POLL_INTERVAL_FRACTION * FAILED_POLL_INTERVAL_FACTOR * poll_interval
+        assert EndpointListKind.MALFORMED not in kinds[: n + 1] or delay <= max(slow_start, overload_window)
     freshness.on_update()
     assert freshness.failures == 0 and freshness.require_success_since(100.0) == -math.inf
 
@@ -131,15 +131,15 @@
     st.lists(st.sampled_from(KINDS), max_size=60),
 )
 def test_the_next_poll_always_comes_in_time(
-    routers: int, ramp: float, window: float, must_ask: float, seed: int, ways: list[EndpointListKind]
+    routers: int, slow_start: float, overload_window: float, poll_interval: float, seed: int, kinds: list[EndpointListKind]
 ) -> None:
-    check_pauses(routers, ramp, window, must_ask, seed, ways)
+    check_delays(routers, slow_start, overload_window, poll_interval, seed, kinds)
 
 
 def test_a_pause_after_a_malformed_list_is_no_longer_than_a_short_slow_start() -> None:
     """Guards against a pause that is longer than the slow start; found by the test above."""
     failures = [EndpointListKind.FAILED, EndpointListKind.FAILED, EndpointListKind.MALFORMED]
-    check_pauses(routers=1, ramp=0.25, window=0.25, must_ask=1.0, seed=0, ways=failures)
+    check_delays(routers=1, slow_start=0.25, overload_window=0.25, poll_interval=1.0, seed=0, kinds=failures)
 
 
 def test_after_a_malformed_answer_polls_are_not_spread_until_there_is_a_list() -> None:
@@ -206,12 +206,12 @@
     sent: dict[bool, Counter[str]] = {False: Counter(), True: Counter()}
     for n in range(600):
         d.now += 0.02
-        late = n >= 260
+        is_stale = n >= 260
         server = d.receive(f"r{n}", key=f"k{n % 97}")
         while f"r{n}" in d.pending and server is not None:
-            sent[late][server] += 1
-            drains = server in "ab"
-            server = d.end_attempt(f"r{n}", AttemptStatus.BUSY if drains else AttemptStatus.OK, latency=0.005)
+            sent[is_stale][server] += 1
+            is_draining = server in "ab"
+            server = d.end_attempt(f"r{n}", AttemptStatus.BUSY if is_draining else AttemptStatus.OK, latency=0.005)
     assert sent[False]["a"] and sent[False]["b"]
     assert not sent[True]["a"] and not sent[True]["b"]
     assert all(sent[True][name] for name in "cdef")
@@ -228,13 +228,13 @@
     began, sent = d.now, Counter[str]()
     for n in range(600):
         d.now += 0.02
-        down = 2.0 <= d.now - began < 4.0  # before the list counts as stale
+        is_down = 2.0 <= d.now - began < 4.0  # before the list counts as stale
         server = d.receive(f"r{n}", key=f"k{n % 97}")
         while f"r{n}" in d.pending and server is not None:
             sent[server] += d.now - began >= MAX_STALENESS_SECONDS
-            lost = server == "a" and down
+            is_refused = server == "a" and is_down
             server = d.end_attempt(
-                f"r{n}", AttemptStatus.CONNECT_FAILED if lost else AttemptStatus.OK, latency=0.001
+                f"r{n}", AttemptStatus.CONNECT_FAILED if is_refused else AttemptStatus.OK, latency=0.001
             )
     assert not sent["a"] and all(sent[name] for name in "bcdef")
     d.update_endpoints(*(endpoint(name) for name in "abcdef"))
@@ -263,7 +263,7 @@
 
 def test_polls_are_spread_after_the_list_is_relocated() -> None:
     """SIGHUP relocates the list for the whole fleet within a second."""
-    pauses = []
+    delays = []
     for index in range(40):
         d = Driver(
             settings(polls_endpoint_list=True, router_count=40, router_index=index, poll_interval=10.0),
@@ -273,10 +273,10 @@
         before = dict(d.router.servers)
         actions = d.handle(EndpointListUpdate(EndpointListKind.RELOCATED))
         assert d.router.servers == before
-        pauses += [a.delay for a in actions if isinstance(a, SetTimer) and a.timer == EndpointListPollDue()]
-    assert len(pauses) == 40
-    assert max(sum(at <= pause < at + 1 for pause in pauses) for at in pauses) <= 13
-    assert max(pauses) <= POLL_INTERVAL_FRACTION * 10.0
+        delays += [a.delay for a in actions if isinstance(a, SetTimer) and a.timer == EndpointListPollDue()]
+    assert len(delays) == 40
+    assert max(sum(at <= delay < at + 1 for delay in delays) for at in delays) <= 13
+    assert max(delays) <= POLL_INTERVAL_FRACTION * 10.0
 
 
 def test_few_routers_poll_at_once_after_the_list_is_relocated() -> None:
--- a/tests/policy/test_hedging.py
+++ b/tests/policy/test_hedging.py
@@ -20,18 +20,18 @@
     d.update_endpoints(*fleet("a", "b", "c"))
     d.receive("r")
     d.advance(1.9)
-    outstanding = [i for i in range(len(d.servers_sent_to["r"])) if d.is_in_flight("r", i)]
-    assert len(outstanding) <= 1
+    in_flight = [i for i in range(len(d.servers_sent_to["r"])) if d.is_in_flight("r", i)]
+    assert len(in_flight) <= 1
 
 
-@pytest.mark.parametrize("copies", [True, False])
-def test_an_overdue_attempt_is_hedged_or_replaced(copies: bool) -> None:
+@pytest.mark.parametrize("hedging_allowed", [True, False])
+def test_an_overdue_attempt_is_hedged_or_replaced(hedging_allowed: bool) -> None:
     """A server that accepts work and does not answer must not hold a request to its deadline."""
-    d = Driver(settings(hedging_allowed=copies))
+    d = Driver(settings(hedging_allowed=hedging_allowed))
     d.update_endpoints(*fleet("a", "b"))
     first = d.receive("r", key="k")
     d.advance(0.51)
-    if not copies:
+    if not hedging_allowed:
         assert d.last_actions == [CancelAttempt("r", 0)]
         d.end_attempt("r", AttemptStatus.CANCELLED, 0, latency=0.51)
     assert len(d.servers_sent_to["r"]) == 2 and d.servers_sent_to["r"][1] != first
--- a/tests/policy/test_policy_overrides.py
+++ b/tests/policy/test_policy_overrides.py
@@ -39,9 +39,9 @@
 RATES = [(20.0, 1, 60), (20.0, 4, 15), (1.0, 4, 1), (0.0, 1, 0)]
 
 
-@pytest.mark.parametrize(("rate", "routers", "most"), RATES)
+@pytest.mark.parametrize(("rate", "routers", "max_served"), RATES)
 def test_a_tenant_rate_is_shared_by_all_routers_and_limits_no_other_tenant(
-    rate: float, routers: int, most: int
+    rate: float, routers: int, max_served: int
 ) -> None:
     d = Driver(settings(router_count=routers))
     d.update_endpoints(*ENDPOINTS)
@@ -53,31 +53,31 @@
         served[tenant] += d.receive(f"r{n}", key=f"k{n}", tenant=tenant, finish=False) is not None
         if f"r{n}" in d.pending:
             d.succeed(f"r{n}")
-    assert most * 0.9 <= served["x"] <= most and served["y"] == 100
-    assert all(how in (Outcome.SERVED, Outcome.REJECTED) for how in d.outcomes.values())  # at once
+    assert max_served * 0.9 <= served["x"] <= max_served and served["y"] == 100
+    assert all(outcome in (Outcome.SERVED, Outcome.REJECTED) for outcome in d.outcomes.values())  # at once
 
 
 def overload(d: Driver, shed: dict[str, float]) -> dict[str, Counter[str]]:
     """Count requests of each class that are sent or shed, a third of the answers being in time."""
     d.update_endpoints(*ENDPOINTS)
     d.handle(PolicyOverridesChanged(shed_thresholds=shed))
-    out: dict[str, Counter[str]] = {"read": Counter(), "late": Counter()}
+    counts: dict[str, Counter[str]] = {"read": Counter(), "late": Counter()}
     for n in range(600):
         d.now += 0.01
         kind = "read" if n % 2 else "late"
         server = d.receive(f"r{n}", key=f"k{n}", class_name=kind)
-        out[kind]["shed" if server is None else "sent"] += n > 300
+        counts[kind]["shed" if server is None else "sent"] += n > 300
         if server is not None:
             d.end_attempt(f"r{n}", AttemptStatus.OK, latency=0.1 if n % 3 == 0 else 5.0)
-    return out
+    return counts
 
 
 def test_classes_are_shed_by_their_thresholds() -> None:
     classes = {name: RequestClass(name, 0.8) for name in ("read", "late")}
     d = Driver(settings(classes=classes))
-    got = overload(d, {"late": 0.05, "read": 0.95})
-    assert got["read"]["shed"] == 0 < got["late"]["shed"]
-    assert got["late"]["sent"] < 0.7 * got["read"]["sent"]
+    counts = overload(d, {"late": 0.05, "read": 0.95})
+    assert counts["read"]["shed"] == 0 < counts["late"]["shed"]
+    assert counts["late"]["sent"] < 0.7 * counts["read"]["sent"]
 
 
 def test_the_retry_ratio_of_a_class_limits_its_retries() -> None:
