--- a/benchmarks/fleet_cost.py
+++ b/benchmarks/fleet_cost.py
@@ -76,7 +76,9 @@
     def work() -> int:
         for n in range(40):
             state = EndpointState.DRAINING if n % 2 == 0 else EndpointState.READY
-            router.handle(1000.0, EndpointListUpdate(EndpointListKind.DELTA, (replace(endpoint, state=state),)))
+            router.handle(
+                1000.0, EndpointListUpdate(EndpointListKind.DELTA, (replace(endpoint, state=state),))
+            )
             router.requests.rebuild_ring_if_needed()
         return 40
 
--- a/benchmarks/router_cost.py
+++ b/benchmarks/router_cost.py
@@ -165,7 +165,10 @@
 async def measure_load(port: int, pid: int, kind: str, seconds: float) -> tuple[float, float, int]:
     """Return the CPU seconds for each request, requests per second, and failed requests."""
     loop = asyncio.get_running_loop()
-    connected = [await loop.create_connection(lambda n=n: Client(n, kind), LOCAL, port) for n in range(CLIENTS)]  # type: ignore[misc]
+    connected = [
+        await loop.create_connection(lambda n=n: Client(n, kind), LOCAL, port)  # type: ignore[misc]
+        for n in range(CLIENTS)
+    ]
     clients = [client for _, client in connected]
     await asyncio.sleep(0.5)  # until limits have grown and connections are open
     process = psutil.Process(pid)
@@ -189,20 +192,22 @@
             ratios: dict[str, list[float]] = {}
             for _ in range(rounds):
                 costs: dict[str, float] = {}
-                for request_kind in ("read", "miss", "write"):
-                    Cache.misses = request_kind == "miss"
-                    cost, rate, failed = await measure_load(ROUTER, running[0][2].pid, request_kind, seconds)
-                    costs[request_kind] = cost
-                    print(f"router {request_kind:>5} {cost * 1e6:6.0f} us {rate:6.0f} a second, {failed} failed")
+                for kind in ("read", "miss", "write"):
+                    Cache.misses = kind == "miss"
+                    cost, rate, failed = await measure_load(ROUTER, running[0][2].pid, kind, seconds)
+                    costs[kind] = cost
+                    print(
+                        f"router {kind:>5} {cost * 1e6:6.0f} us {rate:6.0f} a second, {failed} failed"
+                    )
                 Cache.misses = False
                 cost, rate, _ = await measure_load(RELAY, running[1][2].pid, "read", seconds)
                 print(f"relay   read {cost * 1e6:6.0f} us {rate:6.0f} a second")
-                for request_kind, own in costs.items():
-                    ratios.setdefault(request_kind, []).append(own / cost)
-            for request_kind, values in ratios.items():
+                for kind, own in costs.items():
+                    ratios.setdefault(kind, []).append(own / cost)
+            for kind, values in ratios.items():
                 median = sorted(values)[len(values) // 2]
                 print(
-                    f"{request_kind}: {min(values):.2f} to {max(values):.2f} times the relay's, median {median:.2f}"
+                    f"{kind}: {min(values):.2f} to {max(values):.2f} times the relay's, median {median:.2f}"
                 )
         finally:
             for _, _, program in running:
--- a/tests/connections/upstream/pool_host.py
+++ b/tests/connections/upstream/pool_host.py
@@ -26,8 +26,12 @@
 class PoolHost:
     """Simulates connections, and records the writes and outcomes of attempts."""
 
-    def __init__(self, max_connections: int = 2, max_streams: int = 100, server_idle_timeout: float = 8.0) -> None:
-        self.manager = UpstreamPoolManager(ADDRESS, PoolSettings(max_connections, max_streams, server_idle_timeout))
+    def __init__(
+        self, max_connections: int = 2, max_streams: int = 100, server_idle_timeout: float = 8.0
+    ) -> None:
+        self.manager = UpstreamPoolManager(
+            ADDRESS, PoolSettings(max_connections, max_streams, server_idle_timeout)
+        )
         self.now = 0.0
         self.connecting: list[UpstreamConnection] = []
         self.connections: list[UpstreamConnection] = []  # open, without an order to close
@@ -43,7 +47,9 @@
             match pending_actions.popleft():
                 case CheckIdle(connection) as check:
                     is_quiet = connection in self.connections and connection not in self.with_unread_bytes
-                    pending_actions.extendleft(reversed(self.manager.on_idle_checked(self.now, check, is_quiet)))
+                    pending_actions.extendleft(
+                        reversed(self.manager.on_idle_checked(self.now, check, is_quiet))
+                    )
                 case WriteAttempt(connection, attempt):
                     assert connection in self.connections and attempt not in self.written, (
                         "written twice, or to a connection that is not open"
--- a/tests/connections/upstream/test_pool_invariants.py
+++ b/tests/connections/upstream/test_pool_invariants.py
@@ -41,9 +41,13 @@
         fault=st.sampled_from([None, ValueError("?")]),
         status=st.sampled_from([AttemptStatus.OK, AttemptStatus.MISS, AttemptStatus.BUSY]),
     )
-    def read(self, pick: int, count: int, is_partial: bool, fault: Fault | None, status: AttemptStatus) -> None:
+    def read(
+        self, pick: int, count: int, is_partial: bool, fault: Fault | None, status: AttemptStatus
+    ) -> None:
         connection = self.host.connections[pick % len(self.host.connections)]
-        self.host.read(connection, *[status] * min(count, len(connection.in_flight)), is_partial=is_partial, fault=fault)
+        self.host.read(
+            connection, *[status] * min(count, len(connection.in_flight)), is_partial=is_partial, fault=fault
+        )
 
     @precondition(lambda self: any(connection.in_flight for connection in self.host.connections))
     @rule(pick=st.integers(0, 9), is_paused=st.booleans(), has_unsent_bytes=st.booleans())
--- a/tests/connections/upstream/test_socket_budget.py
+++ b/tests/connections/upstream/test_socket_budget.py
@@ -17,7 +17,9 @@
 ORIGIN = SocketDemand(32, 32)
 
 
-@pytest.mark.parametrize(("capacity", "routers", "each"), [(90, 3, 12), (90, 4, 9), (90, 1, 16), (90, 100, 2)])
+@pytest.mark.parametrize(
+    ("capacity", "routers", "each"), [(90, 3, 12), (90, 4, 9), (90, 1, 16), (90, 100, 2)]
+)
 def test_a_cache_s_capacity_is_shared_by_all_routers(capacity: int, routers: int, each: int) -> None:
     assert connections_per_router(capacity, routers) == each
 
--- a/tests/driver.py
+++ b/tests/driver.py
@@ -135,7 +135,9 @@
         name = action.request_id
         assert name in self.pending, f"rule 1: sends an attempt for {name}, which has ended or is unknown"
         target = self.endpoints.get(action.server)
-        assert target is not None and target.state is EndpointState.READY, "rule 3: sends to a server that is not ready"
+        assert target is not None and target.state is EndpointState.READY, (
+            "rule 3: sends to a server that is not ready"
+        )
         earlier = self.servers_sent_to.setdefault(name, [])
         assert len(earlier) < self.conf.max_attempts, "more attempts than allowed"
         ran = self.attempts_that_may_have_run(name)
--- a/tests/incidents/test_agent_returns.py
+++ b/tests/incidents/test_agent_returns.py
@@ -71,14 +71,23 @@
 async def test_a_drained_server_gets_no_request_a_second_after_the_agent_recovers(
     out: str, tmp_path: Path
 ) -> None:
-    draining, other, discovery_peer = await Peer().start(), await Peer().start(), await Peer(read_http).start()
+    draining, other, discovery_peer = (
+        await Peer().start(),
+        await Peer().start(),
+        await Peer(read_http).start(),
+    )
     path, discovery = tmp_path / "config.json", f"{LOCAL}:{discovery_peer.port}"
     process, client = await start(path, free_port(), draining, discovery=discovery)
     (await discovery_peer.next()).respond_list(1, draining.row("c"))
     agent = SilentAgent(discovery_peer, draining, other)
     to_draining: list[float] = []
     to_other: list[float] = []
-    work = (agent.serve(), send_requests_forever(client), record_arrivals(draining, to_draining), record_arrivals(other, to_other))
+    work = (
+        agent.serve(),
+        send_requests_forever(client),
+        record_arrivals(draining, to_draining),
+        record_arrivals(other, to_other),
+    )
     tasks = [asyncio.create_task(one) for one in work]
     call = await agent.next_unanswered("watch" if out == "watch" else "list")
     if out == "list":  # the first list call after a silent watch has a shorter timeout
--- a/tests/incidents/test_malformed_list.py
+++ b/tests/incidents/test_malformed_list.py
@@ -12,7 +12,12 @@
 
 import pytest
 
-from tests.incidents.test_agent_returns import DRAIN_GRACE_SECONDS, MAX_STALL_SECONDS, record_arrivals, send_requests_forever
+from tests.incidents.test_agent_returns import (
+    DRAIN_GRACE_SECONDS,
+    MAX_STALL_SECONDS,
+    record_arrivals,
+    send_requests_forever,
+)
 from tests.net.lifecycle.test_process import config, free_port, start
 from tests.peers import LOCAL, Message, Peer, read_http, scenario
 
--- a/tests/machine_lock.py
+++ b/tests/machine_lock.py
@@ -46,10 +46,8 @@
     concurrent_tests: tuple[str, ...]  # other tests that ran at its end
 
     def __str__(self) -> str:
-        concurrent = ", ".join(self.concurrent_tests) or "nothing"
-        return (
-            f"{self.reason} (CPU {self.busy_share:.0%} busy, load {self.load_average:.1f}, beside {concurrent})"
-        )
+        tests = ", ".join(self.concurrent_tests) or "nothing"
+        return f"{self.reason} (CPU {self.busy_share:.0%} busy, load {self.load_average:.1f}, beside {tests})"
 
 
 class MachineLock:
--- a/tests/policy/decision_digests.py
+++ b/tests/policy/decision_digests.py
@@ -65,7 +65,9 @@
     return " ".join([str(RECORDED_NAMES[type(action)][1]), *given])
 
 
-def digest(seed: int, router_class: type[Router] = Router, format_action: Callable[[Action], str] = format_with_names) -> str:
+def digest(
+    seed: int, router_class: type[Router] = Router, format_action: Callable[[Action], str] = format_with_names
+) -> str:
     """Return the digest of all actions of a router on the event stream of a seed."""
     text = hashlib.sha256()
     for _, _, actions in World(seed, router_class).steps():
--- a/tests/policy/streams.py
+++ b/tests/policy/streams.py
@@ -184,7 +184,11 @@
             0.0, EndpointListUpdate(EndpointListKind.CACHED, tuple(map(self.draw_endpoint, self.names)))
         )
         next_arrival, next_change, traffic_end = self.now, self.now + 2.0, self.now + TRAFFIC_SECONDS
-        while next_arrival < traffic_end or self.scheduled and self.scheduled[0][0] < traffic_end + QUIET_SECONDS:
+        while (
+            next_arrival < traffic_end
+            or self.scheduled
+            and self.scheduled[0][0] < traffic_end + QUIET_SECONDS
+        ):
             if next_arrival < traffic_end and (not self.scheduled or next_arrival <= self.scheduled[0][0]):
                 self.now = next_arrival
                 next_arrival += self.draws.random() * 2.0 / self.rate
--- a/tests/policy/test_discovery_freshness.py
+++ b/tests/policy/test_discovery_freshness.py
@@ -99,7 +99,12 @@
 
 
 def check_delays(
-    routers: int, slow_start: float, overload_window: float, poll_interval: float, seed: int, kinds: list[EndpointListKind]
+    routers: int,
+    slow_start: float,
+    overload_window: float,
+    poll_interval: float,
+    seed: int,
+    kinds: list[EndpointListKind],
 ) -> None:
     conf = settings(
         polls_endpoint_list=True,
@@ -131,7 +136,12 @@
     st.lists(st.sampled_from(KINDS), max_size=60),
 )
 def test_the_next_poll_always_comes_in_time(
-    routers: int, slow_start: float, overload_window: float, poll_interval: float, seed: int, kinds: list[EndpointListKind]
+    routers: int,
+    slow_start: float,
+    overload_window: float,
+    poll_interval: float,
+    seed: int,
+    kinds: list[EndpointListKind],
 ) -> None:
     check_delays(routers, slow_start, overload_window, poll_interval, seed, kinds)
 
@@ -211,7 +221,9 @@
         while f"r{n}" in d.pending and server is not None:
             sent[is_stale][server] += 1
             is_draining = server in "ab"
-            server = d.end_attempt(f"r{n}", AttemptStatus.BUSY if is_draining else AttemptStatus.OK, latency=0.005)
+            server = d.end_attempt(
+                f"r{n}", AttemptStatus.BUSY if is_draining else AttemptStatus.OK, latency=0.005
+            )
     assert sent[False]["a"] and sent[False]["b"]
     assert not sent[True]["a"] and not sent[True]["b"]
     assert all(sent[True][name] for name in "cdef")
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -199,7 +199,8 @@
 def test_all_routers_together_keep_below_the_capacity_of_a_warming_server(p: ServerStart) -> None:
     """Without work hints, a budget fraction of 0.5 led to 1.2 times the capacity."""
     worst = max(
-        (simulate_start(p, seed) for seed in range(2 if p.routers < 200 else 1)), key=lambda sent: sent.max_load
+        (simulate_start(p, seed) for seed in range(2 if p.routers < 200 else 1)),
+        key=lambda sent: sent.max_load,
     )
     assert worst.count > 0 and worst.max_load < 1.0
 
--- a/tests/policy/warming_fleet.py
+++ b/tests/policy/warming_fleet.py
@@ -88,9 +88,15 @@
         window_work, informed_work = window_work + work, informed_work + work * is_informed
         while sent[first_index][0] <= at - 1.0:
             _, old, was_informed = sent[first_index]
-            window_work, informed_work, first_index = window_work - old, informed_work - old * was_informed, first_index + 1
+            window_work, informed_work, first_index = (
+                window_work - old,
+                informed_work - old * was_informed,
+                first_index + 1,
+            )
         allowed = (
-            OVERLOAD_FACTOR * (INITIAL_CAPACITY_FRACTION + (1.0 - INITIAL_CAPACITY_FRACTION) * at / 10.0) * warm_rate
+            OVERLOAD_FACTOR
+            * (INITIAL_CAPACITY_FRACTION + (1.0 - INITIAL_CAPACITY_FRACTION) * at / 10.0)
+            * warm_rate
         )
         load_ratio = window_work / (allowed + 2 * math.sqrt(allowed) + 2)
         if load_ratio > 1.0 >= max_load:
--- a/tests/test_house.py
+++ b/tests/test_house.py
@@ -132,5 +132,6 @@
     for folder in ("connections", "diagnostics", "admin", "access_log", "peers"):
         assert not any(name.startswith("ironrail.net") for name in imported_modules(folder))
     assert not any(
-        name.startswith((f"{kit}.faults", f"{kit}.virtual")) for name in imported_modules("rehearsal/standins")
+        name.startswith((f"{kit}.faults", f"{kit}.virtual"))
+        for name in imported_modules("rehearsal/standins")
     )
--- a/tests/test_machine_lock.py
+++ b/tests/test_machine_lock.py
@@ -53,7 +53,10 @@
 def test_no_verdict_in_any_run_fails_with_every_reason(monkeypatch: pytest.MonkeyPatch) -> None:
     """Guards against taking a busy machine for a fault of the router."""
     monkeypatch.setattr(machine_lock, "MAX_IDLE_WAIT_SECONDS", 0.0)
-    with machine_lock.MACHINE_LOCK.shared("own"), pytest.raises(NoVerdictError, match=f"in {MAX_RUNS} runs: .*31 ms"):
+    with (
+        machine_lock.MACHINE_LOCK.shared("own"),
+        pytest.raises(NoVerdictError, match=f"in {MAX_RUNS} runs: .*31 ms"),
+    ):
         play_until_verdict(lambda: "one in a hundred sends was 31 ms late", str)
     assert all(0.0 <= run.busy_share <= 1.0 for run in machine_lock.runs_without_verdict)
     machine_lock.runs_without_verdict.clear()
--- a/tests/test_operator_file.py
+++ b/tests/test_operator_file.py
@@ -59,10 +59,7 @@
         (PEERS + "pace = 10\n", "peers.pace must be a whole number from 100 to 1000000, not 10"),
         (PEERS + 'start = "soon"\n', "peers.start must be invalid enum value 'soon'"),
         ("[peers]\nsending = 1\n", "peers.keys is missing"),
-        (
-            '[regions]\nzuid = ["192.0.2.0/24"]\n',
-            "regions: need [peers], as they are sent between routers",
-        ),
+        ('[regions]\nzuid = ["192.0.2.0/24"]\n', "regions: need [peers], as they are sent between routers"),
         (PEERS + "steer_every = 60\n", "peers.steer_every: needs voters, per_weight and [regions]"),
         (PEERS + "explore = 0.5\n", "peers.explore must be"),
         (PEERS + "[regions]\nzuid = 3\n", "regions: each must be a list of address ranges"),
@@ -93,7 +90,10 @@
     cache = node._pool_factory.make(Endpoint("c", kind="std"), ("127.0.0.1", 1)).manager.state
     origin = node._pool_factory.make(Endpoint("o", kind="origin"), ("127.0.0.1", 1)).manager.state
     assert (cache.wanted_connections, cache.max_streams) == (5, 3)
-    assert (origin.wanted_connections, origin.max_streams) == (32, 1)  # an origin serves one request at a time
+    assert (origin.wanted_connections, origin.max_streams) == (
+        32,
+        1,
+    )  # an origin serves one request at a time
 
 
 @scenario
--- a/tests/test_simhost.py
+++ b/tests/test_simhost.py
@@ -132,7 +132,9 @@
 def test_unusable_settings_name_the_field(
     change: dict[str, Any], field: str, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    (internal_error,) = send_events(SimulatorHost(), 1.0, {"op": "Born", "initSeed": 1, "conf": {**CONF, **change}})
+    (internal_error,) = send_events(
+        SimulatorHost(), 1.0, {"op": "Born", "initSeed": 1, "conf": {**CONF, **change}}
+    )
     assert internal_error["op"] == "InternalError" and field in internal_error["line"]
     assert field in capsys.readouterr().err
 
@@ -162,7 +164,9 @@
     assert timer["op"] == "Timer" and timer["fromNow"] > 0
     again = send_events(host, 2.0, {"op": "Wake", "ctx": timer["ctx"]})
     assert again == [{"op": "Listen", "enable": True}]
-    send_events(host, 2.1, {"op": "Membership", "scope": "FULL", "generation": 3, "lines": [endpoint_row("z")]})
+    send_events(
+        host, 2.1, {"op": "Membership", "scope": "FULL", "generation": 3, "lines": [endpoint_row("z")]}
+    )
     assert sends(send_events(host, 2.2, request_event("2"))) == ["z"]
 
 
@@ -182,7 +186,10 @@
 
 
 def test_a_timer_with_an_unknown_context_is_ignored() -> None:
-    assert send_events(host_with_router(), 1.1, {"op": "Wake", "ctx": "odd"}, {"op": "Wake", "ctx": "late:1:0"}) == []
+    assert (
+        send_events(host_with_router(), 1.1, {"op": "Wake", "ctx": "odd"}, {"op": "Wake", "ctx": "late:1:0"})
+        == []
+    )
 
 
 def test_a_disconnected_client_cancels_its_attempt() -> None:
@@ -196,7 +203,9 @@
 def test_final_answers_on_the_wire() -> None:
     host = host_with_router(familyInfo={"mode": "through"}, limits={"mostTries": 1})
     send_events(host, 1.1, request_event("1"), request_event("2", priority="pay"))
-    assert {"op": "Reject", "ticket": "1", "coolDown": 0.01} in send_events(host, 1.2, done_event("1", 0, "dropped"))
+    assert {"op": "Reject", "ticket": "1", "coolDown": 0.01} in send_events(
+        host, 1.2, done_event("1", 0, "dropped")
+    )
     assert {"op": "GiveUp", "ticket": "2"} in send_events(host, 1.2, done_event("2", 0, "dropped"))
 
 
@@ -205,7 +214,9 @@
     send_events(host, 1.1, request_event("1"))
     streaming_started = {"op": "Begun", "ticket": "1", "sendNo": 0, "lag": 0.1, "server": "a"}
     pong = {"op": "Pong", "server": "a", "outcome": "delivered", "lag": 0.1, "telemetry": None}
-    assert send_events(host, 1.2, streaming_started, pong, {"op": "Heard", "srcPeer": 1, "content": "00"}) == []
+    assert (
+        send_events(host, 1.2, streaming_started, pong, {"op": "Heard", "srcPeer": 1, "content": "00"}) == []
+    )
 
 
 def test_a_killed_router_leaves_no_state() -> None:
@@ -262,7 +273,12 @@
     news += [{"op": "Membership", "scope": "SAVED", "generation": 1, "lines": lines}]
     news += [request_event(f"{i:x}", partitionKey=f"k{i % 7}") for i in range(60)]
     news += [
-        {"op": "Membership", "scope": "INCREMENTAL", "generation": 2, "lines": [endpoint_row("s1", readiness="left")]}
+        {
+            "op": "Membership",
+            "scope": "INCREMENTAL",
+            "generation": 2,
+            "lines": [endpoint_row("s1", readiness="left")],
+        }
     ]
     stdin = json.dumps({"t": 1.0, "news": [{"routerId": 0, **e} for e in news]}).encode() + b"\n"
     first, second = run(stdin, "1"), run(stdin, "2")
