--- a/benchmarks/router_cost.py
+++ b/benchmarks/router_cost.py
@@ -196,9 +196,7 @@
                     Cache.misses = kind == "miss"
                     cost, rate, failed = await measure_load(ROUTER, running[0][2].pid, kind, seconds)
                     costs[kind] = cost
-                    print(
-                        f"router {kind:>5} {cost * 1e6:6.0f} us {rate:6.0f} a second, {failed} failed"
-                    )
+                    print(f"router {kind:>5} {cost * 1e6:6.0f} us {rate:6.0f} a second, {failed} failed")
                 Cache.misses = False
                 cost, rate, _ = await measure_load(RELAY, running[1][2].pid, "read", seconds)
                 print(f"relay   read {cost * 1e6:6.0f} us {rate:6.0f} a second")
