--- a/tests/policy/test_discovery_freshness.py
+++ b/tests/policy/test_discovery_freshness.py
@@ -1,4 +1,4 @@
-"""Polls for the endpoint list by many routers at one service that can serve few."""
+"""Polls for the endpoint list by many routers, at one service that handles few calls."""
 
 from __future__ import annotations
 
@@ -29,28 +29,28 @@
 
 @dataclass
 class Service:
-    """Serves calls in turn, also those that it refused as they had waited too long."""
+    """Handles calls in order, also those that it has refused because they waited too long."""
 
     rate: float  # calls a second
-    patience: float  # seconds that a call waits
+    max_wait: float  # seconds that a call waits before it is refused
     free_at: float = 0.0
 
     def call(self, now: float) -> tuple[float, bool]:
-        """Return when the call ends, and whether it brings a list."""
+        """Return when the call ends, and whether it returns a list."""
         begins = max(now, self.free_at)
         self.free_at = begins + 1 / self.rate
-        if begins - now > self.patience:
-            return now + self.patience, False
+        if begins - now > self.max_wait:
+            return now + self.max_wait, False
         return self.free_at, True
 
 
 @dataclass
 class Fleet:
-    """Routers that start together, each of which polls until it has the list."""
+    """Routers that start at the same time, each of which polls until it has the list."""
 
     routers: int
     service: Service
-    grows: bool = True
+    backoff_grows: bool = True
     listed_at: list[float] = field(default_factory=list)
     calls: int = 0
 
@@ -73,8 +73,8 @@
             if listed:
                 self.listed_at.append(ends)
                 continue
-            if not self.grows:
-                schedules[n].failures = -1  # no growth of the spread
+            if not self.backoff_grows:
+                schedules[n].failures = -1  # the backoff does not grow
             heapq.heappush(due, (ends + schedules[n].on_failure(ends, EndpointListKind.FAILED, draws), n))
 
 
@@ -90,7 +90,7 @@
 
 @pytest.mark.parametrize("seed", range(5))
 def test_without_growing_backoff_most_routers_never_get_the_list(seed: int) -> None:
-    fleet = Fleet(40, Service(2.6, 2.0), grows=False)
+    fleet = Fleet(40, Service(2.6, 2.0), backoff_grows=False)
     fleet.run(seed, 90.0)
     assert len(fleet.listed_at) < 20 and fleet.calls > 6 * 40
 
@@ -98,26 +98,31 @@
 KINDS = (EndpointListKind.FAILED, EndpointListKind.MALFORMED, EndpointListKind.WATCH_TIMED_OUT)
 
 
-def check_pauses(
-    routers: int, ramp: float, window: float, must_ask: float, seed: int, ways: list[EndpointListKind]
+def check_delays(
+    routers: int,
+    slow_start: float,
+    overload_window: float,
+    poll_interval: float,
+    seed: int,
+    kinds: list[EndpointListKind],
 ) -> None:
     conf = settings(
         polls_endpoint_list=True,
         router_count=routers,
-        slow_start_duration=ramp,
-        overload_window=window,
-        poll_interval=must_ask,
+        slow_start_duration=slow_start,
+        overload_window=overload_window,
+        poll_interval=poll_interval,
     )
     freshness, draws = DiscoveryFreshness(conf), random.Random(seed)
-    assert 0 <= freshness.initial_delay(draws) <= POLL_INTERVAL_FRACTION * must_ask
-    at_once = 0
-    for n, how in enumerate(ways):
-        at_once = NUM_IMMEDIATE_POLLS if how is EndpointListKind.WATCH_TIMED_OUT else at_once
-        pause = freshness.on_failure(1.0, how, draws)
-        assert (pause == 0) is (at_once > 0)
-        at_once -= 1
-        assert pause <= POLL_INTERVAL_FRACTION * FAILED_POLL_INTERVAL_FACTOR * must_ask
-        assert EndpointListKind.MALFORMED not in ways[: n + 1] or pause <= max(ramp, window)
+    assert 0 <= freshness.initial_delay(draws) <= POLL_INTERVAL_FRACTION * poll_interval
+    immediate_polls = 0
+    for n, kind in enumerate(kinds):
+        immediate_polls = NUM_IMMEDIATE_POLLS if kind is EndpointListKind.WATCH_TIMED_OUT else immediate_polls
+        delay = freshness.on_failure(1.0, kind, draws)
+        assert (delay == 0) is (immediate_polls > 0)
+        immediate_polls -= 1
+        assert delay <= POLL_INTERVAL_FRACTION * FAILED_POLL_INTERVAL_FACTOR * poll_interval
+        assert EndpointListKind.MALFORMED not in kinds[: n + 1] or delay <= max(slow_start, overload_window)
     freshness.on_update()
     assert freshness.failures == 0 and freshness.require_success_since(100.0) == -math.inf
 
@@ -131,19 +136,24 @@
     st.lists(st.sampled_from(KINDS), max_size=60),
 )
 def test_the_next_poll_always_comes_in_time(
-    routers: int, ramp: float, window: float, must_ask: float, seed: int, ways: list[EndpointListKind]
+    routers: int,
+    slow_start: float,
+    overload_window: float,
+    poll_interval: float,
+    seed: int,
+    kinds: list[EndpointListKind],
 ) -> None:
-    check_pauses(routers, ramp, window, must_ask, seed, ways)
+    check_delays(routers, slow_start, overload_window, poll_interval, seed, kinds)
 
 
 def test_a_pause_after_a_malformed_list_is_no_longer_than_a_short_slow_start() -> None:
-    """An example that the test above found; the bound is the same."""
+    """Guards against a pause that is longer than the slow start; found by the test above."""
     failures = [EndpointListKind.FAILED, EndpointListKind.FAILED, EndpointListKind.MALFORMED]
-    check_pauses(routers=1, ramp=0.25, window=0.25, must_ask=1.0, seed=0, ways=failures)
+    check_delays(routers=1, slow_start=0.25, overload_window=0.25, poll_interval=1.0, seed=0, kinds=failures)
 
 
 def test_after_a_malformed_answer_polls_are_not_spread_until_there_is_a_list() -> None:
-    """This holds after refused calls too: one of them delayed the next by half a minute."""
+    """Also after refused calls, one of which delayed the next poll by half a minute."""
     conf = settings(
         polls_endpoint_list=True,
         router_count=40,
@@ -165,7 +175,7 @@
             freshness.require_success_since(11.9) == -math.inf
             and freshness.require_success_since(12.0) == 7.0
         )
-        freshness.on_failure(11.0, malformed, draws)  # the earlier one counts
+        freshness.on_failure(11.0, malformed, draws)  # the earlier failure counts
         assert freshness.require_success_since(12.0) == 7.0
         freshness.on_update()
         assert (
@@ -175,7 +185,7 @@
 
 
 def test_after_a_watch_timeout_two_polls_are_immediate() -> None:
-    """The watch ends half a second after its wait; changes it missed count 2 s after the wait."""
+    """The watch times out 0.5 s after its wait; changes that it missed count 2 s after the wait."""
     conf = settings(
         polls_endpoint_list=True,
         router_count=200,
@@ -192,49 +202,51 @@
     )
     assert (
         freshness.on_failure(21.5, EndpointListKind.FAILED, draws) > 4.0
-    )  # the service may be overloaded: no third one at once
+    )  # the service may be overloaded, so the third poll backs off
     freshness.on_update()
     assert freshness.require_success_since(99.0) == -math.inf
 
 
 @pytest.mark.parametrize("missed", [EndpointListKind.MALFORMED, EndpointListKind.WATCH_TIMED_OUT])
 def test_with_a_stale_list_only_servers_with_recent_successes_are_used(missed: EndpointListKind) -> None:
-    """Draining servers reject new requests, and the update that they drain was missed."""
+    """Draining servers reject new requests, and the update about them was missed."""
     d = Driver(settings(polls_endpoint_list=True, router_count=5, poll_interval=10.0, max_attempts=3))
     d.update_endpoints(*(endpoint(name) for name in "abcdef"))
     d.update_endpoints(kind=missed)
     sent: dict[bool, Counter[str]] = {False: Counter(), True: Counter()}
     for n in range(600):
         d.now += 0.02
-        late = n >= 260
+        is_stale = n >= 260
         server = d.receive(f"r{n}", key=f"k{n % 97}")
         while f"r{n}" in d.pending and server is not None:
-            sent[late][server] += 1
-            drains = server in "ab"
-            server = d.end_attempt(f"r{n}", AttemptStatus.BUSY if drains else AttemptStatus.OK, latency=0.005)
+            sent[is_stale][server] += 1
+            is_draining = server in "ab"
+            server = d.end_attempt(
+                f"r{n}", AttemptStatus.BUSY if is_draining else AttemptStatus.OK, latency=0.005
+            )
     assert sent[False]["a"] and sent[False]["b"]
     assert not sent[True]["a"] and not sent[True]["b"]
     assert all(sent[True][name] for name in "cdef")
     d.update_endpoints(*(endpoint(name) for name in "abcdef"))
     again = {d.receive(f"s{n}", key=f"k{n}") for n in range(60)}
-    assert again & {"a", "b"}  # a list ends the staleness
+    assert again & {"a", "b"}  # a new list ends the staleness
 
 
 def test_with_a_stale_list_a_server_that_refused_a_connect_is_not_used_again() -> None:
-    """The server may have been removed from the list, though it answers after a restart."""
+    """The server may have been removed from the list, even if it answers after a restart."""
     d = Driver(settings(polls_endpoint_list=True, router_count=5, poll_interval=10.0, max_attempts=3))
     d.update_endpoints(*(endpoint(name) for name in "abcdef"))
     d.update_endpoints(kind=EndpointListKind.MALFORMED)
     began, sent = d.now, Counter[str]()
     for n in range(600):
         d.now += 0.02
-        down = 2.0 <= d.now - began < 4.0  # before the list counts as stale
+        is_down = 2.0 <= d.now - began < 4.0  # before the list counts as stale
         server = d.receive(f"r{n}", key=f"k{n % 97}")
         while f"r{n}" in d.pending and server is not None:
             sent[server] += d.now - began >= MAX_STALENESS_SECONDS
-            lost = server == "a" and down
+            is_refused = server == "a" and is_down
             server = d.end_attempt(
-                f"r{n}", AttemptStatus.CONNECT_FAILED if lost else AttemptStatus.OK, latency=0.001
+                f"r{n}", AttemptStatus.CONNECT_FAILED if is_refused else AttemptStatus.OK, latency=0.001
             )
     assert not sent["a"] and all(sent[name] for name in "bcdef")
     d.update_endpoints(*(endpoint(name) for name in "abcdef"))
@@ -243,7 +255,7 @@
 
 
 def test_the_backoff_is_bounded_without_a_poll_interval() -> None:
-    """With a thousand routers the backoff stays bounded, however many polls failed."""
+    """With a thousand routers the backoff stays bounded after any number of failures."""
     freshness, draws = (
         DiscoveryFreshness(settings(polls_endpoint_list=True, router_count=1000, slow_start_duration=5.0)),
         random.Random(1),
@@ -262,8 +274,8 @@
 
 
 def test_polls_are_spread_after_the_list_is_relocated() -> None:
-    """SIGHUP reaches the whole fleet within a second."""
-    pauses = []
+    """SIGHUP relocates the list for the whole fleet within a second."""
+    delays = []
     for index in range(40):
         d = Driver(
             settings(polls_endpoint_list=True, router_count=40, router_index=index, poll_interval=10.0),
@@ -273,10 +285,10 @@
         before = dict(d.router.servers)
         actions = d.handle(EndpointListUpdate(EndpointListKind.RELOCATED))
         assert d.router.servers == before
-        pauses += [a.delay for a in actions if isinstance(a, SetTimer) and a.timer == EndpointListPollDue()]
-    assert len(pauses) == 40
-    assert max(sum(at <= pause < at + 1 for pause in pauses) for at in pauses) <= 13
-    assert max(pauses) <= POLL_INTERVAL_FRACTION * 10.0
+        delays += [a.delay for a in actions if isinstance(a, SetTimer) and a.timer == EndpointListPollDue()]
+    assert len(delays) == 40
+    assert max(sum(at <= delay < at + 1 for delay in delays) for at in delays) <= 13
+    assert max(delays) <= POLL_INTERVAL_FRACTION * 10.0
 
 
 def test_few_routers_poll_at_once_after_the_list_is_relocated() -> None:
--- a/tests/test_operator_file.py
+++ b/tests/test_operator_file.py
@@ -1,4 +1,4 @@
-"""The operator's file: its settings, and the messages for invalid ones."""
+"""The operator's file: its settings, and the error messages for invalid ones."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 """
 
 
-def written(tmp_path: Path, text: str) -> str:
+def write_file(tmp_path: Path, text: str) -> str:
     path = tmp_path / "operator.toml"
     path.write_text(text)
     return str(path)
@@ -36,9 +36,9 @@
 
 
 def test_settings_of_a_file(tmp_path: Path) -> None:
-    got = read_operator(written(tmp_path, "[connections]\nper_cache = 8\ndepth = 1\n"))
-    assert got == OperatorSettings(ConnectionSettings(per_router=8, max_in_flight=1))
-    assert read_operator(written(tmp_path, "")) == OperatorSettings()
+    operator_settings = read_operator(write_file(tmp_path, "[connections]\nper_cache = 8\ndepth = 1\n"))
+    assert operator_settings == OperatorSettings(ConnectionSettings(per_router=8, max_in_flight=1))
+    assert read_operator(write_file(tmp_path, "")) == OperatorSettings()
 
 
 @pytest.mark.parametrize(
@@ -54,15 +54,12 @@
         ("[connections\n", "at line 1"),
         (PEERS.replace("sending = 1", "sending = 2"), "peers.sending: no key has the id 2"),
         (PEERS.replace('"1"', '"old"'), "peers.keys: ids must be numbers from 0 to 255"),
-        (PEERS.replace("[0, 1, 2]", "[0, 1, 1]"), "peers.voters must be 3, 5 or 7 different numbers"),
+        (PEERS.replace("[0, 1, 2]", "[0, 1, 1]"), "peers.voters must be 3, 5 or 7 different router indexes"),
         (PEERS.replace("[0, 1, 2]", "[0, 1, 3]"), "peers.voters: there are 3 routers in peers.halls"),
         (PEERS + "pace = 10\n", "peers.pace must be a whole number from 100 to 1000000, not 10"),
         (PEERS + 'start = "soon"\n', "peers.start must be invalid enum value 'soon'"),
         ("[peers]\nsending = 1\n", "peers.keys is missing"),
-        (
-            '[regions]\nzuid = ["192.0.2.0/24"]\n',
-            "regions: are told between routers, and there is no [peers]",
-        ),
+        ('[regions]\nzuid = ["192.0.2.0/24"]\n', "regions: need [peers], as they are sent between routers"),
         (PEERS + "steer_every = 60\n", "peers.steer_every: needs voters, per_weight and [regions]"),
         (PEERS + "explore = 0.5\n", "peers.explore must be"),
         (PEERS + "[regions]\nzuid = 3\n", "regions: each must be a list of address ranges"),
@@ -73,7 +70,7 @@
 def test_an_invalid_file_is_rejected_with_one_clear_message(
     text: str, message: str, tmp_path: Path, capfd: pytest.CaptureFixture[str]
 ) -> None:
-    path = written(tmp_path, text)
+    path = write_file(tmp_path, text)
     with pytest.raises(OperatorError) as e:
         read_operator(path)
     assert str(e.value).startswith(path) and message in str(e.value)
@@ -93,7 +90,10 @@
     cache = node._pool_factory.make(Endpoint("c", kind="std"), ("127.0.0.1", 1)).manager.state
     origin = node._pool_factory.make(Endpoint("o", kind="origin"), ("127.0.0.1", 1)).manager.state
     assert (cache.wanted_connections, cache.max_streams) == (5, 3)
-    assert (origin.wanted_connections, origin.max_streams) == (32, 1)  # which bears one request at a time
+    assert (origin.wanted_connections, origin.max_streams) == (
+        32,
+        1,
+    )  # an origin serves one request at a time
 
 
 @scenario
