--- a/benchmarks/accord_fleet.py
+++ b/benchmarks/accord_fleet.py
@@ -40,7 +40,7 @@
 def role(tier: Tier, router: TierRouter) -> str:
     if router.number in tier.voters:
         return "voter"
-    path = router.policies.room.path
+    path = router.policies.protocol.path
     return "head" if path.rota and router.system.now() < path.head_until else "plain"
 
 
@@ -104,7 +104,7 @@
     found["took"] = None if took is None else max(tier.watch.began[r.number, (scope,)] for r in up) - started
     joint = [at for (_, s), at in tier.watch.began.items() if s == (scope - 1, scope)]
     found["joint"] = max(joint) - started if joint else None
-    ticket = one.policies.ticket
+    ticket = one.policies.latest_proposal
     found["state"] = ticket is not None and ticket.in_force
     found["costs"] = costs(tier, before, tier.now() - at)
     for number, fault in faults:
--- a/benchmarks/accord_storms.py
+++ b/benchmarks/accord_storms.py
@@ -42,7 +42,7 @@
             ready = [r for r in tier.routers if r.versions()]
             one = tier.draws.choice(ready) if ready else None
             if one and one.propose(version).status == 202:
-                tickets.append(one.policies.ticket)
+                tickets.append(one.policies.latest_proposal)
             else:
                 ended["not taken up"] += 1
             tier.run(EVERY)
--- a/benchmarks/peers_wire.py
+++ b/benchmarks/peers_wire.py
@@ -18,7 +18,7 @@
 from itertools import count
 from struct import Struct
 
-from ironrail.peers.messages import MOST_ROUTERS, Outgoing, Topic
+from ironrail.peers.messages import MAX_ROUTERS, Outgoing, Topic
 from ironrail.peers.transport import layout
 from ironrail.peers.transport.keys import Keys
 from ironrail.peers.transport.layout import MOST_BODY, sealed_size
@@ -30,7 +30,7 @@
 TIMES = 20_000
 
 
-def wire(me: int, keys: Keys = KEYS, routers: int = MOST_ROUTERS, start: int = 0) -> Wire:
+def wire(me: int, keys: Keys = KEYS, routers: int = MAX_ROUTERS, start: int = 0) -> Wire:
     return Wire(me, start or 2**47 + 5000 + me, keys, routers, os.urandom)
 
 
@@ -146,7 +146,7 @@
 
 
 def memory() -> None:
-    senders = [wire(me) for me in range(1, MOST_ROUTERS)]
+    senders = [wire(me) for me in range(1, MAX_ROUTERS)]
     tracemalloc.start()
     receiver = wire(0)
     before, now = tracemalloc.get_traced_memory()[0], 0.0
@@ -162,10 +162,10 @@
         forged = wire(sender.me, OTHERS, start=7).seal(Outgoing(0, Topic.CONSENSUS, b""))[0][1]
         receiver.open(now, sender.me, forged)
     del senders, sender, datagrams, datagram, forged
-    assert all(receiver.knows(number) for number in range(1, MOST_ROUTERS))
+    assert all(receiver.knows(number) for number in range(1, MAX_ROUTERS))
     held = tracemalloc.get_traced_memory()[0] - before
     tracemalloc.stop()
-    print(f"a receiver of {MOST_ROUTERS - 1} senders, windows in use, all in pieces: {held / 1e6:.2f} MB")
+    print(f"a receiver of {MAX_ROUTERS - 1} senders, windows in use, all in pieces: {held / 1e6:.2f} MB")
 
 
 def codec() -> None:
--- a/ironrail/net/lifecycle/node.py
+++ b/ironrail/net/lifecycle/node.py
@@ -33,7 +33,7 @@
 from ironrail.policy.router import Router
 
 if TYPE_CHECKING:
-    from ironrail.net.peers.record_store import Store
+    from ironrail.net.peers.record_store import RecordStore
     from ironrail.net.peers.runtime import PeerRuntime
 
 NO_OPERATOR_FILE = OperatorSettings()
@@ -55,7 +55,7 @@
         operator: OperatorSettings = NO_OPERATOR_FILE,
         system: System = REAL,
         read_latest_config: Callable[[], Config] = read_current_config,
-        store: Store | None = None,
+        store: RecordStore | None = None,
     ) -> None:
         """Assemble a router that does not run yet.
 
@@ -111,7 +111,7 @@
         )
 
     def _make_peer_runtime(
-        self, operator: OperatorSettings, store: Store | None
+        self, operator: OperatorSettings, store: RecordStore | None
     ) -> PeerRuntime | None:
         if operator.peers is None:
             return None
@@ -121,8 +121,8 @@
         runtime = PeerRuntime(
             self._config, operator, self._system, self._dispatcher.driver.apply_now, store
         )
-        self._dispatcher.driver.before_event = runtime.check
-        runtime.serve(self._client_listener)
+        self._dispatcher.driver.before_event = runtime.before_decision
+        runtime.attach_listener(self._client_listener)
         return runtime
 
     def _apply_cached_list(self) -> None:
@@ -139,14 +139,14 @@
 
     def _can_serve(self) -> bool:
         return self._dispatcher.can_serve() and (
-            self.peer_runtime is None or self.peer_runtime.ready()
+            self.peer_runtime is None or self.peer_runtime.is_ready()
         )
 
     def _attempt_written(self) -> None:
         self._dispatcher.figures.attempt_written()
 
     def _link_observer(self, zone: str) -> LinkObserver | None:
-        return self.peer_runtime.watch(zone) if self.peer_runtime is not None else None
+        return self.peer_runtime.link_observer(zone) if self.peer_runtime is not None else None
 
     def start(self) -> Address:
         """Listen and follow discovery; return the address listened on.
@@ -173,7 +173,7 @@
     def _apply_list_update(self, update: EndpointListUpdate, addresses: dict[str, Address]) -> None:
         self._dispatcher.update_endpoints(update, addresses)
         if self.peer_runtime is not None:
-            self.peer_runtime.servers(update)
+            self.peer_runtime.on_endpoint_update(update)
         if update.kind is EndpointListKind.FULL:
             self._handover.endpoint_list_received()
 
--- a/ironrail/net/peers/node_identity.py
+++ b/ironrail/net/peers/node_identity.py
@@ -1,4 +1,4 @@
-"""Where a router stands among all: what each part of what it does with others is told."""
+"""The identity of this router within its peer group, passed to each component that talks to peers."""
 
 from __future__ import annotations
 
@@ -10,15 +10,23 @@
 
 @dataclass(frozen=True, slots=True)
 class NodeIdentity:
-    """Where this router stands among all."""
+    """This router's index, process incarnation and zone table.
 
-    me: int
-    start: int  # of this process
+    Attributes:
+        own_index: This router's index among all routers.
+        incarnation: Identifier of this process.
+        system: Clocks and sockets.
+        zones: The zone of each router, by router index.
+        rng: Source of randomness for the protocols.
+    """
+
+    own_index: int
+    incarnation: int
     system: System
-    halls: tuple[str, ...]  # of each router, by its number
-    draws: random.Random
+    zones: tuple[str, ...]
+    rng: random.Random
 
-    def numbered(self) -> tuple[list[str], list[int]]:
-        """The different halls in an order that all routers share, and each router's among them."""
-        names = sorted(set(self.halls))
-        return names, [names.index(hall) for hall in self.halls]
+    def zone_indices(self) -> tuple[list[str], list[int]]:
+        """Return the distinct zones, in the same order on every router, and each router's index in them."""
+        names = sorted(set(self.zones))
+        return names, [names.index(zone) for zone in self.zones]
--- a/ironrail/net/peers/policies.py
+++ b/ironrail/net/peers/policies.py
@@ -1,7 +1,7 @@
-"""A router's part in an accord on policies: its room, its record on a disk, its page at the operators' door.
+"""Drives the consensus protocol of this router: its record on disk and its admin endpoint.
 
-What is decided by is handed to the decision module as an event, and asked anew before each decision: a lease
-may have run out while the process stood still.
+The effective policy is passed to the decision module as an event. It is checked again before each decision,
+because a lease may have expired while the process was suspended.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 from ironrail.admin.http_call import Response
 from ironrail.errors import InputError, RejectedError
 from ironrail.net.peers import admin_documents
-from ironrail.net.peers.record_store import Keeper, RecordError, Store
+from ironrail.net.peers.record_store import RecordError, RecordStore, RecordWriter
 from ironrail.operator_file import OperatorError, PeerSettings
 from ironrail.peers.consensus import policy as p
 from ironrail.peers.consensus.configuration import ConsensusConfig
@@ -33,56 +33,86 @@
 
 log = logging.getLogger(__name__)
 
-RECORD = "accord"  # name of a voter's record
-FIRST = 1  # version of a policy without rows, which forbids nothing
+RECORD_NAME = "accord"  # name under which a voter's record is stored
+INITIAL_POLICY_VERSION = 1  # of a policy without fields, which restricts nothing
 
 
 @dataclass(frozen=True, slots=True)
-class Place:
-    """Where this router stands among all."""
-
-    me: int
-    start: int
+class ProcessIdentity:
+    """The identity of this process at its start.
+
+    Attributes:
+        own_index: This router's index among all routers.
+        incarnation: Identifier of this process.
+        now: Time of the start, in seconds on the router's clock.
+        seed: Seed of the consensus protocol's random delays.
+    """
+
+    own_index: int
+    incarnation: int
     now: float
     seed: int
 
 
-def read_floor(path: str) -> p.Policy:
-    """The policy that is obeyed where none can be decided by; OperatorError if the file can't be used."""
+def read_fallback_policy(path: str) -> p.Policy:
+    """Read the policy that applies while there is no effective one; an empty path is an empty policy.
+
+    Raises:
+        OperatorError: The file can't be used.
+    """
     if not path:
-        return p.Policy(version=FIRST)
+        return p.Policy(version=INITIAL_POLICY_VERSION)
     try:
         return p.read(tomllib.loads(Path(path).read_text()))
     except OSError as e:
         raise OperatorError(e.strerror or str(e), path) from e
-    except (ValueError, InputError) as e:  # TOML, UTF-8 or a policy's own
+    except (ValueError, InputError) as e:  # invalid TOML, UTF-8 or policy
         raise OperatorError(str(e), path) from e
 
 
-def facts_of(settings: Settings, peers: PeerSettings, regions: Collection[str] = ()) -> p.Facts:
-    """What this router checks each policy against. Titles come with requests: any may be named."""
+def policy_facts(settings: Settings, peers: PeerSettings, regions: Collection[str] = ()) -> p.Facts:
+    """Return what this router validates policies against.
+
+    Titles come with requests, so a policy may name any.
+    """
     return p.Facts(frozenset(settings.classes), None, frozenset(peers.zones), frozenset(regions))
 
 
 class Policies:
-    """The accord of one router."""
+    """The consensus on policies, as seen by one router.
+
+    Attributes:
+        protocol: The consensus protocol that this class drives.
+        latest_proposal: The latest change proposed by this router, None before the first.
+    """
 
     def __init__(
         self,
-        place: Place,
+        identity: ProcessIdentity,
         settings: Settings,
         peers: PeerSettings,
-        store: Store | None,
-        follow: Callable[[PolicyOverridesChanged], None],
+        store: RecordStore | None,
+        publish: Callable[[PolicyOverridesChanged], None],
         now: Callable[[], float],
-        go_on: Callable[[], None],
+        flush: Callable[[], None],
         regions: Collection[str] = (),
     ) -> None:
-        """`follow`: takes what is decided by from now on; `go_on`: sends what the room says."""
-        self._follow, self._now, self._go_on = follow, now, go_on
+        """Read the record, if any, and start the protocol.
+
+        Args:
+            identity: This process.
+            settings: Settings from the platform's configuration.
+            peers: The operator's settings on peers.
+            store: Where a voter stores its record; None if it stores none.
+            publish: Receives the effective policy whenever it changes.
+            now: The router's clock.
+            flush: Sends the protocol's outgoing messages.
+            regions: Regions that a policy may name.
+        """
+        self._publish, self._now, self._flush = publish, now, flush
         conf = ConsensusConfig(
-            router=place.me,
-            start=place.start,
+            router=identity.own_index,
+            start=identity.incarnation,
             routers=len(peers.zones),
             voters=peers.voters,
             lease_seconds=peers.lease_milliseconds / 1000,
@@ -90,150 +120,182 @@
             persists_records=store is not None,
             starts_on_fallback=peers.start_mode == "floor",
         )
-        facts, floor = facts_of(settings, peers, regions), read_floor(peers.fallback_policy_file)
-        record, self._torn = self._kept(store)
-        self.room = ConsensusNode(conf, facts, floor, place.now, place.seed, record)
-        self._keeper = Keeper(store, RECORD, self._done) if store is not None else None
-        self._followed: DecidedBy | None = None
-        self._until = -math.inf  # when what is decided by has to be asked for anew
-        self.ticket: ProposalHandle | None = None  # of the latest call for a change here
-
-    def _kept(self, store: Store | None) -> tuple[bytes | None, InputError | None]:
-        """A record that can't be read is none: the voter then asks the others where things stand."""
+        facts, fallback = (
+            policy_facts(settings, peers, regions),
+            read_fallback_policy(peers.fallback_policy_file),
+        )
+        record, self._record_error = self._read_record(store)
+        self.protocol = ConsensusNode(conf, facts, fallback, identity.now, identity.seed, record)
+        self._record_writer = (
+            RecordWriter(store, RECORD_NAME, self._on_record_written) if store is not None else None
+        )
+        self._published: DecidedBy | None = None
+        self._valid_until = -math.inf  # when the effective policy has to be checked again
+        self.latest_proposal: ProposalHandle | None = None
+
+    def _read_record(self, store: RecordStore | None) -> tuple[bytes | None, InputError | None]:
+        """Return the stored record, or None and the error if it can't be read.
+
+        A voter without a record recovers the state from the other voters.
+        """
         try:
-            record = store.read(RECORD) if store is not None else None
+            record = store.read(RECORD_NAME) if store is not None else None
             if record is not None:
                 read_record(record)
             return record, None
-        except InputError as e:  # torn, or whole and of another version
+        except InputError as e:  # corrupt, or of another version
             log.error("record_unusable", extra={"error": e.with_advice()})
             return None, e
         except OSError as e:
             log.error("record_unread", extra={"error": str(e)})
-            return None, RecordError(str(e), RECORD)
+            return None, RecordError(str(e), RECORD_NAME)
 
-    # What is decided by
+    # The effective policy
 
-    def ready(self) -> bool:
-        """Whether there is anything to decide by."""
-        return self.room.effective_policy(self._now()).policy is not None
+    def is_ready(self) -> bool:
+        """Return whether there is an effective policy."""
+        return self.protocol.effective_policy(self._now()).policy is not None
 
-    def check(self, now: float) -> None:
-        """Before each decision: what was decided by may have ended."""
-        if now >= self._until:
+    def refresh_if_expired(self, now: float) -> None:
+        """Refresh the effective policy if it may have expired; called before each decision."""
+        if now >= self._valid_until:
             self.refresh()
 
     def refresh(self) -> None:
-        """Hand over what is decided by, if that has changed, and keep what is to be kept."""
+        """Store the protocol's new records, and publish the effective policy if it has changed."""
         now = self._now()
-        for keep in self.room.take_records():
-            assert self._keeper is not None
-            self._keeper.keep(keep.token, keep.record)
-        decided = self.room.effective_policy(now)
-        self._until = self.room.effective_until(now)
-        if decided == self._followed:
+        for write in self.protocol.take_records():
+            assert self._record_writer is not None
+            self._record_writer.enqueue(write.token, write.record)
+        decided = self.protocol.effective_policy(now)
+        self._valid_until = self.protocol.effective_until(now)
+        if decided == self._published:
             return
-        before, self._followed = self._followed, decided
-        policy = decided.policy or self.room.library.fallback
+        before, self._published = self._published, decided
+        policy = decided.policy or self.protocol.library.fallback
         log.info(
             "decides_by", extra={"versions": list(decided.versions), "ready": decided.policy is not None}
         )
-        if before is None or policy != (before.policy or self.room.library.fallback):
-            self._follow(PolicyOverridesChanged(policy.emptied, policy.shed, policy.further, policy.rates))
+        if before is None or policy != (before.policy or self.protocol.library.fallback):
+            self._publish(PolicyOverridesChanged(policy.emptied, policy.shed, policy.further, policy.rates))
 
-    def _done(self, token: int, failed: OSError | None) -> None:
-        if failed is None:
-            self.room.on_record_written(self._now(), token)
+    def _on_record_written(self, token: int, error: OSError | None) -> None:
+        if error is None:
+            self.protocol.on_record_written(self._now(), token)
         else:
-            log.error("record_not_kept", extra={"error": str(failed)})
-            self.room.on_record_failed(self._now(), token)
-        self._go_on()
+            log.error("record_not_kept", extra={"error": str(error)})
+            self.protocol.on_record_failed(self._now(), token)
+        self._flush()
 
     def stop(self) -> None:
-        if self._keeper is not None:
-            self._keeper.stop()
+        """Stop writing records."""
+        if self._record_writer is not None:
+            self._record_writer.stop()
 
-    # Rows of steering
+    # Steering
 
     def in_force(self) -> DecidedBy:
-        """What is decided by now, with the versions."""
-        return self.room.effective_policy(self._now())
+        """Return the effective policy with its versions."""
+        return self.protocol.effective_policy(self._now())
 
-    def steer(self, rows: dict[str, dict[str, float]]) -> ProposalHandle:
-        """Propose these rows in place of those of the policy in force, and nothing else changed.
+    def propose_steering(self, rows: dict[str, dict[str, float]]) -> ProposalHandle:
+        """Propose the policy in force with these steering rows in place of its own.
 
         Raises:
-            RejectedError: it can't be now.
-            PolicyError: the rows are none.
+            RejectedError: No proposal can be made now.
+            PolicyError: The rows are invalid.
         """
-        known, policy = self.room.known, self.in_force().policy
+        known, policy = self.protocol.known, self.in_force().policy
         if known is None or policy is None:
-            raise UnreadyError("knows of no policy in force", "steering")
+            raise UnreadyError("there is no policy in force", "steering")
         version = max(known.tried, policy.version) + 1
-        self.ticket = self.room.propose(
+        self.latest_proposal = self.protocol.propose(
             self._now(), msgspec.structs.replace(policy, version=version, steering=rows)
         )
-        self._go_on()
-        return self.ticket
+        self._flush()
+        return self.latest_proposal
 
-    # The operators' door
+    # The admin endpoint
 
     def page(self) -> Response:
-        """What is in force here, as JSON."""
+        """Return the effective policy and the state of the protocol as JSON."""
         return Response(
-            200, orjson.dumps(self._told(), option=orjson.OPT_INDENT_2 | orjson.OPT_NON_STR_KEYS) + b"\n"
+            200,
+            orjson.dumps(self._status(), option=orjson.OPT_INDENT_2 | orjson.OPT_NON_STR_KEYS) + b"\n",
         )
 
-    def _told(self) -> dict[str, Any]:
+    def _status(self) -> dict[str, Any]:
         now = self._now()
-        decided = self.room.effective_policy(now)
-        ends = self.room.effective_until(now)
-        told: dict[str, Any] = {
+        decided = self.protocol.effective_policy(now)
+        ends = self.protocol.effective_until(now)
+        status: dict[str, Any] = {
             "versions": list(decided.versions),
             "ready": decided.policy is not None,
-            "voters": self.room.voters_now(),
+            "voters": self.protocol.voters_now(),
             "lease_left": round(ends - now, 3) if ends > now and ends < math.inf else None,
-            "policy": admin_documents.rows(decided.policy),
-            "troubles": [error.with_advice() for error in self.room.faults(now)],
+            "policy": admin_documents.policy_fields(decided.policy),
+            "troubles": [error.with_advice() for error in self.protocol.faults(now)],
         }
-        if self._torn is not None:
-            told["troubles"].append(self._torn.with_advice())
-        if self.ticket is not None:
-            told["change"] = {"version": self.ticket.ref.version, "state": self._state(self.ticket)}
-            if self.ticket.error is not None:
-                told["change"]["error"] = self.ticket.error.with_advice()
-        return told
+        if self._record_error is not None:
+            status["troubles"].append(self._record_error.with_advice())
+        if self.latest_proposal is not None:
+            status["change"] = {
+                "version": self.latest_proposal.ref.version,
+                "state": self._proposal_state(self.latest_proposal),
+            }
+            if self.latest_proposal.error is not None:
+                status["change"]["error"] = self.latest_proposal.error.with_advice()
+        return status
 
     @staticmethod
-    def _state(ticket: ProposalHandle) -> str:
-        return "under way" if ticket.is_open else "in force" if ticket.in_force else "refused"
+    def _proposal_state(proposal: ProposalHandle) -> str:
+        return "under way" if proposal.is_open else "in force" if proposal.in_force else "refused"
 
     def propose(self, body: bytes) -> Response:
-        """A policy as TOML: 202 once it is under way, 409 where it can't be now, 400 where it is none.
+        """Propose the policy in a TOML document.
+
+        A list `voters` in the document replaces the current voters. A document with only `version` and
+        `voters` proposes the policy in force unchanged, under that version.
 
-        With `voters` beside it these take the place of those in force; with `version` and `voters` alone the
-        policy in force stays as it is, under that version.
+        Args:
+            body: The document.
+
+        Returns:
+            202 if the proposal has started, 409 if none can be made now, 400 if the document is invalid.
         """
         now = self._now()
         try:
-            policy, voters = admin_documents.read(body, lambda: self.room.policy_in_force(now))
-            self.ticket = self.room.propose(now, policy, voters=voters)
+            policy, voters = admin_documents.parse_proposal(
+                body, lambda: self.protocol.policy_in_force(now)
+            )
+            self.latest_proposal = self.protocol.propose(now, policy, voters=voters)
         except RejectedError as e:
-            return admin_documents.line(409, e.with_advice())
+            return admin_documents.text_response(409, e.with_advice())
         except InputError as e:
-            return admin_documents.line(400, e.with_advice())
-        self._go_on()
-        return admin_documents.line(202, f"version {self.ticket.ref.version} is under way: ask for its state")
+            return admin_documents.text_response(400, e.with_advice())
+        self._flush()
+        return admin_documents.text_response(
+            202, f"version {self.latest_proposal.ref.version} is under way: ask for its state"
+        )
 
-    def found(self, body: bytes) -> Response:
-        """By hand, the first time or where the voters' memory is lost: a policy with `epoch` beside it."""
+    def bootstrap(self, body: bytes) -> Response:
+        """Bootstrap the consensus with the policy in a TOML document that also has an `epoch`.
+
+        Done by an operator, the first time or after the voters have lost their records.
+
+        Args:
+            body: The document.
+
+        Returns:
+            202 if the policy is offered to the voters, 400 if the document is invalid.
+        """
         try:
-            table = admin_documents.table(body)
-            epoch = table.pop("epoch", None)
+            fields = admin_documents.parse_toml(body)
+            epoch = fields.pop("epoch", None)
             if not isinstance(epoch, int) or isinstance(epoch, bool):
-                raise InputError("must be a whole number that was never used before", "epoch")
-            self.room.bootstrap(self._now(), epoch, p.read(table))
+                raise InputError("must be an integer that was never used before", "epoch")
+            self.protocol.bootstrap(self._now(), epoch, p.read(fields))
         except InputError as e:
-            return admin_documents.line(400, e.with_advice())
-        self._go_on()
-        return admin_documents.line(202, f"epoch {epoch} is offered to the voters")
+            return admin_documents.text_response(400, e.with_advice())
+        self._flush()
+        return admin_documents.text_response(202, f"epoch {epoch} is offered to the voters")
--- a/ironrail/net/peers/readers.py
+++ b/ironrail/net/peers/readers.py
@@ -54,7 +54,7 @@
 
     def __init__(
         self,
-        here: NodeIdentity,
+        identity: NodeIdentity,
         operator: OperatorSettings,
         settings: Settings,
         policies: Policies | None,
@@ -62,22 +62,22 @@
     ) -> None:
         """`cut`: whether a hall is cut off, where a map tells."""
         assert operator.peers is not None
-        self._system, self._policies = here.system, policies
-        self._settings, self._peers, self._halls_of = settings, operator.peers, here.halls
+        self._system, self._policies = identity.system, policies
+        self._settings, self._peers, self._halls_of = settings, operator.peers, identity.zones
         self._cut = cut or (lambda hall: False)
-        names, hall_of = here.numbered()
-        now, classes = here.system.now(), tuple(settings.classes)
+        names, hall_of = identity.zone_indices()
+        now, classes = identity.system.now(), tuple(settings.classes)
         self.regions = Regions(operator.regions)
-        self.room = RegionsRoom(now, here.me, here.start, self.regions, names, hall_of, classes, here.draws)
-        self._evidence = Evidence(here.system, self.regions, self.room, settings)
+        self.protocol = RegionsRoom(now, identity.own_index, identity.incarnation, self.regions, names, hall_of, classes, identity.rng)
+        self._evidence = Evidence(identity.system, self.regions, self.protocol, settings)
         self._worth = Worth({name: known.priority_weight for name, known in settings.classes.items()})
-        self._list, self._carrier = Servers(), Carrier(here.halls[here.me], now)
+        self._list, self._carrier = Servers(), Carrier(identity.zones[identity.own_index], now)
         self._turn: Turn | None = None
         voters = sorted(operator.peers.voters)
-        if operator.peers.steering_interval and here.me in voters:
+        if operator.peers.steering_interval and identity.own_index in voters:
             every = operator.peers.steering_interval
-            self._turn = Turn(now, voters.index(here.me), len(voters), every)
-            self.room.past = Past(DWELLS * every)
+            self._turn = Turn(now, voters.index(identity.own_index), len(voters), every)
+            self.protocol.past = Past(DWELLS * every)
         self._versions: tuple[int, ...] = ()  # in force, as last looked at
         self._rows: Rows = {}
         self._since = now
@@ -101,7 +101,7 @@
         if self._timer is not None:
             self._timer.cancel()
 
-    def settled(self) -> None:
+    def publish_changes(self) -> None:
         """After each event: nothing that could not wait for the next tick."""
 
     def servers(self, news: EndpointListUpdate) -> None:
@@ -140,16 +140,16 @@
         for connection in list(self._leaving):  # by rows that are not in force any more
             self._stays(connection)
         if len(decided.versions) == 1:
-            self.room.in_force(now, self._rows)
+            self.protocol.in_force(now, self._rows)
         if self._turn is not None:
             self._turn.changed(now)
 
     def _known(self, now: float) -> tuple[Cells, dict[str, Hall]]:
         if now - self._cells_at >= CELLS_FOR + EACH_CELL * len(self._cells):
-            self._cells, self._cells_at = self.room.cells(now), now
+            self._cells, self._cells_at = self.protocol.cells(now), now
         policy = self._policies.in_force().policy if self._policies is not None else None
         emptied = policy.emptied if policy is not None else ()
-        silent = STALE * self.room.table.renewal
+        silent = STALE * self.protocol.table.renewal
         return self._cells, halls_now(
             now,
             self._halls_of,
@@ -213,12 +213,12 @@
             return
         # what was measured at a hall holds its ways to caches already
         links = dict.fromkeys(halls, 0.0)
-        self.proposal = found = self.room.propose(now, policy.steering, halls, links, self._worth, bounds)
+        self.proposal = found = self.protocol.propose(now, policy.steering, halls, links, self._worth, bounds)
         self._refused = None
         if found.rows is None:
             return
         try:
-            ticket = self._policies.steer(found.rows)
+            ticket = self._policies.propose_steering(found.rows)
         except (RejectedError, InputError) as e:
             self._refused = e
             log.info("steering_refused", extra={"error": e.with_advice()})
--- a/ironrail/net/peers/record_store.py
+++ b/ironrail/net/peers/record_store.py
@@ -1,4 +1,4 @@
-"""What outlives a router's process: small records in a folder, each kept whole and synced, or not at all."""
+"""Persistent storage of small records: each is written and synced as a whole, or not at all."""
 
 from __future__ import annotations
 
@@ -14,100 +14,130 @@
 from ironrail.errors import InputError
 
 MAGIC = b"ironrail-record-1\n"
-MOST_RECORD = 64 * 1024  # bytes: a voter's record is a document and a few numbers
+MAX_RECORD_BYTES = 64 * 1024  # a voter's record is a policy document and a few numbers
 
 
 class RecordError(InputError):
-    """A record that was kept and can't be read: torn, foreign, or of another version."""
+    """A stored record that can't be read: truncated, corrupt, foreign, or of another version."""
 
     advice = "move the file away and start again: a voter without a record asks the others where things stand"
 
 
-class Store(Protocol):
-    """Where records are kept."""
+class RecordStore(Protocol):
+    """Stores one record per name."""
 
     def write(self, name: str, data: bytes) -> None:
-        """Keep it, synced to the disk, in place of the one before; OSError where that can't be done."""
+        """Replace the record and sync it to disk.
+
+        Raises:
+            OSError: The record could not be written.
+        """
 
     def read(self, name: str) -> bytes | None:
-        """What was kept last, None if nothing was; OSError, or RecordError where it can't be used."""
+        """Return the record last written, None if there is none.
+
+        Raises:
+            OSError: The record could not be read.
+            RecordError: The record is corrupt.
+        """
 
 
 class FolderStore:
-    """Records as files. One is replaced by a rename, so that a crash leaves the old one or the new one."""
+    """Stores records as files.
+
+    A record is replaced by a rename, so that a crash leaves either the old one or the new one.
+    """
 
     def __init__(self, folder: Path) -> None:
         self._folder = folder
 
     def write(self, name: str, data: bytes) -> None:
-        """As `Store.write`. The sum in front of the data shows what a disk tore all the same."""
-        half = self._folder / f"{name}.half"
+        """Implement `RecordStore.write`.
+
+        The checksum before the data detects a file that the disk truncated or corrupted all the same.
+        """
+        temporary = self._folder / f"{name}.half"
         try:
-            with half.open("wb") as file:
+            with temporary.open("wb") as file:
                 file.write(MAGIC + zlib.crc32(data).to_bytes(4, "big") + data)
                 file.flush()
                 os.fsync(file.fileno())
-            half.replace(self._folder / name)
+            temporary.replace(self._folder / name)
         except OSError:
             with contextlib.suppress(OSError):
-                half.unlink()
+                temporary.unlink()
             raise
         folder = os.open(self._folder, os.O_RDONLY)
         try:
-            os.fsync(folder)  # the rename itself
+            os.fsync(folder)  # persists the rename itself
         finally:
             os.close(folder)
 
     def read(self, name: str) -> bytes | None:
-        """As `Store.read`."""
+        """Implement `RecordStore.read`."""
         path = self._folder / name
         try:
             with path.open("rb") as file:
-                kept = file.read(MOST_RECORD + 1)
+                content = file.read(MAX_RECORD_BYTES + 1)
         except FileNotFoundError:
             return None
-        data = kept[len(MAGIC) + 4 :]
-        if len(kept) > MOST_RECORD or not kept.startswith(MAGIC):
-            raise RecordError("is no record of this version", str(path))
-        if zlib.crc32(data).to_bytes(4, "big") != kept[len(MAGIC) : len(MAGIC) + 4]:
-            raise RecordError("was torn", str(path))
+        data = content[len(MAGIC) + 4 :]
+        if len(content) > MAX_RECORD_BYTES or not content.startswith(MAGIC):
+            raise RecordError("is not a record of this version", str(path))
+        if zlib.crc32(data).to_bytes(4, "big") != content[len(MAGIC) : len(MAGIC) + 4]:
+            raise RecordError("is truncated or corrupt", str(path))
         return data
 
 
-class Keeper:
-    """Keeps one record after another off the loop, as a disk may take seconds."""
+class RecordWriter:
+    """Writes one record after another in a thread, as a disk may block for seconds."""
+
+    def __init__(
+        self,
+        store: RecordStore,
+        name: str,
+        on_written: Callable[[int, OSError | None], None],
+    ) -> None:
+        """Start the thread; call from a running event loop.
 
-    def __init__(self, store: Store, name: str, done: Callable[[int, OSError | None], None]) -> None:
-        """`done`: is told, on the loop, of each token whether its record was kept."""
-        self._store, self._name, self._done = store, name, done
+        Args:
+            store: Where records are written.
+            name: The record's name.
+            on_written: Called on the event loop with the token of a record and the error, if any.
+        """
+        self._store, self._name, self._on_written = store, name, on_written
         self._loop = asyncio.get_running_loop()
-        self._writer = ThreadPoolExecutor(1, "keeper")
+        self._executor = ThreadPoolExecutor(1, "keeper")
         self._busy = False
         self._next: tuple[int, bytes] | None = None  # waits until another one is written
 
-    def keep(self, token: int, record: bytes) -> None:
-        """In order, one at a time. Of those that wait only the last is written: it stands for them all."""
+    def enqueue(self, token: int, record: bytes) -> None:
+        """Write a record, one at a time and in order.
+
+        Of the records that wait only the last is written, as it supersedes the others.
+        """
         if self._busy:
             self._next = token, record
         else:
             self._busy = True
-            self._writer.submit(self._write, token, record)
+            self._executor.submit(self._write, token, record)
 
-    def _written(self, token: int, failed: OSError | None) -> None:
+    def _complete(self, token: int, error: OSError | None) -> None:
         self._busy = False
         if self._next is not None:
-            waited, self._next = self._next, None
-            self.keep(*waited)
-        self._done(token, failed)
+            waiting, self._next = self._next, None
+            self.enqueue(*waiting)
+        self._on_written(token, error)
 
     def _write(self, token: int, record: bytes) -> None:
-        failed: OSError | None = None
+        error: OSError | None = None
         try:
             self._store.write(self._name, record)
         except OSError as e:
-            failed = e
+            error = e
         with contextlib.suppress(RuntimeError):  # the loop has ended
-            self._loop.call_soon_threadsafe(self._written, token, failed)
+            self._loop.call_soon_threadsafe(self._complete, token, error)
 
     def stop(self) -> None:
-        self._writer.shutdown(wait=False, cancel_futures=True)
+        """Stop the thread; records that wait are not written."""
+        self._executor.shutdown(wait=False, cancel_futures=True)
--- a/ironrail/net/peers/runtime.py
+++ b/ironrail/net/peers/runtime.py
@@ -1,4 +1,7 @@
-"""All that a router does with other routers. Loaded only where the operator's file has `[peers]`."""
+"""Assembles everything that a router does with its peers.
+
+Imported only if the operator's file has a `[peers]` table.
+"""
 
 from __future__ import annotations
 
@@ -13,9 +16,9 @@
 from ironrail.admin.http_call import Handler, PostHandler, Response
 from ironrail.net.config import Config, ConfigError
 from ironrail.net.peers.node_identity import NodeIdentity
-from ironrail.net.peers.policies import Place, Policies
-from ironrail.net.peers.record_store import FolderStore, Store
-from ironrail.net.peers.transport import Peering, read_tier, start_of
+from ironrail.net.peers.policies import Policies, ProcessIdentity
+from ironrail.net.peers.record_store import FolderStore, RecordStore
+from ironrail.net.peers.transport import PeerTransport, draw_incarnation, read_peer_table
 from ironrail.net.system import System
 from ironrail.net.upstream.connection import LinkObserver
 from ironrail.operator_file import OperatorError, OperatorSettings
@@ -30,153 +33,213 @@
 
 
 class PeerComponent(Protocol):
-    """Something a router does with others, besides accords: drives a room of its own."""
+    """A part of the peer runtime that drives a protocol of its own, other than consensus."""
 
     @property
-    def room(self) -> PeerProtocol:
-        """What it drives."""
+    def protocol(self) -> PeerProtocol:
+        """The protocol that this component drives."""
 
-    def settled(self) -> None:
-        """Called after each event at the peers' end: hand over what the room has for whoever decides."""
+    def publish_changes(self) -> None:
+        """Pass changes of the protocol's state to the decision module; called after each peer event."""
 
     def pages(self) -> dict[str, Handler]:
-        """For the operators' door."""
+        """Return handlers for the admin endpoint, by path."""
 
     def close(self) -> None:
-        """Let go of timers."""
+        """Cancel timers."""
 
 
 class PeerRuntime:
-    """One router among the others."""
+    """Runs the peer protocols of one router.
+
+    Attributes:
+        transport: Carries the messages of all protocols.
+        policies: The consensus on policies; None if the operator's file names no voters.
+        components: The other protocols that are enabled.
+        zone_latency: The zone latency map, None if disabled.
+        steering: The steering of clients between zones, None without regions.
+    """
 
     def __init__(
         self,
         config: Config,
         operator: OperatorSettings,
         system: System,
-        guide: Callable[[PolicyOverridesChanged | ZoneLinksChanged], None],
-        store: Store | None = None,
+        publish: Callable[[PolicyOverridesChanged | ZoneLinksChanged], None],
+        store: RecordStore | None = None,
     ) -> None:
-        """`guide`: takes what is decided by. `store`: in place of the folder that the file names."""
+        """Create the protocols that the operator's file enables.
+
+        Args:
+            config: The platform's configuration.
+            operator: The operator's settings; must have peers.
+            system: Clocks and sockets.
+            publish: Receives events for the decision module.
+            store: Replaces the record folder of the operator's file.
+
+        Raises:
+            OperatorError: The operator's file does not match the number of peers, or its record
+                folder does not exist.
+            ConfigError: The platform's configuration has no valid list of peers.
+        """
         peers = operator.peers
         assert peers is not None
-        me, tier = config.settings.router_index, read_tier(config.peer_table)
-        if len(tier.peers) != len(peers.zones):
+        own_index, table = config.settings.router_index, read_peer_table(config.peer_table)
+        if len(table.peers) != len(peers.zones):
             raise OperatorError(
-                f"{len(peers.zones)} halls are named, one for each router, and there are {len(tier.peers)}",
+                f"{len(peers.zones)} halls are listed, one for each router,"
+                f" but the number of routers is {len(table.peers)}",
                 "peers.halls",
             )
-        if not me < len(tier.peers):
-            raise ConfigError(f"settings.me is {me}, and there are {len(tier.peers)} peers", "peers")
-        start = start_of(system)
-        self.peering = Peering(me, tier, peers, start, system, self._settled)
+        if not own_index < len(table.peers):
+            raise ConfigError(
+                f"settings.me is {own_index}, but there are only {len(table.peers)} peers", "peers"
+            )
+        incarnation = draw_incarnation(system)
+        self.transport = PeerTransport(
+            own_index, table, peers, incarnation, system, self._publish_changes
+        )
         self.policies: Policies | None = None
         if peers.voters:
-            place = Place(me, start, system.now(), config.seed)
-            keeps = store
+            process = ProcessIdentity(own_index, incarnation, system.now(), config.seed)
+            record_store = store
             if (
-                keeps is None
+                record_store is None
                 and peers.record_folder
-                and (me in peers.voters or is_folder(peers.record_folder, me))
+                and (
+                    own_index in peers.voters or has_record_folder(peers.record_folder, own_index)
+                )
             ):
-                keeps = FolderStore(
-                    folder_of(peers.record_folder, me)
-                )  # of others too: they may be named later
+                # also for a router that is not a voter: it may become one later
+                record_store = FolderStore(resolve_record_folder(peers.record_folder, own_index))
             self.policies = Policies(
-                place, config.settings, peers, keeps, guide, system.now, self._go_on, tuple(operator.regions)
+                process,
+                config.settings,
+                peers,
+                record_store,
+                publish,
+                system.now,
+                self._flush,
+                tuple(operator.regions),
             )
-            self.peering.add(self.policies.room)
-        self.parts: list[PeerComponent] = []
-        self.readers: Readers | None = None
-        here = NodeIdentity(me, start, system, peers.zones, random.Random(config.seed))
-        self.halls: HallsMap | None = None
-        cut = None  # whether a hall is cut off from others, as far as the map tells
+            self.transport.register(self.policies.protocol)
+        self.components: list[PeerComponent] = []
+        self.steering: Readers | None = None
+        identity = NodeIdentity(
+            own_index, incarnation, system, peers.zones, random.Random(config.seed)
+        )
+        self.zone_latency: HallsMap | None = None
+        is_cut_off = None  # whether a zone is cut off from others, according to the latency map
         if peers.zone_latency_map:
-            from ironrail.net.peers.zone_latency import HallsMap  # noqa: PLC0415 - only where it is wanted
+            # imported late: saves memory where it is disabled
+            from ironrail.net.peers.zone_latency import HallsMap  # noqa: PLC0415
 
-            self.halls = HallsMap(here, guide)
-            self.parts.append(self.halls)
-            cut = partial(cut_off, self.halls.estimate, here.numbered()[0], system.now)
+            self.zone_latency = HallsMap(identity, publish)
+            self.components.append(self.zone_latency)
+            is_cut_off = partial(
+                cut_off, self.zone_latency.estimate, identity.zone_indices()[0], system.now
+            )
         if operator.regions:
-            from ironrail.net.peers.readers import Readers  # noqa: PLC0415 - only where they are wanted
-
-            self.readers = Readers(here, operator, config.settings, self.policies, cut)
-            self.parts.append(self.readers)
-        for part in self.parts:
-            self.peering.add(part.room)
-        # of voters only by those who speak with them: they answer 25 a second
-        self._meet = self.policies.room.path.sources(system.now()) if self.policies is not None else ()
+            from ironrail.net.peers.readers import Readers  # noqa: PLC0415 - as above
 
-    def serve(self, clients: ClientListener) -> None:
-        """Those whose requests come here."""
-        if self.readers is not None:
-            self.readers.serve(clients)
-
-    def servers(self, news: EndpointListUpdate) -> None:
-        """Discovery has told something of the list of servers."""
-        if self.readers is not None:
-            self.readers.servers(news)
+            self.steering = Readers(
+                identity, operator, config.settings, self.policies, is_cut_off
+            )
+            self.components.append(self.steering)
+        for component in self.components:
+            self.transport.register(component.protocol)
+        # Only routers that talk to voters start handshakes with them: a voter answers 25 a second.
+        self._handshake_peers = (
+            self.policies.protocol.path.sources(system.now()) if self.policies is not None else ()
+        )
+
+    def attach_listener(self, clients: ClientListener) -> None:
+        """Let the steering see and migrate the connections of this listener."""
+        if self.steering is not None:
+            self.steering.serve(clients)
+
+    def on_endpoint_update(self, update: EndpointListUpdate) -> None:
+        """Handle an update of the endpoint list."""
+        if self.steering is not None:
+            self.steering.servers(update)
 
     async def open(self) -> None:
-        """Listen to the others; OSError where that can't be done."""
-        await self.peering.open(self._meet)
-        self._settled()
+        """Listen for datagrams of peers.
+
+        Raises:
+            OSError: The address can't be bound.
+        """
+        await self.transport.open(self._handshake_peers)
+        self._publish_changes()
 
     def close(self) -> None:
-        self.peering.close()
-        for part in self.parts:
-            part.close()
+        """Close the socket and stop all components."""
+        self.transport.close()
+        for component in self.components:
+            component.close()
         if self.policies is not None:
             self.policies.stop()
 
-    def ready(self) -> bool:
-        """Whether clients may come, as far as the others are concerned."""
-        return self.policies is None or self.policies.ready()
+    def is_ready(self) -> bool:
+        """Return whether the peer protocols allow this router to accept clients."""
+        return self.policies is None or self.policies.is_ready()
 
-    def watch(self, zone: str) -> LinkObserver | None:
-        """Who is to be told of connections to servers there, if anybody."""
-        return self.halls.watch(zone) if self.halls is not None else None
+    def link_observer(self, zone: str) -> LinkObserver | None:
+        """Return the observer of connections to servers in the zone, if there is one."""
+        return self.zone_latency.watch(zone) if self.zone_latency is not None else None
 
-    def check(self, now: float) -> None:
-        """Before each decision."""
+    def before_decision(self, now: float) -> None:
+        """Make sure that the policy is still effective; called before each decision."""
         if self.policies is not None:
-            self.policies.check(now)
+            self.policies.refresh_if_expired(now)
 
     def pages(self) -> dict[str, Handler]:
-        """For the operators' door."""
-        pages: dict[str, Handler] = {"/-/peers": self._figures}
+        """Return handlers of GET requests to the admin endpoint, by path."""
+        pages: dict[str, Handler] = {"/-/peers": self._counters_page}
         if self.policies is not None:
             pages["/-/policy"] = self.policies.page
-        for part in self.parts:
-            pages |= part.pages()
+        for component in self.components:
+            pages |= component.pages()
         return pages
 
     def posts(self) -> dict[str, PostHandler]:
+        """Return handlers of POST requests to the admin endpoint, by path."""
         if self.policies is None:
             return {}
-        return {"/-/policy": self.policies.propose, "/-/policy/found": self.policies.found}
+        return {"/-/policy": self.policies.propose, "/-/policy/found": self.policies.bootstrap}
 
-    def _figures(self) -> Response:
-        return Response(200, orjson.dumps(self.peering.figures(), option=orjson.OPT_INDENT_2) + b"\n")
+    def _counters_page(self) -> Response:
+        return Response(
+            200, orjson.dumps(self.transport.counters(), option=orjson.OPT_INDENT_2) + b"\n"
+        )
 
-    def _settled(self) -> None:
+    def _publish_changes(self) -> None:
         if self.policies is not None:
             self.policies.refresh()
-        for part in self.parts:
-            part.settled()
+        for component in self.components:
+            component.publish_changes()
+
+    def _flush(self) -> None:
+        self.transport.flush()
+
 
-    def _go_on(self) -> None:
-        self.peering.go_on()
+def has_record_folder(path: str, own_index: int) -> bool:
+    """Return whether the record folder of the router with this index exists.
 
+    Args:
+        path: The setting; `{index}` stands for the router's index.
+        own_index: The router's index.
+    """
+    return Path(path.replace("{index}", str(own_index))).is_dir()
 
-def is_folder(path: str, me: int) -> bool:
-    """Whether a router of this number could keep a record."""
-    return Path(path.replace("{index}", str(me))).is_dir()
 
+def resolve_record_folder(path: str, own_index: int) -> Path:
+    """Return the record folder of the router with this index.
 
-def folder_of(path: str, me: int) -> Path:
-    """Where a voter of this number keeps its record; OperatorError if there is no such folder."""
-    folder = Path(path.replace("{index}", str(me)))
-    if not is_folder(path, me):
-        raise OperatorError("is no folder", str(folder))
+    Raises:
+        OperatorError: The folder does not exist.
+    """
+    folder = Path(path.replace("{index}", str(own_index)))
+    if not has_record_folder(path, own_index):
+        raise OperatorError("is not an existing folder", str(folder))
     return folder
--- a/ironrail/net/peers/transport.py
+++ b/ironrail/net/peers/transport.py
@@ -1,4 +1,4 @@
-"""Datagrams between routers: carries what the rooms of `ironrail/peers/` say and hear; decides nothing."""
+"""UDP transport between routers: carries the messages of the protocols in `ironrail/peers/`."""
 
 from __future__ import annotations
 
@@ -13,171 +13,239 @@
 from ironrail.net.config import ConfigError, address_of
 from ironrail.net.system import Address, System
 from ironrail.operator_file import PeerSettings
-from ironrail.peers.messages import ALL, Outgoing, PeerProtocol, Timestamped, Topic
+from ironrail.peers.messages import ALL_PEERS, Outgoing, PeerProtocol, Timestamped, Topic
 from ironrail.peers.transport.keys import Keys
 from ironrail.peers.transport.outbox import Outbox
 from ironrail.peers.transport.wire import Wire
 
 log = logging.getLogger(__name__)
 
-LEAST_WAIT = 0.002  # seconds between two looks at what is due: rooms wake often, and a timer costs 20 us
-MOST_SECOND = 4000  # datagrams a second that are looked at: 1% of a core for noise, 1.3% for the rest
-START_BITS = 7  # drawn, below the milliseconds of a start
+MIN_TIMER_SECONDS = 0.002  # protocols have frequent timers, and arming one costs 20 us of CPU
+# Received datagrams that are processed: 1% of a core if all are invalid, 1.3% if all are valid.
+MAX_DATAGRAMS_PER_SECOND = 4000
+INCARNATION_RANDOM_BITS = 7  # below the milliseconds in an incarnation
 
 
 @dataclass(frozen=True, slots=True)
-class Tier:
-    """The addresses of all routers, as the platform tells them."""
+class PeerTable:
+    """The addresses of all routers, from the platform's configuration.
+
+    Attributes:
+        listen: The address this router binds.
+        peers: The address of each router, by router index, including this one.
+        broadcast: An address that reaches all routers with one datagram; None without one.
+    """
 
     listen: Address
-    peers: tuple[Address, ...]  # by number; our own among them
-    everybody: Address | None  # one datagram to it reaches all
+    peers: tuple[Address, ...]
+    broadcast: Address | None
 
 
-def read_tier(table: dict[str, Any]) -> Tier:
-    """What a configuration says of peers; ConfigError where it says nothing of use."""
+def read_peer_table(table: dict[str, Any]) -> PeerTable:
+    """Read the addresses from the platform's configuration.
+
+    Raises:
+        ConfigError: A field is missing or invalid.
+    """
     peers = table.get("peers")
     if not isinstance(peers, list) or not len(peers) >= 2:
         raise ConfigError("must be a list of addresses, one for each router", "peers")
-    everybody = table.get("peers_all")
-    return Tier(
+    broadcast = table.get("peers_all")
+    return PeerTable(
         address_of("peer_listen", table.get("peer_listen")),
         tuple(address_of(f"peers[{n}]", peer) for n, peer in enumerate(peers)),
-        address_of("peers_all", everybody) if everybody is not None else None,
+        address_of("peers_all", broadcast) if broadcast is not None else None,
     )
 
 
-def start_of(system: System) -> int:
-    """A number for this process above those of the ones before it, as far as the wall clock goes forward.
+def draw_incarnation(system: System) -> int:
+    """Return an identifier for this process, above those of earlier ones unless the wall clock steps back.
 
-    It only orders a router's own lives; that a life is the present one is proven on the wire.
+    It only distinguishes the incarnations of a router; a handshake proves which one is alive.
     """
-    drawn = int.from_bytes(os.urandom(1), "big") >> (8 - START_BITS)
-    return ((int(system.wall() * 1000) << START_BITS) | drawn) % (1 << 48) or 1
+    drawn = int.from_bytes(os.urandom(1), "big") >> (8 - INCARNATION_RANDOM_BITS)
+    return ((int(system.wall() * 1000) << INCARNATION_RANDOM_BITS) | drawn) % (1 << 48) or 1
 
 
-class Peering(asyncio.DatagramProtocol):
-    """One router's end of all that is said between routers."""
+class PeerTransport(asyncio.DatagramProtocol):
+    """Sends and receives the datagrams of all peer protocols of one router.
+
+    Attributes:
+        wire: Authenticates and fragments messages.
+        unread: Datagrams dropped beyond `MAX_DATAGRAMS_PER_SECOND`.
+        unsent: Datagrams that the operating system did not accept.
+    """
 
     def __init__(
-        self, me: int, tier: Tier, conf: PeerSettings, start: int, system: System, settled: Callable[[], None]
+        self,
+        own_index: int,
+        table: PeerTable,
+        conf: PeerSettings,
+        incarnation: int,
+        system: System,
+        after_event: Callable[[], None],
     ) -> None:
-        """`settled`: is told after each event, when rooms may know something new."""
-        self._system, self._tier, self._settled = system, tier, settled
-        self._numbers = {address: number for number, address in enumerate(tier.peers)}
+        """Create the transport; call from a running event loop.
+
+        Args:
+            own_index: This router's index.
+            table: The addresses of all routers.
+            conf: The operator's settings on peers.
+            incarnation: Identifier of this process.
+            system: Clocks and sockets.
+            after_event: Called after each event, when the state of a protocol may have changed.
+        """
+        self._system, self._table, self._after_event = system, table, after_event
+        self._indices = {address: index for index, address in enumerate(table.peers)}
         self.wire = Wire(
-            me, start, Keys(conf.sending_key_id, conf.load_secrets()), len(tier.peers), os.urandom
+            own_index,
+            incarnation,
+            Keys(conf.sending_key_id, conf.load_secrets()),
+            len(table.peers),
+            os.urandom,
         )
         self._outbox = Outbox(
-            self._seal, len(tier.peers) - 1, float(conf.max_bytes_per_second), now=system.now()
+            self._seal, len(table.peers) - 1, float(conf.max_bytes_per_second), now=system.now()
         )
-        self._rooms: dict[Topic, PeerProtocol] = {}
-        self._stamps: dict[
-            Topic, Callable[[float, Outgoing], Outgoing]
-        ] = {}  # what is put in as a message goes
+        self._protocols: dict[Topic, PeerProtocol] = {}
+        # fill in the time of sending as a message leaves the send queue
+        self._timestampers: dict[Topic, Callable[[float, Outgoing], Outgoing]] = {}
         self._loop = asyncio.get_running_loop()
         self._timer: asyncio.TimerHandle | None = None
         self._transport: asyncio.DatagramTransport | None = None
-        self._allowed, self._allowed_at = float(MOST_SECOND), system.now()
-        self.unread = 0  # datagrams beyond what is looked at
-        self.unsent = 0  # that the system did not take
-
-    def add(self, room: PeerProtocol) -> None:
-        self._rooms[room.topic] = room
-        if isinstance(room, Timestamped):
-            self._stamps[room.topic] = room.with_timestamp
-
-    async def open(self, meet: Sequence[int] = ()) -> None:
-        """Listen; `meet`: routers whose present life is to be asked for before anything of it is needed."""
-        await self._loop.create_datagram_endpoint(lambda: self, local_addr=self._tier.listen)
-        for number in meet:
-            self.wire.meet(self._system.now(), number)
-        self.wake()
+        self._allowed, self._allowed_at = float(MAX_DATAGRAMS_PER_SECOND), system.now()
+        self.unread = 0
+        self.unsent = 0
+
+    def register(self, protocol: PeerProtocol) -> None:
+        """Carry the messages of this protocol; one for each topic."""
+        self._protocols[protocol.topic] = protocol
+        if isinstance(protocol, Timestamped):
+            self._timestampers[protocol.topic] = protocol.with_timestamp
+
+    async def open(self, handshake_peers: Sequence[int] = ()) -> None:
+        """Listen for datagrams.
+
+        Args:
+            handshake_peers: Routers to start a handshake with now, so that their messages can be
+                accepted from the first one on.
+
+        Raises:
+            OSError: The address can't be bound.
+        """
+        await self._loop.create_datagram_endpoint(lambda: self, local_addr=self._table.listen)
+        for peer_index in handshake_peers:
+            self.wire.meet(self._system.now(), peer_index)
+        self.run_timers()
 
     def close(self) -> None:
+        """Cancel the timer and close the socket."""
         if self._timer is not None:
             self._timer.cancel()
         if self._transport is not None:
             self._transport.close()
 
-    # What the loop tells
+    # Callbacks of the event loop
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Keep the socket's transport."""
         self._transport = cast(asyncio.DatagramTransport, transport)
 
     def datagram_received(self, data: bytes, addr: Any) -> None:
+        """Pass the message in a datagram to its protocol."""
         now = self._system.now()
-        self._allowed = min(float(MOST_SECOND), self._allowed + (now - self._allowed_at) * MOST_SECOND)
+        self._allowed = min(
+            float(MAX_DATAGRAMS_PER_SECOND),
+            self._allowed + (now - self._allowed_at) * MAX_DATAGRAMS_PER_SECOND,
+        )
         self._allowed_at = now
-        if self._allowed < 1.0:  # guards the CPU against a flood: what is good in it is said again
+        # Protects the CPU against a flood; peers repeat messages that are dropped here.
+        if self._allowed < 1.0:
             self.unread += 1
             return
         self._allowed -= 1.0
-        for topic, heard in self.wire.open(now, self._numbers.get((addr[0], addr[1])), data):
-            if (room := self._rooms.get(topic)) is not None:
-                room.on_message(now, heard)
-        self.go_on()
+        for topic, received in self.wire.open(now, self._indices.get((addr[0], addr[1])), data):
+            if (protocol := self._protocols.get(topic)) is not None:
+                protocol.on_message(now, received)
+        self.flush()
 
     def error_received(self, exc: Exception) -> None:
-        """A peer's machine has nobody there: it will be said again."""
+        """Ignore an ICMP error, as from a peer that is down: the protocols repeat their messages."""
 
-    # What is due
+    # Timers and sending
 
-    def wake(self) -> None:
-        """Time has passed, or something was asked of a room."""
+    def run_timers(self) -> None:
+        """Call the protocols whose timer is due, and send their messages."""
         self._timer = None
         now = self._system.now()
-        for room in self._rooms.values():
-            if room.next_timer_at() <= now:
-                room.on_timer(now)
-        self.go_on()
+        for protocol in self._protocols.values():
+            if protocol.next_timer_at() <= now:
+                protocol.on_timer(now)
+        self.flush()
 
-    def go_on(self) -> None:
-        """Send what is said, and be called again when the next is due."""
+    def flush(self) -> None:
+        """Send what the rate limit admits of the protocols' messages, and arm the next timer."""
         now = self._system.now()
-        for say in [
+        for outgoing in [
             *self.wire.say(now),
-            *(say for room in self._rooms.values() for say in room.take_outgoing()),
+            *(
+                outgoing
+                for protocol in self._protocols.values()
+                for outgoing in protocol.take_outgoing()
+            ),
         ]:
-            self._outbox.put(now, say)
+            self._outbox.put(now, outgoing)
         for to, datagram in self._outbox.take(now):
             self._send(to, datagram)
         due = min(
-            [self.wire.wake_at(), self._outbox.wake_at(), *(r.next_timer_at() for r in self._rooms.values())]
+            [
+                self.wire.wake_at(),
+                self._outbox.wake_at(),
+                *(protocol.next_timer_at() for protocol in self._protocols.values()),
+            ]
         )
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
         if due < float("inf"):
-            self._timer = self._loop.call_later(max(LEAST_WAIT, due - now), self.wake)
-        self._settled()
+            self._timer = self._loop.call_later(max(MIN_TIMER_SECONDS, due - now), self.run_timers)
+        self._after_event()
 
-    def say(self, say: Outgoing) -> None:
-        self._outbox.put(self._system.now(), say)
+    def enqueue(self, outgoing: Outgoing) -> None:
+        """Queue a message; it is sent by the next `flush`."""
+        self._outbox.put(self._system.now(), outgoing)
 
-    def _seal(self, say: Outgoing) -> list[tuple[int, bytes]]:
-        stamp = self._stamps.get(say.topic)
-        return self.wire.seal(say if stamp is None else stamp(self._system.now(), say))
+    def _seal(self, outgoing: Outgoing) -> list[tuple[int, bytes]]:
+        timestamp = self._timestampers.get(outgoing.topic)
+        return self.wire.seal(
+            outgoing if timestamp is None else timestamp(self._system.now(), outgoing)
+        )
 
     def _send(self, to: int, datagram: bytes) -> None:
         if self._transport is None or self._transport.is_closing():
             return
-        everybody = self._tier.everybody
-        me = self.wire.me
-        if to != ALL:
-            targets: Sequence[Address] = (self._tier.peers[to],)
-        elif everybody is not None:
-            targets = (everybody,)
+        broadcast = self._table.broadcast
+        own_index = self.wire.me
+        if to != ALL_PEERS:
+            targets: Sequence[Address] = (self._table.peers[to],)
+        elif broadcast is not None:
+            targets = (broadcast,)
         else:
-            targets = [peer for number, peer in enumerate(self._tier.peers) if number != me]
+            targets = [peer for index, peer in enumerate(self._table.peers) if index != own_index]
         for target in targets:
             with contextlib.suppress(OSError):
                 self._transport.sendto(datagram, target)
                 continue
             self.unsent += 1
 
-    def figures(self) -> dict[str, int]:
-        """Counts since the start."""
-        dropped = {f"dropped_{reason.name.lower()}": count for reason, count in self.wire.dropped().items()}
-        own = {"opened": self.wire.opened, "sent_bytes": self._outbox.sent, "unread": self.unread}
+    def counters(self) -> dict[str, int]:
+        """Return counts of datagrams and bytes since the start of the process."""
+        dropped = {
+            f"dropped_{reason.name.lower()}": count for reason, count in self.wire.dropped().items()
+        }
+        own = {
+            "opened": self.wire.opened,
+            "sent_bytes": self._outbox.sent,
+            "unread": self.unread,
+        }
         return own | {"unsent": self.unsent} | dropped
--- a/ironrail/net/peers/zone_latency.py
+++ b/ironrail/net/peers/zone_latency.py
@@ -51,20 +51,20 @@
 class HallsMap:
     """One router's part in the map."""
 
-    def __init__(self, here: NodeIdentity, tell: Callable[[ZoneLinksChanged], None]) -> None:
+    def __init__(self, identity: NodeIdentity, tell: Callable[[ZoneLinksChanged], None]) -> None:
         """`tell`: takes what is decided by."""
-        self._system, self._tell = here.system, tell
-        self._names, hall_of = here.numbered()
-        self._map = LatencyRoom(here.system.now(), here.me, here.start, self._names, hall_of, here.draws)
-        self.room = Echoing(self._map, hall_of)
+        self._system, self._tell = identity.system, tell
+        self._names, hall_of = identity.zone_indices()
+        self._map = LatencyRoom(identity.system.now(), identity.own_index, identity.incarnation, self._names, hall_of, identity.rng)
+        self.protocol = Echoing(self._map, hall_of)
         self.estimate = self._map.estimate
-        self._seen = HallsSeen(0, self._names[hall_of[here.me]], ())
+        self._seen = HallsSeen(0, self._names[hall_of[identity.own_index]], ())
 
     def watch(self, zone: str) -> Watch | None:
         """Who is to be told of connections there; None for a hall without routers, which no word is on."""
         return Watch(self._map, self._names.index(zone), self._system.now) if zone in self._names else None
 
-    def settled(self) -> None:
+    def publish_changes(self) -> None:
         """After each event."""
         seen = self._map.facts()
         if seen is None:
--- a/ironrail/operator_reader.py
+++ b/ironrail/operator_reader.py
@@ -21,7 +21,7 @@
     OperatorSettings,
     PeerSettings,
 )
-from ironrail.peers.messages import MOST_ROUTERS
+from ironrail.peers.messages import MAX_ROUTERS
 from ironrail.peers.steering.regions import Regions
 
 MAX_FILE_BYTES = 64 * 1024
@@ -62,7 +62,7 @@
 }
 
 Text = Annotated[str, Meta(min_length=1, max_length=4096)]
-RouterIndex = Annotated[int, Meta(ge=0, lt=MOST_ROUTERS)]
+RouterIndex = Annotated[int, Meta(ge=0, lt=MAX_ROUTERS)]
 
 
 class ConnectionsForm(Struct, forbid_unknown_fields=True):
@@ -89,7 +89,7 @@
 
     keys: Annotated[dict[str, Text], Meta(min_length=1, max_length=2)]
     sending: Annotated[int, Meta(ge=0, le=255)]
-    halls: Annotated[tuple[Text, ...], Meta(min_length=2, max_length=MOST_ROUTERS)]
+    halls: Annotated[tuple[Text, ...], Meta(min_length=2, max_length=MAX_ROUTERS)]
     voters: tuple[RouterIndex, ...] | UnsetType = UNSET
     pace: Annotated[int, Meta(ge=100, le=1_000_000)] | UnsetType = UNSET
     lease_ms: Annotated[int, Meta(ge=200, le=600_000)] | UnsetType = UNSET
--- a/ironrail/peers/__init__.py
+++ b/ironrail/peers/__init__.py
@@ -1,6 +1,7 @@
-"""What routers tell one another: the wire, policies in accord, the map of latency.
+"""Protocols between routers: the datagram transport, consensus on policies, zone latency and steering.
 
-Pure: no I/O, no clock, no state beyond the objects; driven by events with their time, answered with what to
-send and when to be asked again. `net/` carries it out. Off unless the operator's file turns it on. Names of
-types that the rooms share stand in `ironrail/peers/messages.py`.
+The code here is pure: no I/O, no clock and no state beyond its objects. A driver in `ironrail/net/peers/`
+passes it events with their time, sends the messages it returns and calls it again when its timer is due.
+Disabled unless the operator's file enables it. `ironrail/peers/messages.py` defines the types that the
+protocols share.
 """
--- a/ironrail/peers/consensus/configuration.py
+++ b/ironrail/peers/consensus/configuration.py
@@ -6,7 +6,7 @@
 
 from ironrail.errors import InputError
 from ironrail.peers.consensus.errors import VotersError
-from ironrail.peers.messages import MOST_ROUTERS
+from ironrail.peers.messages import MAX_ROUTERS
 
 LEASE = 3.0  # seconds: a router that is cut off decides for as long, and a change waits as long for it
 DRIFT = 0.01  # that no clock's rate is off by more: crystals are within 0.0002, a slewed clock within 0.0005
@@ -38,7 +38,7 @@
 
     def __post_init__(self) -> None:
         """Raises InputError, with the field."""
-        if not 0 <= self.router < self.routers <= MOST_ROUTERS:
+        if not 0 <= self.router < self.routers <= MAX_ROUTERS:
             raise InputError("is no router's number", "me")
         check_voters(self.voters, self.routers)
         if not (self.lease_seconds > 0 and 0 <= self.max_clock_drift < 0.5):
--- a/ironrail/peers/consensus/consensus_node.py
+++ b/ironrail/peers/consensus/consensus_node.py
@@ -155,14 +155,14 @@
 
     # the driver's calls
 
-    def on_message(self, now: float, heard: Received) -> None:
+    def on_message(self, now: float, received: Received) -> None:
         """A message; what can't be used is counted and dropped."""
         try:
-            message = m.decode(heard.body)
+            message = m.decode(received.body)
         except (msgspec.MsgspecError, RecursionError):  # the latter of a thousand arrays in one another
             self.unusable += 1
             return
-        self._take(now, heard.sender, heard.start, message)
+        self._take(now, received.sender, received.incarnation, message)
         self._settle(now)
 
     def on_timer(self, now: float) -> None:
--- a/ironrail/peers/consensus/policy.py
+++ b/ironrail/peers/consensus/policy.py
@@ -14,7 +14,7 @@
 import msgspec
 
 from ironrail.peers.consensus.errors import PolicyError
-from ironrail.peers.messages import MOST_HALLS
+from ironrail.peers.messages import MAX_ZONES
 
 MOST_DOCUMENT = 3072  # bytes: the longest message of the wire has 3,696, and each router has to fetch it
 MOST_ROWS = 256  # titles, classes, regions or constants; more don't fit the bytes anyway
@@ -26,7 +26,7 @@
 Share = Annotated[float, msgspec.Meta(ge=0, le=1)]
 Rate = Annotated[float, msgspec.Meta(ge=0, le=MOST_RATE)]
 Rows = msgspec.Meta(max_length=MOST_ROWS)
-Halls = msgspec.Meta(max_length=MOST_HALLS)
+Halls = msgspec.Meta(max_length=MAX_ZONES)
 
 
 @dataclass(frozen=True, slots=True)
--- a/ironrail/peers/messages.py
+++ b/ironrail/peers/messages.py
@@ -1,7 +1,8 @@
 """The types that the protocols of `ironrail/peers/` and their driver share.
 
-A router is known by its number among all routers (`settings.me`, the place of its address in `peers`), a hall
-by its name. Times are seconds on the router's own clock, which only advances and is no other router's.
+A router is identified by its index among all routers (`settings.me`, the position of its address in
+`peers`), a zone by its name. Times are seconds on the router's own monotonic clock, which is not comparable
+with the clocks of other routers.
 """
 
 from __future__ import annotations
@@ -10,16 +11,16 @@
 from enum import IntEnum
 from typing import Protocol, runtime_checkable
 
-MOST_DATAGRAM = 256  # bytes, as the protocol page has it
-MOST_ROUTERS = 1000
-MOST_HALLS = 64
-ALL = -1  # in place of a router's number: every router of the tier
+MAX_DATAGRAM_BYTES = 256  # without IP and UDP headers, as the protocol's specification has it
+MAX_ROUTERS = 1000
+MAX_ZONES = 64
+ALL_PEERS = -1  # in place of a router's index: every other router
 
 
 class Topic(IntEnum):
     """Which protocol a message belongs to; its number on the wire."""
 
-    TRANSPORT = 0  # the transport's own: hellos, echoes
+    TRANSPORT = 0  # the transport's own handshakes
     CONSENSUS = 1
     ZONE_LATENCY = 2
     STEERING = 3
@@ -29,14 +30,21 @@
     """The order of sending when more is queued than the rate limit admits; the last is dropped first."""
 
     VOTE = 0  # promises, votes, decisions
-    LEASE = 1  # renewals and their answers
-    STATE = 2  # somebody is behind and asks
+    LEASE = 1  # lease renewals and their replies
+    STATE = 2  # queries of a router whose state is out of date
     GOSSIP = 3
 
 
 @dataclass(frozen=True, slots=True)
 class Outgoing:
-    """To be sent, complete or not at all: `to` is a router's number, or ALL at the cost of one each."""
+    """A message to send, delivered complete or not at all.
+
+    Attributes:
+        to: The receiver's index, or `ALL_PEERS`, which costs as many bytes as one message to each.
+        topic: The protocol it belongs to.
+        body: The encoded message.
+        priority: Its place in the order of sending.
+    """
 
     to: int
     topic: Topic
@@ -46,20 +54,23 @@
 
 @dataclass(frozen=True, slots=True)
 class Received:
-    """Received complete and authenticated from the current process of a router.
+    """A message received complete and authenticated from the current process of a router.
 
-    `start` is the incarnation of that process: another one for the same sender is another process without its
-    memory; a process that was replaced is never heard again.
+    Attributes:
+        sender: The sender's index.
+        incarnation: Identifies the sender's process. Another incarnation of the same sender is another
+            process without its memory; messages of a replaced process are no longer received.
+        body: The encoded message.
     """
 
     sender: int
-    start: int
+    incarnation: int
     body: bytes
 
 
 @dataclass(frozen=True, slots=True)
 class WakeAt:
-    """The protocol is to be called again at this time at the latest."""
+    """A request to call the protocol again at this time at the latest."""
 
     at: float
 
@@ -69,14 +80,14 @@
 
     topic: Topic
 
-    def on_message(self, now: float, heard: Received) -> None:
+    def on_message(self, now: float, received: Received) -> None:
         """Handle a message. One that can't be used is counted and dropped."""
 
     def on_timer(self, now: float) -> None:
         """Handle the timer: time has passed."""
 
     def take_outgoing(self) -> list[Outgoing]:
-        """Return what is to be sent, once; called after each message and timer."""
+        """Return and forget the messages to send; called after each message and timer."""
 
     def next_timer_at(self) -> float:
         """Return when the timer is due; infinite for never."""
@@ -86,5 +97,5 @@
 class Timestamped(Protocol):
     """A protocol whose messages carry the time of sending, unknown until they leave the send queue."""
 
-    def with_timestamp(self, now: float, say: Outgoing) -> Outgoing:
+    def with_timestamp(self, now: float, outgoing: Outgoing) -> Outgoing:
         """Return the message with the time of sending filled in; of the same length."""
--- a/ironrail/peers/steering/room.py
+++ b/ironrail/peers/steering/room.py
@@ -12,7 +12,7 @@
 from collections.abc import Mapping, Sequence
 
 from ironrail.errors import InputError
-from ironrail.peers.messages import MOST_HALLS, MOST_ROUTERS, Outgoing, Priority, Received, Topic
+from ironrail.peers.messages import MAX_ZONES, MAX_ROUTERS, Outgoing, Priority, Received, Topic
 from ironrail.peers.steering.expected import EQUAL, NOWHERE, Expected, Hall, Worth
 from ironrail.peers.steering.model import Own, time_left
 from ironrail.peers.steering.proposal import USUAL, Bounds, Past, Proposal, Rows
@@ -64,7 +64,7 @@
     ) -> None:
         """`start`: above those before it. `hall_of`: each router's hall by number. `classes`: in an
         order that all routers share; only the first six are told of."""
-        if len(set(halls)) < len(halls) or not 0 < len(halls) <= MOST_HALLS or len(hall_of) > MOST_ROUTERS:
+        if len(set(halls)) < len(halls) or not 0 < len(halls) <= MAX_ZONES or len(hall_of) > MAX_ROUTERS:
             raise RoomError(f"{len(halls)} halls, {len(hall_of)} routers", "peers")
         if not 0 <= me < len(hall_of) or not all(0 <= hall < len(halls) for hall in hall_of):
             raise RoomError("a router without a hall", "peers")
@@ -99,9 +99,9 @@
         """Of a request that has `left` seconds until its reader needs the answer."""
         return time_left(left, self.own.way_back(now, self._regions.numbers.get(region, 0)))
 
-    def on_message(self, now: float, heard: Received) -> None:
+    def on_message(self, now: float, received: Received) -> None:
         try:
-            reports = decode(heard.body, self._regions.digest, len(self._hall_of), len(self._regions.names))
+            reports = decode(received.body, self._regions.digest, len(self._hall_of), len(self._regions.names))
         except ReportError:
             self.unusable += 1
             return
--- a/ironrail/peers/transport/layout.py
+++ b/ironrail/peers/transport/layout.py
@@ -8,7 +8,7 @@
 from struct import Struct
 from typing import NamedTuple
 
-from ironrail.peers.messages import MOST_DATAGRAM
+from ironrail.peers.messages import MAX_DATAGRAM_BYTES
 
 VERSION = 1  # of 0 to 7; another layout is another version
 START_BYTES = 6  # two lives of one router draw the same number once in 2**48 pairs
@@ -18,7 +18,7 @@
 PIECE_BYTES = 2  # which piece, of how many
 LEAST_DATAGRAM = HEAD_BYTES + MAC_BYTES
 MOST_STARTS = 1 << 8 * START_BYTES
-ROOM = MOST_DATAGRAM - LEAST_DATAGRAM  # for a body in one datagram
+ROOM = MAX_DATAGRAM_BYTES - LEAST_DATAGRAM  # for a body in one datagram
 PIECE_ROOM = ROOM - PIECE_BYTES
 MOST_PIECES = 16  # with a tenth of datagrams lost, more would hardly ever come whole
 MOST_BODY = MOST_PIECES * PIECE_ROOM
--- a/ironrail/peers/transport/outbox.py
+++ b/ironrail/peers/transport/outbox.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from ironrail.peers.messages import ALL, Outgoing, Priority
+from ironrail.peers.messages import ALL_PEERS, Outgoing, Priority
 from ironrail.peers.transport.errors import PaceError, UnsendableError
 from ironrail.peers.transport.layout import MOST_BODY, sealed_size
 
@@ -63,7 +63,7 @@
     def put(self, now: float, say: Outgoing) -> None:
         """To be sent when it can be paid. Of gossip the newest of one (to, topic, first byte) stays."""
         self._earn(now)
-        price = sealed_size(len(say.body)) * (self._others if say.to == ALL else 1)
+        price = sealed_size(len(say.body)) * (self._others if say.to == ALL_PEERS else 1)
         if len(say.body) > MOST_BODY:
             self.dropped[say.priority] += 1
             return
--- a/ironrail/peers/transport/wire.py
+++ b/ironrail/peers/transport/wire.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable
 from enum import IntEnum
 
-from ironrail.peers.messages import ALL, MOST_DATAGRAM, MOST_ROUTERS, Outgoing, Received, Topic
+from ironrail.peers.messages import ALL_PEERS, MAX_DATAGRAM_BYTES, MAX_ROUTERS, Outgoing, Received, Topic
 from ironrail.peers.transport import layout
 from ironrail.peers.transport.errors import StartError, TierError, UnsendableError
 from ironrail.peers.transport.keys import TO_ALL, Keys
@@ -62,8 +62,8 @@
 
         Raises TierError, StartError.
         """
-        if not 2 <= routers <= MOST_ROUTERS:
-            raise TierError(f"{routers} routers, where 2 to {MOST_ROUTERS} can be", "peers")
+        if not 2 <= routers <= MAX_ROUTERS:
+            raise TierError(f"{routers} routers, where 2 to {MAX_ROUTERS} can be", "peers")
         if not 0 <= me < routers:
             raise TierError(f"this is router {me}, and there are {routers}", "peers")
         if not 0 < start < layout.MOST_STARTS:
@@ -80,7 +80,7 @@
 
     def seal(self, say: Outgoing) -> list[tuple[int, bytes]]:
         """To whom (a number or ALL) and what; to be sent now: it grows old. Raises UnsendableError."""
-        to_all = say.to == ALL
+        to_all = say.to == ALL_PEERS
         if not to_all and (say.to == self.me or not 0 <= say.to < self.routers):
             raise UnsendableError(f"topic {say.topic}: router {say.to} is none to send to")
         if len(say.body) > layout.MOST_BODY:
@@ -142,7 +142,7 @@
     def _judge(self, now: float, source: int | None, datagram: bytes) -> Opened | Reason:
         if source is None:
             return Reason.FOREIGN
-        if not LEAST_DATAGRAM <= len(datagram) <= MOST_DATAGRAM:
+        if not LEAST_DATAGRAM <= len(datagram) <= MAX_DATAGRAM_BYTES:
             return Reason.LENGTH
         if datagram[0] >> 5 != layout.VERSION:
             return Reason.VERSION
--- a/ironrail/peers/zone_latency/echoes.py
+++ b/ironrail/peers/zone_latency/echoes.py
@@ -37,48 +37,48 @@
         self._turn = False
         self.trips = 0  # round trips that were measured
 
-    def on_message(self, now: float, heard: Received) -> None:
-        if len(heard.body) < TRAILER:
+    def on_message(self, now: float, received: Received) -> None:
+        if len(received.body) < TRAILER:
             self.map.unusable += 1
             return
-        body, trailer = heard.body[:-TRAILER], heard.body[-TRAILER:]
+        body, trailer = received.body[:-TRAILER], received.body[-TRAILER:]
         number, answered, held = (
             int.from_bytes(trailer[at : at + FIELD], "big") for at in range(0, TRAILER, FIELD)
         )
         if number:
-            self._heard[heard.sender] = number, now
-            self._heard.move_to_end(heard.sender)
-        sent = self._sent.get(heard.sender)
+            self._heard[received.sender] = number, now
+            self._heard.move_to_end(received.sender)
+        sent = self._sent.get(received.sender)
         sent_at = sent.pop(answered, None) if sent is not None else None
         if sent_at is not None:
             self.trips += 1
-            self.map.observe(now, self._hall_of[heard.sender], max(UNIT, now - sent_at - held * UNIT))
-        self.map.on_message(now, replace(heard, body=body))
+            self.map.observe(now, self._hall_of[received.sender], max(UNIT, now - sent_at - held * UNIT))
+        self.map.on_message(now, replace(received, body=body))
 
     def on_timer(self, now: float) -> None:
         self.map.on_timer(now)
 
     def take_outgoing(self) -> list[Outgoing]:
-        return [replace(say, body=say.body + bytes(TRAILER)) for say in self.map.take_outgoing()]
+        return [replace(outgoing, body=outgoing.body + bytes(TRAILER)) for outgoing in self.map.take_outgoing()]
 
     def next_timer_at(self) -> float:
         return self.map.next_timer_at()
 
-    def with_timestamp(self, now: float, say: Outgoing) -> Outgoing:
+    def with_timestamp(self, now: float, outgoing: Outgoing) -> Outgoing:
         """The message as it goes: asked as it is sealed, since it may have waited."""
         self._number = self._number % (_RANGE - 1) + 1
-        sent = self._sent.setdefault(say.to, OrderedDict())
+        sent = self._sent.setdefault(outgoing.to, OrderedDict())
         sent[self._number] = now
         if len(sent) > MOST_SENT:
             sent.popitem(last=False)
-        answered, at = self._heard.pop(say.to, (0, now))
+        answered, at = self._heard.pop(outgoing.to, (0, now))
         if now - at > MOST_HOLD:
             answered, at = 0, now
         if answered:
-            self._answered_at[self._hall_of[say.to]] = now
+            self._answered_at[self._hall_of[outgoing.to]] = now
         fields = (self._number, answered, round((now - at) / UNIT))
         return replace(
-            say, body=say.body[:-TRAILER] + b"".join(field.to_bytes(FIELD, "big") for field in fields)
+            outgoing, body=outgoing.body[:-TRAILER] + b"".join(field.to_bytes(FIELD, "big") for field in fields)
         )
 
     def _answer(self, now: float) -> int | None:
--- a/ironrail/peers/zone_latency/room.py
+++ b/ironrail/peers/zone_latency/room.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable, Sequence
 
 from ironrail.errors import InputError
-from ironrail.peers.messages import MOST_HALLS, Outgoing, Priority, Received, Topic
+from ironrail.peers.messages import MAX_ZONES, Outgoing, Priority, Received, Topic
 from ironrail.peers.zone_latency.evidence import Evidence
 from ironrail.peers.zone_latency.facts import Facts, HallsSeen
 from ironrail.peers.zone_latency.reports import Report, ReportError, decode, differ, pack
@@ -42,8 +42,8 @@
         draws: random.Random,
     ) -> None:
         """`start`: of this process, above those before it. `hall_of`: each router's hall by number."""
-        if len(set(halls)) < len(halls) or not 0 < len(halls) <= MOST_HALLS:
-            raise HallsError(f"{len(halls)} halls, where 1 to {MOST_HALLS} different ones may be", "halls")
+        if len(set(halls)) < len(halls) or not 0 < len(halls) <= MAX_ZONES:
+            raise HallsError(f"{len(halls)} halls, where 1 to {MAX_ZONES} different ones may be", "halls")
         if not 0 <= me < len(hall_of) or not all(0 <= hall < len(halls) for hall in hall_of):
             raise HallsError("a router without a hall", "peers")
         self._me, self._start, self._draws = me, start, draws
@@ -85,9 +85,9 @@
         if closed is not None:
             self._consider(now, closed)
 
-    def on_message(self, now: float, heard: Received) -> None:
+    def on_message(self, now: float, received: Received) -> None:
         try:
-            reports = decode(heard.body, self._routers, self._halls)
+            reports = decode(received.body, self._routers, self._halls)
         except ReportError:
             self.unusable += 1
             return
--- a/ironrail/rehearsal/links/exchange.py
+++ b/ironrail/rehearsal/links/exchange.py
@@ -10,7 +10,7 @@
 from collections.abc import Iterator
 from dataclasses import dataclass, field
 
-from ironrail.peers.messages import MOST_DATAGRAM
+from ironrail.peers.messages import MAX_DATAGRAM_BYTES
 from ironrail.rehearsal.links.paths import Path
 from ironrail.rehearsal.links.plan import Kind, LinkFault
 
@@ -63,7 +63,7 @@
         targets = [name for name in self.names if name != source] if target is None else [target]
         counts.sent += 1
         counts.price += len(targets)
-        if size > MOST_DATAGRAM:
+        if size > MAX_DATAGRAM_BYTES:
             counts.too_long += 1
             return
         for name in targets:
--- a/ironrail/rehearsal/links/launch.py
+++ b/ironrail/rehearsal/links/launch.py
@@ -16,7 +16,7 @@
 from ironrail.net.config import Config
 from ironrail.net.lifecycle.node import Node
 from ironrail.net.peers.record_store import FolderStore
-from ironrail.net.peers.runtime import folder_of
+from ironrail.net.peers.runtime import resolve_record_folder
 from ironrail.net.system import REAL
 from ironrail.operator_file import OperatorSettings
 from ironrail.rehearsal.links.disk import FaultyStore
@@ -35,7 +35,7 @@
     me = config.settings.router_index
     if operator.peers is not None and operator.peers.record_folder and me in operator.peers.voters:
         store = FaultyStore(
-            FolderStore(folder_of(operator.peers.record_folder, me)), switch, random.Random(config.seed)
+            FolderStore(resolve_record_folder(operator.peers.record_folder, me)), switch, random.Random(config.seed)
         )
     await Node(config, operator, Drifting(REAL, switch), store=store).serve()
 
--- a/ironrail/rehearsal/links/tierdisk.py
+++ b/ironrail/rehearsal/links/tierdisk.py
@@ -6,8 +6,8 @@
 import random
 from collections.abc import Callable
 
-from ironrail.net.peers.policies import RECORD
-from ironrail.net.peers.record_store import Store
+from ironrail.net.peers.policies import RECORD_NAME
+from ironrail.net.peers.record_store import RecordStore
 from ironrail.rehearsal.links.disk import FaultyStore
 from ironrail.rehearsal.links.switch import Slot, Switch
 
@@ -38,14 +38,14 @@
 
 
 class VirtualKeeper:
-    """In place of `net.store.Keeper`, which has a thread: one record after another."""
+    """In place of `net.peers.record_store.RecordWriter`, which has a thread: one record after another."""
 
-    def __init__(self, store: Store, switch: Switch, done: Callable[[int, OSError | None], None]) -> None:
+    def __init__(self, store: RecordStore, switch: Switch, done: Callable[[int, OSError | None], None]) -> None:
         self._store, self._switch, self._done = store, switch, done
         self._loop = asyncio.get_running_loop()
         self._free_at = 0.0
 
-    def keep(self, token: int, record: bytes) -> None:
+    def enqueue(self, token: int, record: bytes) -> None:
         """In order, one at a time."""
         now = self._loop.time()
         self._free_at = max(now, self._free_at) + SYNC + self._switch[Slot.DISK_SLOW]
@@ -54,7 +54,7 @@
     def _write(self, token: int, record: bytes) -> None:
         failed: OSError | None = None
         try:
-            self._store.write(RECORD, record)
+            self._store.write(RECORD_NAME, record)
         except OSError as e:
             failed = e
         self._done(token, failed)
--- a/ironrail/rehearsal/links/tierrouter.py
+++ b/ironrail/rehearsal/links/tierrouter.py
@@ -108,7 +108,7 @@
     @property
     def sent(self) -> int:
         """Bytes of datagrams since the beginning."""
-        now = self.together.peering.figures()["sent_bytes"] if self.together is not None else 0
+        now = self.together.transport.counters()["sent_bytes"] if self.together is not None else 0
         return self.sent_before + now
 
     def start(self) -> None:
@@ -127,9 +127,9 @@
             made = PeerRuntime(config, tier.operator, self.system, tier.guided, store if tier.disks else None)
         policies = made.policies
         assert policies is not None
-        if policies._keeper is not None:
-            policies._keeper = VirtualKeeper(store, self.switch, policies._done)  # type: ignore[assignment]
-        made.peering._settled = partial(tier.watch.looked, self, made.peering._settled)
+        if policies._record_writer is not None:
+            policies._record_writer = VirtualKeeper(store, self.switch, policies._on_record_written)  # type: ignore[assignment]
+        made.transport._after_event = partial(tier.watch.looked, self, made.transport._after_event)
         self.together = made
         await made.open()
 
@@ -145,7 +145,7 @@
 
     def found(self, epoch: int = 1, version: int = 1) -> Response:
         """The first policy, by hand."""
-        return self._called(self.policies.found, f"epoch = {epoch}\nversion = {version}\n")
+        return self._called(self.policies.bootstrap, f"epoch = {epoch}\nversion = {version}\n")
 
     def _called(self, call: Callable[[bytes], Response], text: str) -> Response:
         assert self.process is not None
@@ -157,9 +157,9 @@
         if process is None or not process.alive or together is None or together.policies is None:
             return ()
         policies, now = self.policies, self.system.now()
-        if policies._followed is not None and now < policies._until:
-            return policies._followed.scope
-        return policies.room.effective_policy(now).scope
+        if policies._published is not None and now < policies._valid_until:
+            return policies._published.scope
+        return policies.protocol.effective_policy(now).scope
 
     def versions(self) -> tuple[int, ...]:
         """The versions of it, nothing where no process goes on."""
--- a/ironrail/rehearsal/links/tierwatch.py
+++ b/ironrail/rehearsal/links/tierwatch.py
@@ -54,7 +54,7 @@
         now, policies = router.system.now(), router.policies
         scope = router.scope()
         before, until = self._last.get(router.number, ((), 0.0))
-        self._last[router.number] = scope, policies._until
+        self._last[router.number] = scope, policies._valid_until
         if scope != before or now >= until:
             if scope != before:
                 self._by.get(before, {}).pop(router.number, None)
@@ -62,8 +62,8 @@
                 self._by.setdefault(scope, {})[router.number] = router
                 self.began[router.number, scope] = self._clock()
                 self._compare(router, scope)
-        if policies.room.known is not None:
-            self._register(router, policies.room.known)
+        if policies.protocol.known is not None:
+            self._register(router, policies.protocol.known)
 
     def _compare(self, router: Watched, scope: Scope) -> None:
         for other, them in self._by.items():
--- a/tests/peers/consensus/test_door.py
+++ b/tests/peers/consensus/test_door.py
@@ -6,7 +6,7 @@
 
 import orjson
 
-from ironrail.net.peers.policies import Place, Policies
+from ironrail.net.peers.policies import ProcessIdentity, Policies
 from ironrail.operator_file import PeerSettings
 from ironrail.peers.messages import Received
 from ironrail.policy.settings import Settings
@@ -22,7 +22,7 @@
         peers = PeerSettings({}, 1, ("north",) * ROUTERS, (0, 1, 2))
         self.all = [
             Policies(
-                Place(me, me + 1, 0.0, me),
+                ProcessIdentity(me, me + 1, 0.0, me),
                 Settings({}),
                 peers,
                 None,
@@ -39,11 +39,11 @@
         while self.now < end:
             self.now += 0.05
             for policies in self.all:
-                if policies.room.next_timer_at() <= self.now:
-                    policies.room.on_timer(self.now)
-            while said := [(p.room, say) for p in self.all for say in p.room.take_outgoing()]:
+                if policies.protocol.next_timer_at() <= self.now:
+                    policies.protocol.on_timer(self.now)
+            while said := [(p.protocol, say) for p in self.all for say in p.protocol.take_outgoing()]:
                 for room, say in said:
-                    self.all[say.to].room.on_message(
+                    self.all[say.to].protocol.on_message(
                         self.now, Received(room.conf.router, room.conf.start, say.body)
                     )
 
@@ -54,7 +54,7 @@
 
 def test_voters_are_replaced_at_the_door() -> None:
     tier = Tier()
-    assert tier.all[0].found(b"epoch = 1\nversion = 1\nrates = { daily = 4.0 }\n").status == 202
+    assert tier.all[0].bootstrap(b"epoch = 1\nversion = 1\nrates = { daily = 4.0 }\n").status == 202
     tier.run(8)
     assert tier.page(4)["voters"] == [[0, 1, 2]]
     for wrong in (b"3", b"[]", b"[0, 1]", b"[0, 1, true]", b"[0, 1, 1]", b"[0, 1, 5]"):
--- a/tests/peers/fuzz/papers.py
+++ b/tests/peers/fuzz/papers.py
@@ -11,7 +11,7 @@
 import msgspec
 
 from ironrail.net.peers import admin_documents, policies
-from ironrail.net.peers.policies import Place, Policies
+from ironrail.net.peers.policies import ProcessIdentity, Policies
 from ironrail.net.peers.record_store import MAGIC, FolderStore, RecordError
 from ironrail.operator_file import PeerSettings
 from ironrail.peers.consensus import messages as m
@@ -49,7 +49,7 @@
     def __init__(self, draws: random.Random) -> None:
         super().__init__(draws)
         self.folder = tempfile.TemporaryDirectory()
-        self.store, self.path = FolderStore(Path(self.folder.name)), Path(self.folder.name) / policies.RECORD
+        self.store, self.path = FolderStore(Path(self.folder.name)), Path(self.folder.name) / policies.RECORD_NAME
         vouched = [one.vouched for one in _samples() if isinstance(one, m.Promise)]
         self.runner = asyncio.Runner()
         self.whole = [msgspec.msgpack.encode(v) for v in (*vouched, m.AcceptorState())]
@@ -62,7 +62,7 @@
             spoilt = spoil(draws, _file(record), [_file(other) for other in self.whole])
             self.path.write_bytes(spoilt)
             try:
-                must(self.store.read(policies.RECORD) in self.whole, "a record that was not kept")
+                must(self.store.read(policies.RECORD_NAME) in self.whole, "a record that was not kept")
             except RecordError:
                 return
         else:
@@ -72,9 +72,9 @@
     async def _start(self) -> None:
         """As a voter does, on a loop."""
         told = place(self.store)
-        told.room.on_timer(1.0)
-        told.room.on_message(1.0, Received(1, 1, m.encode(m.Prepare(m.Ballot(1, 9, 1, 1)))))
-        told.room.take_records()
+        told.protocol.on_timer(1.0)
+        told.protocol.on_message(1.0, Received(1, 1, m.encode(m.Prepare(m.Ballot(1, 9, 1, 1)))))
+        told.protocol.take_records()
         must(told.page().status == 200, "no page")
         told.stop()
 
@@ -92,7 +92,7 @@
     peers = PeerSettings({}, 1, ("a", "b", "hall-b"), (0, 1, 2), start_mode="floor")
     classes = {name: RequestClass(name, 1.0) for name in ("grid-read", "once")}
     return Policies(
-        Place(0, 7, 0.0, 1), Settings(classes), peers, store, lambda _: None, lambda: 1.0, lambda: None
+        ProcessIdentity(0, 7, 0.0, 1), Settings(classes), peers, store, lambda _: None, lambda: 1.0, lambda: None
     )
 
 
@@ -141,10 +141,10 @@
         if draws.random() < 0.3:
             text = spoil(draws, text, list(TEXTS))
         self.heard += len(text)
-        post = draws.choice((self.policies.propose, self.policies.found))
+        post = draws.choice((self.policies.propose, self.policies.bootstrap))
         answer = self.timed(post, text)
         must(answer.status in (202, 400, 409) and bool(answer.body), "no such answer")
         self.said += len(answer.body)
         must(len(answer.body) < 3000, f"a long answer = {len(answer.body)}")
         must(self.policies.page().status == 200, "no page")
-        must(len(self.policies.room.library._documents) <= 16, "documents without end")
+        must(len(self.policies.protocol.library._documents) <= 16, "documents without end")
--- a/tests/peers/fuzz/wires.py
+++ b/tests/peers/fuzz/wires.py
@@ -4,7 +4,7 @@
 
 import random
 
-from ironrail.peers.messages import ALL, MOST_DATAGRAM, Outgoing, Priority, Topic
+from ironrail.peers.messages import ALL_PEERS, MAX_DATAGRAM_BYTES, Outgoing, Priority, Topic
 from ironrail.peers.transport import layout
 from ironrail.peers.transport.keys import TO_ALL, Keys
 from ironrail.peers.transport.outbox import BURST, MOST_SAYS, MOST_WAITING, Outbox
@@ -42,7 +42,7 @@
         for topic, heard in self.timed(target.open, self.now, source, datagram):
             must(topic in ROOMS and heard.sender == source, "heard of who did not say it")
             if heard.sender != LIAR:
-                life = heard.sender, heard.start
+                life = heard.sender, heard.incarnation
                 must(heard.body in self.sent.get(life, ()), "heard what was not said")
                 must((*life, heard.body) not in self.got, "heard twice")
                 self.got.add((*life, heard.body))
@@ -68,7 +68,7 @@
                 body = b"%d " % self.count + draws.randbytes(size)
                 sender = self.lives[me]
                 self.sent.setdefault((me, sender.start), set()).add(body[: layout.MOST_BODY])
-                say = Outgoing(draws.choice((0, 0, ALL)), draws.choice(ROOMS), body[: layout.MOST_BODY])
+                say = Outgoing(draws.choice((0, 0, ALL_PEERS)), draws.choice(ROOMS), body[: layout.MOST_BODY])
                 sealed = [(me, datagram) for _, datagram in sender.seal(say)]
                 self.recorded = [*self.recorded[-200:], *sealed]
                 for source, datagram in sealed if draws.random() < 0.8 else draws.sample(sealed, len(sealed)):
@@ -100,7 +100,7 @@
             case 11 if draws.random() < 0.2:
                 self.lives[me] = self.wire(me)
             case _:
-                self.take(me, draws.randbytes(draws.randrange(MOST_DATAGRAM + 9)))
+                self.take(me, draws.randbytes(draws.randrange(MAX_DATAGRAM_BYTES + 9)))
 
     def made(self, keys: Keys, sender: int) -> bytes:
         """A datagram with any head, and a MAC by these keys."""
@@ -136,7 +136,7 @@
         draws = self.draws
         if draws.random() < 0.7:
             size = draws.choice((0, 50, 200, 234, layout.MOST_BODY, layout.MOST_BODY + 1))
-            to = draws.choice((ALL, 1, self.others, self.others + 1, 0, -7))
+            to = draws.choice((ALL_PEERS, 1, self.others, self.others + 1, 0, -7))
             say = Outgoing(to, draws.choice(ROOMS), draws.randbytes(size), draws.choice(list(Priority)))
             self.box.put(self.now, say)
         else:
@@ -146,7 +146,7 @@
 
     def take(self) -> int:
         sends = self.timed(self.box.take, self.now)
-        self.said += sum(len(datagram) * (self.others if to == ALL else 1) for to, datagram in sends)
+        self.said += sum(len(datagram) * (self.others if to == ALL_PEERS else 1) for to, datagram in sends)
         dear = 3696 + 16 * 25
         most = BURST + 2000 * (self.now - self.began) + dear * self.others
         must(self.said <= most + 1, f"more than the pace = {self.said}")
--- a/tests/peers/test_fuzz.py
+++ b/tests/peers/test_fuzz.py
@@ -97,10 +97,10 @@
 def test_documents_proposed_in_vain_are_bounded_and_needed_ones_stay() -> None:
     room = place(None)
     for version in range(1, 200):
-        room.found(b"epoch = 1\nversion = %d\n" % version)
-    assert len(room.room.library._documents) <= MOST_KEPT
-    offered = room.room.voter.offer if room.room.voter else None
-    assert offered and not room.room.library.missing([offered])
+        room.bootstrap(b"epoch = 1\nversion = %d\n" % version)
+    assert len(room.protocol.library._documents) <= MOST_KEPT
+    offered = room.protocol.voter.offer if room.protocol.voter else None
+    assert offered and not room.protocol.library.missing([offered])
 
 
 def test_a_disk_that_hangs_makes_a_voter_hold_a_bounded_number_of_words() -> None:
@@ -132,14 +132,14 @@
             m.read_record(record)
         store.write("accord", record)
         policies = place(store)
-        assert not policies.room.voter.standing and b"Move the file away" in policies.page().body  # type: ignore[union-attr]
+        assert not policies.protocol.voter.standing and b"Move the file away" in policies.page().body  # type: ignore[union-attr]
         policies.stop()
     store.write("accord", msgspec.msgpack.encode(m.AcceptorState()))
     whole = (tmp_path / "accord").read_bytes()
     (tmp_path / "accord").write_bytes(whole[:-1])
     with pytest.raises(RecordError):
         store.read("accord")
-    assert place(store).room.voter is not None
+    assert place(store).protocol.voter is not None
 
 
 def test_posts_that_would_cost_the_parser_seconds_or_its_stack_are_refused() -> None:
@@ -153,10 +153,10 @@
         (b"#" * 17000, b"more than"),
         (b"x" * 9000 + b"=1", b"xxx"),
     ):
-        for post in (policies.propose, policies.found):
+        for post in (policies.propose, policies.bootstrap):
             answer = post(body)
             assert answer.status == 400 and len(answer.body) < 1100, answer
-            assert why in answer.body or post == policies.found, answer
+            assert why in answer.body or post == policies.bootstrap, answer
     rows = b"".join(b'"%s"=1.0\n' % (b"a.b" * 20 + b"%d" % n) for n in range(30))
     assert policies.propose(b"version=2\n[rates]\n" + rows).status == 409  # whole: only not now
 
--- a/tests/peers/transport/test_wire_bodies.py
+++ b/tests/peers/transport/test_wire_bodies.py
@@ -8,7 +8,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from ironrail.peers.messages import ALL, MOST_DATAGRAM, Outgoing, Received, Topic
+from ironrail.peers.messages import ALL_PEERS, MAX_DATAGRAM_BYTES, Outgoing, Received, Topic
 from ironrail.peers.transport.errors import UnsendableError
 from ironrail.peers.transport.layout import MOST_BODY, ROOM, sealed_size
 from ironrail.peers.transport.wire import Reason
@@ -22,13 +22,13 @@
 ROOMS = st.sampled_from([topic for topic in Topic if topic is not Topic.TRANSPORT])
 
 
-@given(st.lists(st.tuples(BODIES, ROOMS, st.sampled_from([1, ALL])), max_size=6))
+@given(st.lists(st.tuples(BODIES, ROOMS, st.sampled_from([1, ALL_PEERS])), max_size=6))
 def test_bodies_come_as_they_went(said: list[tuple[bytes, Topic, int]]) -> None:
     sender, receiver = met()
     for body, topic, to in said:
         sealed = sender.seal(Outgoing(to, topic, body))
         assert {where for where, _ in sealed} == {to}
-        assert max(len(d) for _, d in sealed) <= MOST_DATAGRAM
+        assert max(len(d) for _, d in sealed) <= MAX_DATAGRAM_BYTES
         assert sum(len(d) for _, d in sealed) == sealed_size(len(body))
         got = [item for _, d in sealed for item in receiver.open(1.0, 0, d)]
         assert got == [(topic, Received(0, sender.start, body))]
--- a/tests/peers/transport/test_wire_bounds.py
+++ b/tests/peers/transport/test_wire_bounds.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from ironrail.peers.messages import MOST_DATAGRAM, MOST_ROUTERS, Topic
+from ironrail.peers.messages import MAX_DATAGRAM_BYTES, MAX_ROUTERS, Topic
 from ironrail.peers.transport.keys import Keys
 from ironrail.peers.transport.layout import LEAST_DATAGRAM, MOST_BODY
 from ironrail.peers.transport.meeting import Meeting
@@ -19,8 +19,8 @@
 
 
 def test_a_thousand_senders_of_half_bodies_stay_within_their_room() -> None:
-    receiver = wire(0, routers=MOST_ROUTERS)
-    senders = [wire(me, routers=MOST_ROUTERS) for me in range(1, MOST_ROUTERS)]
+    receiver = wire(0, routers=MAX_ROUTERS)
+    senders = [wire(me, routers=MAX_ROUTERS) for me in range(1, MAX_ROUTERS)]
     now = 0.0
     for sender in senders:
         now += 2 / MEETINGS
@@ -87,9 +87,9 @@
 
 
 def test_recorded_datagrams_make_a_router_say_no_more_than_its_meetings() -> None:
-    receiver = wire(0, routers=MOST_ROUTERS)
+    receiver = wire(0, routers=MAX_ROUTERS)
     recorded = [
-        (me, datagrams(wire(me, routers=MOST_ROUTERS), b"old", 0)[0]) for me in range(1, MOST_ROUTERS)
+        (me, datagrams(wire(me, routers=MAX_ROUTERS), b"old", 0)[0]) for me in range(1, MAX_ROUTERS)
     ]
     asked = []
     for tick in range(40):
@@ -111,7 +111,7 @@
             for _ in range(noise.randint(1, 8)):
                 datagram[noise.randrange(len(datagram))] ^= noise.randint(1, 255)
         else:
-            datagram = bytearray(noise.randbytes(noise.randint(0, MOST_DATAGRAM + 20)))
+            datagram = bytearray(noise.randbytes(noise.randint(0, MAX_DATAGRAM_BYTES + 20)))
         if bytes(datagram) in good:
             continue
         seen += 1
--- a/tests/peers/transport/test_wire_lives.py
+++ b/tests/peers/transport/test_wire_lives.py
@@ -6,7 +6,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from ironrail.peers.messages import ALL, Outgoing, Topic
+from ironrail.peers.messages import ALL_PEERS, Outgoing, Topic
 from ironrail.peers.transport.keys import Keys
 from ironrail.peers.transport.sender import REPLACED, WINDOW, Sender
 from ironrail.peers.transport.wire import Reason
@@ -38,7 +38,7 @@
     sender, receiver = wire(0), wire(1)
     recorded = meet(0.0, sender, receiver)
     said = [d for i in range(20) for d in datagrams(sender, b"%d" % i)]
-    said += [d for _, d in sender.seal(Outgoing(ALL, Topic.CONSENSUS, bytes(600)))]
+    said += [d for _, d in sender.seal(Outgoing(ALL_PEERS, Topic.CONSENSUS, bytes(600)))]
     recorded += said
     assert len(heard(0.0, receiver, 0, *said)) == 21
     again = wire(1, start=77)
--- a/tests/peers/transport/test_wire_outbox.py
+++ b/tests/peers/transport/test_wire_outbox.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from ironrail.peers.messages import ALL, MOST_ROUTERS, Outgoing, Priority, Topic
+from ironrail.peers.messages import ALL_PEERS, MAX_ROUTERS, Outgoing, Priority, Topic
 from ironrail.peers.transport.errors import PaceError
 from ironrail.peers.transport.layout import MOST_BODY, sealed_size
 from ironrail.peers.transport.outbox import BURST, MOST_SAYS, MOST_WAITING, PACE, Outbox
@@ -26,19 +26,19 @@
     return [datagram[15:-8] for _, datagram in box.take(now)]
 
 
-@pytest.mark.parametrize("routers", [2, 10, MOST_ROUTERS])
+@pytest.mark.parametrize("routers", [2, 10, MAX_ROUTERS])
 def test_the_pace_holds_whatever_is_said(routers: int) -> None:
     box, chance = outbox(routers), random.Random(3)
     now, price, dearest, times = 0.0, 0.0, 0.0, 0
     while now < 300.0:
         for _ in range(chance.randint(0, 4)):
-            to = chance.choice([ALL, 1])
-            body = chance.randbytes(chance.choice([1, 50, 200, MOST_BODY if to > ALL else 100]))
+            to = chance.choice([ALL_PEERS, 1])
+            body = chance.randbytes(chance.choice([1, 50, 200, MOST_BODY if to > ALL_PEERS else 100]))
             box.put(now, say(body, chance.choice(list(Priority)), to))
         for to, datagram in box.take(now):
-            cost = len(datagram) * (routers - 1 if to == ALL else 1)
+            cost = len(datagram) * (routers - 1 if to == ALL_PEERS else 1)
             price, dearest = price + cost, max(dearest, cost)
-            times += to == ALL
+            times += to == ALL_PEERS
         assert price <= BURST + PACE * now + dearest + 1
         now = max(now + 0.1, min(box.wake_at(), now + 1.0))
     assert price > 0.9 * PACE * now and times > 1
@@ -47,17 +47,17 @@
 
 def test_who_wakes_when_told_sends_each_time() -> None:
     """No wake is in vain, and none is late: a full minute goes at the pace to the last byte."""
-    box = outbox(MOST_ROUTERS)
+    box = outbox(MAX_ROUTERS)
     for i in range(300):
         box.put(0.0, say(b"%3d" % i + bytes(197), Priority.LEASE))
-    box.put(0.0, say(bytes(20), Priority.VOTE, ALL))
+    box.put(0.0, say(bytes(20), Priority.VOTE, ALL_PEERS))
     box.take(0.0)
     wakes, sent = 0, len(box.take(0.0))
     while (now := box.wake_at()) < math.inf:
         sent += bool(box.take(now))
         wakes += 1
         assert wakes <= sent + 1
-    assert now == math.inf and box.sent == 300 * sealed_size(200) + sealed_size(20) * (MOST_ROUTERS - 1)
+    assert now == math.inf and box.sent == 300 * sealed_size(200) + sealed_size(20) * (MAX_ROUTERS - 1)
 
 
 def test_votes_go_first_and_find_room_beside_gossip() -> None:
@@ -72,16 +72,16 @@
 
 
 def test_a_word_to_all_of_a_large_tier_holds_no_vote_back() -> None:
-    box = outbox(MOST_ROUTERS)
-    box.put(0.0, say(bytes(50), Priority.GOSSIP, ALL))
+    box = outbox(MAX_ROUTERS)
+    box.put(0.0, say(bytes(50), Priority.GOSSIP, ALL_PEERS))
     went, now = 0.0, 0.0
     while not went:
         now += 0.5
         box.put(now, say(b"vote"))
         sends = box.take(now)
         assert (1, 27) in [(to, len(datagram)) for to, datagram in sends]
-        went = now if (ALL, 73) in [(to, len(datagram)) for to, datagram in sends] else 0.0
-    assert went < 2 * 73 * (MOST_ROUTERS - 1) / PACE
+        went = now if (ALL_PEERS, 73) in [(to, len(datagram)) for to, datagram in sends] else 0.0
+    assert went < 2 * 73 * (MAX_ROUTERS - 1) / PACE
 
 
 def test_the_newest_gossip_of_a_kind_replaces_the_older() -> None:
--- a/tests/readers_router.py
+++ b/tests/readers_router.py
@@ -46,8 +46,8 @@
 
     @property
     def readers(self) -> driver.Readers:
-        assert self.node.peer_runtime is not None and self.node.peer_runtime.readers is not None
-        return self.node.peer_runtime.readers
+        assert self.node.peer_runtime is not None and self.node.peer_runtime.steering is not None
+        return self.node.peer_runtime.steering
 
     def connections(self) -> list[ClientConnection]:
         return self.node._client_listener.open_connections()
--- a/tests/rehearsal/links/test_exchange.py
+++ b/tests/rehearsal/links/test_exchange.py
@@ -10,7 +10,7 @@
 import pytest
 
 from ironrail.net.discovery.endpoint_list import read_address
-from ironrail.peers.messages import MOST_DATAGRAM
+from ironrail.peers.messages import MAX_DATAGRAM_BYTES
 from ironrail.rehearsal.account.record import RouterFacts
 from ironrail.rehearsal.ground import RealGround
 from ironrail.rehearsal.links.datagrams import Relays
@@ -81,8 +81,8 @@
 def test_to_all_is_one_for_each_other_and_counted_so() -> None:
     exchange = Exchange(1, NAMES)
     begin(exchange, 0, "cut", f"{ONE} > {TWO}")
-    assert [name for name, _ in exchange.sent(ONE, None, MOST_DATAGRAM)] == NAMES[2:]
-    assert list(exchange.sent(ONE, None, MOST_DATAGRAM + 1)) == []
+    assert [name for name, _ in exchange.sent(ONE, None, MAX_DATAGRAM_BYTES)] == NAMES[2:]
+    assert list(exchange.sent(ONE, None, MAX_DATAGRAM_BYTES + 1)) == []
     counts = exchange.counts[ONE]
     assert (counts.sent, counts.price, counts.lost, counts.too_long) == (2, 12, 1, 1)
 
--- a/tests/test_readers.py
+++ b/tests/test_readers.py
@@ -29,7 +29,7 @@
         one.looked = 0.0
         world.readers._evidence.measure(world.node._client_listener)
     assert isinstance(one, One) and 0.0 < one.rtt < 0.1  # of loopback, by the kernel
-    room, now = world.readers.room, world.node._system.now()
+    room, now = world.readers.protocol, world.node._system.now()
     for tick in range(1, 7):
         room.on_timer(now + tick)
     world.readers._cells_at = -1e9
@@ -46,7 +46,7 @@
 async def test_ends_that_are_no_service_make_no_hall_look_quick(tmp_path: Path) -> None:
     world = await Read(tmp_path).start()
     seen: list[tuple[Any, ...]] = []
-    world.readers.room.served = lambda now, *told: seen.append(told)  # type: ignore[method-assign]
+    world.readers.protocol.served = lambda now, *told: seen.append(told)  # type: ignore[method-assign]
     client = await world.client_at(AWAY)
     client.get("1", wait=30)
     await world.cache.next()
@@ -75,7 +75,7 @@
     client.get("1", wait=300)
     (await world.cache.next()).reply_value(b"v")
     assert await client.value("1") == b"v"
-    room, now = world.readers.room, world.node._system.now()
+    room, now = world.readers.protocol, world.node._system.now()
     for _ in range(4):
         room.client_rtt(now, "north", 1.0)
     client.get("2", wait=300)
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from ironrail.net.peers.record_store import FolderStore, Keeper, RecordError
+from ironrail.net.peers.record_store import FolderStore, RecordWriter, RecordError
 from tests.peers import scenario
 
 OLD, NEW = b"an old record", b"a newer record, and longer"
@@ -74,12 +74,12 @@
             return None
 
     told: asyncio.Queue[tuple[int, OSError | None]] = asyncio.Queue()
-    keeper = Keeper(store := Slow(), "accord", lambda token, failed: told.put_nowait((token, failed)))
+    keeper = RecordWriter(store := Slow(), "accord", lambda token, failed: told.put_nowait((token, failed)))
     for token in (1, 8, 9, 2):  # a disk that hangs gathers no more than one
-        keeper.keep(token, b"%d" % token)
+        keeper.enqueue(token, b"%d" % token)
     go.release(2)
     got = [await told.get() for _ in range(2)]
-    keeper.keep(3, b"3")
+    keeper.enqueue(3, b"3")
     go.release()
     got.append(await told.get())
     assert [token for token, _ in got] == [1, 2, 3]
