--- a/benchmarks/peers_fuzz.py
+++ b/benchmarks/peers_fuzz.py
@@ -15,11 +15,11 @@
 import sys
 import time
 
-from tests.peers.fuzz.accord import Accord
-from tests.peers.fuzz.base import Make, run
-from tests.peers.fuzz.gossip import Latency, OfRegions
-from tests.peers.fuzz.papers import Documents, Posts, Records
-from tests.peers.fuzz.wires import Outboxes, Wires
+from tests.peers.fuzz.consensus_target import Accord
+from tests.peers.fuzz.harness import Make, run
+from tests.peers.fuzz.gossip_targets import Latency, OfRegions
+from tests.peers.fuzz.document_targets import Documents, Posts, Records
+from tests.peers.fuzz.transport_targets import Outboxes, Wires
 
 TARGETS: dict[str, Make] = {
     "wire": Wires,
--- a/benchmarks/peers_wire.py
+++ b/benchmarks/peers_wire.py
@@ -19,11 +19,11 @@
 from struct import Struct
 
 from ironrail.peers.messages import MAX_ROUTERS, Outgoing, Topic
-from ironrail.peers.transport import layout
+from ironrail.peers.transport import datagram_format
 from ironrail.peers.transport.keys import Keys
-from ironrail.peers.transport.layout import MOST_BODY, sealed_size
-from ironrail.peers.transport.meeting import Meeting
-from ironrail.peers.transport.wire import FAILS, Reason, Wire
+from ironrail.peers.transport.datagram_format import MOST_BODY, sealed_size
+from ironrail.peers.transport.handshake import Meeting
+from ironrail.peers.transport.datagram_codec import FAILS, Reason, Wire
 
 KEYS, OTHERS = Keys(1, {1: bytes(32)}), Keys(1, {1: b"x" * 32})
 SIZES = (20, 100, 233)
@@ -101,7 +101,7 @@
     opened("replayed", [replayed] * TIMES, lambda: known, 0.0, Reason.REPEATED)
     ahead = forged(sender.start, Topic.CONSENSUS, bytes(100))
     fresh = [
-        layout.write_head(False, False, 1, 1, 0, sender.start, 2**30 + i) + d[15:]
+        datagram_format.write_head(False, False, 1, 1, 0, sender.start, 2**30 + i) + d[15:]
         for i, d in enumerate(ahead)
     ]
     opened("forged, life known, within the allowance", fresh, receiver, 10.0, Reason.MAC)
@@ -140,8 +140,8 @@
 
 
 def size() -> None:
-    for body in (20, 100, layout.ROOM, 300, 1000, MOST_BODY):
-        pieces, extra = layout.count_pieces(body), sealed_size(body) - body
+    for body in (20, 100, datagram_format.ROOM, 300, 1000, MOST_BODY):
+        pieces, extra = datagram_format.count_pieces(body), sealed_size(body) - body
         print(f"body of {body:5} bytes: {pieces:2} datagrams, {extra:4} bytes beside it ({extra / body:.0%})")
 
 
@@ -171,9 +171,9 @@
 def codec() -> None:
     """The header alone, written and read: struct as it is, struct with round sizes, MessagePack."""
     fields = (False, False, 1, 1, 999, 2**47 + 12345, 2**21)
-    head = layout.write_head(*fields)
-    show("struct, 15 bytes: write", each(partial(layout.write_head, *fields)))
-    show("struct, 15 bytes: read", each(partial(layout.read_head, head)))
+    head = datagram_format.write_head(*fields)
+    show("struct, 15 bytes: write", each(partial(datagram_format.write_head, *fields)))
+    show("struct, 15 bytes: read", each(partial(datagram_format.read_head, head)))
     plain = Struct(">BBHQQ")
     packed = plain.pack(1, 1, 999, 2**47, 2**21)
     show("struct >BBHQQ, 20 bytes: write", each(partial(plain.pack, 1, 1, 999, 2**47, 2**21)))
--- a/ironrail/net/peers/transport.py
+++ b/ironrail/net/peers/transport.py
@@ -15,8 +15,8 @@
 from ironrail.operator_file import PeerSettings
 from ironrail.peers.messages import ALL_PEERS, Outgoing, PeerProtocol, Timestamped, Topic
 from ironrail.peers.transport.keys import Keys
-from ironrail.peers.transport.outbox import Outbox
-from ironrail.peers.transport.wire import Wire
+from ironrail.peers.transport.send_queue import Outbox
+from ironrail.peers.transport.datagram_codec import Wire
 
 log = logging.getLogger(__name__)
 
--- a/ironrail/peers/transport/wire.py
+++ b/ironrail/peers/transport/datagram_codec.py
@@ -10,13 +10,13 @@
 from enum import IntEnum
 
 from ironrail.peers.messages import ALL_PEERS, MAX_DATAGRAM_BYTES, MAX_ROUTERS, Outgoing, Received, Topic
-from ironrail.peers.transport import layout
+from ironrail.peers.transport import datagram_format
 from ironrail.peers.transport.errors import StartError, TierError, UnsendableError
 from ironrail.peers.transport.keys import TO_ALL, Keys
-from ironrail.peers.transport.layout import HEAD_BYTES, LEAST_DATAGRAM, MAC_BYTES, Head
-from ironrail.peers.transport.meeting import Meeting, Meetings, decode
-from ironrail.peers.transport.pieces import Reassembly, cut
-from ironrail.peers.transport.sender import Allowance, Sender
+from ironrail.peers.transport.datagram_format import HEAD_BYTES, LEAST_DATAGRAM, MAC_BYTES, Head
+from ironrail.peers.transport.handshake import Meeting, Meetings, decode
+from ironrail.peers.transport.fragmentation import Reassembly, cut
+from ironrail.peers.transport.sender_state import Allowance, Sender
 
 FAILS = 2000  # failed MACs a second that are paid for in all, shared out among sources: 1% of a core
 FAILS_AT_ONCE = 8  # of one source: a change of keys or some damaged datagrams shut nobody out
@@ -66,7 +66,7 @@
             raise TierError(f"{routers} routers, where 2 to {MAX_ROUTERS} can be", "peers")
         if not 0 <= me < routers:
             raise TierError(f"this is router {me}, and there are {routers}", "peers")
-        if not 0 < start < layout.MOST_STARTS:
+        if not 0 < start < datagram_format.MOST_STARTS:
             raise StartError(f"{start} is no start of a process", "peers")
         self.me, self.start, self.routers = me, start, routers
         self._keys = keys
@@ -83,12 +83,12 @@
         to_all = say.to == ALL_PEERS
         if not to_all and (say.to == self.me or not 0 <= say.to < self.routers):
             raise UnsendableError(f"topic {say.topic}: router {say.to} is none to send to")
-        if len(say.body) > layout.MOST_BODY:
+        if len(say.body) > datagram_format.MOST_BODY:
             raise UnsendableError(f"topic {say.topic}: a body of {len(say.body)} bytes is too long")
         keys, to, parts = self._keys, TO_ALL if to_all else say.to, cut(say.body)
         sealed = []
         for part in parts:
-            head = layout.write_head(
+            head = datagram_format.write_head(
                 to_all, len(parts) > 1, say.topic, keys.sending, self.me, self.start, self._sequence
             )
             self._sequence += 1
@@ -144,11 +144,11 @@
             return Reason.FOREIGN
         if not LEAST_DATAGRAM <= len(datagram) <= MAX_DATAGRAM_BYTES:
             return Reason.LENGTH
-        if datagram[0] >> 5 != layout.VERSION:
+        if datagram[0] >> 5 != datagram_format.VERSION:
             return Reason.VERSION
         if datagram[1] not in self._keys:
             return Reason.KEY
-        head = layout.read_head(datagram)
+        head = datagram_format.read_head(datagram)
         if head.topic not in TOPICS or (head.topic == Topic.TRANSPORT and (head.to_all or head.piece)):
             return Reason.TOPIC
         if head.sender != source or source == self.me or not 0 <= source < self.routers:
--- a/ironrail/peers/transport/pieces.py
+++ b/ironrail/peers/transport/fragmentation.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass, field
 
 from ironrail.peers.messages import Topic
-from ironrail.peers.transport.layout import MOST_PIECES, PIECE_ROOM, ROOM
+from ironrail.peers.transport.datagram_format import MOST_PIECES, PIECE_ROOM, ROOM
 
 MOST_AGE = 5.0  # seconds for a whole body: its pieces are sent together
 MOST_OF_SENDER = 2  # unfinished bodies; a router sends one after the other
--- a/ironrail/peers/transport/meeting.py
+++ b/ironrail/peers/transport/handshake.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 
 from ironrail.peers.messages import Outgoing, Priority, Topic
-from ironrail.peers.transport.sender import NONCE_AGE, Allowance, Sender
+from ironrail.peers.transport.sender_state import NONCE_AGE, Allowance, Sender
 
 NONCE_BYTES = 8
 ASK_AGAIN = 1.0  # seconds: more than a round trip
--- a/ironrail/peers/transport/keys.py
+++ b/ironrail/peers/transport/keys.py
@@ -11,7 +11,7 @@
 from hmac import compare_digest
 
 from ironrail.peers.transport.errors import KeyIdError, SecretError
-from ironrail.peers.transport.layout import MAC_BYTES
+from ironrail.peers.transport.datagram_format import MAC_BYTES
 
 LEAST_SECRET, MOST_SECRET = 16, 64  # bytes: below, it might be guessed; BLAKE2b takes no more
 MOST_KEYS = 2  # the old and the new, while they change
--- a/ironrail/peers/transport/outbox.py
+++ b/ironrail/peers/transport/send_queue.py
@@ -13,7 +13,7 @@
 
 from ironrail.peers.messages import ALL_PEERS, Outgoing, Priority
 from ironrail.peers.transport.errors import PaceError, UnsendableError
-from ironrail.peers.transport.layout import MOST_BODY, sealed_size
+from ironrail.peers.transport.datagram_format import MOST_BODY, sealed_size
 
 PACE = 2000.0  # bytes a second of datagrams, without IP and UDP (28 bytes each)
 BURST = 4096.0  # bytes at once: two seconds' worth, and the longest body
--- a/ironrail/rehearsal/links/accord_watch.py
+++ b/ironrail/rehearsal/links/accord_watch.py
@@ -9,7 +9,7 @@
 
 from ironrail.peers.consensus import messages as m
 from ironrail.peers.messages import Topic
-from ironrail.peers.transport.layout import HEAD_BYTES, LEAST_DATAGRAM, MAC_BYTES, read_head
+from ironrail.peers.transport.datagram_format import HEAD_BYTES, LEAST_DATAGRAM, MAC_BYTES, read_head
 
 
 @dataclass(frozen=True, slots=True)
--- a/tests/wire_tier.py
+++ b/tests/datagram_harness.py
@@ -7,7 +7,7 @@
 
 from ironrail.peers.messages import Outgoing, Received, Topic
 from ironrail.peers.transport.keys import Keys
-from ironrail.peers.transport.wire import Reason, Wire
+from ironrail.peers.transport.datagram_codec import Reason, Wire
 
 OLD, NEW = b"an old secret of the tier", b"a new secret of the tier"
 KEYS = Keys(1, {1: OLD})
--- a/tests/peers/fuzz/accord.py
+++ b/tests/peers/fuzz/consensus_target.py
@@ -12,8 +12,8 @@
 from ironrail.peers.consensus.consensus_node import ConsensusNode
 from ironrail.peers.messages import Received
 from tests.peers.consensus.watching import FACTS, FLOOR, policy
-from tests.peers.fuzz.base import Attack, idle, must, size_of
-from tests.peers.fuzz.bodies import spoil, spoil_packed
+from tests.peers.fuzz.harness import Attack, idle, must, size_of
+from tests.peers.fuzz.mutations import spoil, spoil_packed
 
 KEPT = 120  # bodies that are remembered, to be spoilt and said again
 BYTES = 200_000  # of all that a room of a small tier keeps
--- a/tests/peers/fuzz/papers.py
+++ b/tests/peers/fuzz/document_targets.py
@@ -20,9 +20,9 @@
 from ironrail.peers.messages import Received
 from ironrail.policy.settings import RequestClass, Settings
 from tests.peers.consensus.watching import FACTS, policy
-from tests.peers.fuzz.accord import _samples
-from tests.peers.fuzz.base import EDGES, Attack, must
-from tests.peers.fuzz.bodies import spoil, spoil_packed
+from tests.peers.fuzz.consensus_target import _samples
+from tests.peers.fuzz.harness import EDGES, Attack, must
+from tests.peers.fuzz.mutations import spoil, spoil_packed
 
 TEXTS = (
     b'version = 7\nemptied = ["hall-b"]\nrates = { daily = 400.0 }\nfurther = { grid-read = 0.5 }\n',
--- a/tests/peers/fuzz/gossip.py
+++ b/tests/peers/fuzz/gossip_targets.py
@@ -14,8 +14,8 @@
 from ironrail.peers.zone_latency.room import LatencyRoom
 from ironrail.peers.zone_latency.sight import Link
 from ironrail.peers.zone_latency.spread import MOST_RUMOURS
-from tests.peers.fuzz.base import Attack, idle, must, size_of
-from tests.peers.fuzz.bodies import latency_body, regions_body, spoil
+from tests.peers.fuzz.harness import Attack, idle, must, size_of
+from tests.peers.fuzz.mutations import latency_body, regions_body, spoil
 
 BYTES = 6_000_000  # of a room of the largest tier, as docs/peers have it
 REGIONS = {count: Regions({f"r{n}": [f"10.{n}.0.0/16"] for n in range(count)}) for count in (1, 6, 255)}
--- a/tests/peers/fuzz/bodies.py
+++ b/tests/peers/fuzz/mutations.py
@@ -9,7 +9,7 @@
 
 from ironrail.peers.steering import reports as regions
 from ironrail.peers.zone_latency import reports as latency
-from tests.peers.fuzz.base import EDGES
+from tests.peers.fuzz.harness import EDGES
 
 MOST = 3696  # bytes that the wire carries at once
 
--- a/tests/peers/fuzz/wires.py
+++ b/tests/peers/fuzz/transport_targets.py
@@ -5,13 +5,13 @@
 import random
 
 from ironrail.peers.messages import ALL_PEERS, MAX_DATAGRAM_BYTES, Outgoing, Priority, Topic
-from ironrail.peers.transport import layout
+from ironrail.peers.transport import datagram_format
 from ironrail.peers.transport.keys import TO_ALL, Keys
-from ironrail.peers.transport.outbox import BURST, MOST_SAYS, MOST_WAITING, Outbox
-from ironrail.peers.transport.pieces import MOST_IN_ALL
-from ironrail.peers.transport.wire import MEETINGS, Wire
-from tests.peers.fuzz.base import LEAST_WAIT, Attack, must
-from tests.peers.fuzz.bodies import spoil
+from ironrail.peers.transport.send_queue import BURST, MOST_SAYS, MOST_WAITING, Outbox
+from ironrail.peers.transport.fragmentation import MOST_IN_ALL
+from ironrail.peers.transport.datagram_codec import MEETINGS, Wire
+from tests.peers.fuzz.harness import LEAST_WAIT, Attack, must
+from tests.peers.fuzz.mutations import spoil
 
 KEYS, WRONG = Keys(1, {1: b"a secret of the tier"}), Keys(1, {1: b"a secret of nobody's"})
 ROUTERS, LIAR = 6, 5
@@ -64,11 +64,11 @@
         match draws.randrange(12):
             case 0 | 1 | 2:
                 self.count += 1
-                size = draws.choice((0, 9, 200, 233, 234, 700, layout.MOST_BODY))
+                size = draws.choice((0, 9, 200, 233, 234, 700, datagram_format.MOST_BODY))
                 body = b"%d " % self.count + draws.randbytes(size)
                 sender = self.lives[me]
-                self.sent.setdefault((me, sender.start), set()).add(body[: layout.MOST_BODY])
-                say = Outgoing(draws.choice((0, 0, ALL_PEERS)), draws.choice(ROOMS), body[: layout.MOST_BODY])
+                self.sent.setdefault((me, sender.start), set()).add(body[: datagram_format.MOST_BODY])
+                say = Outgoing(draws.choice((0, 0, ALL_PEERS)), draws.choice(ROOMS), body[: datagram_format.MOST_BODY])
                 sealed = [(me, datagram) for _, datagram in sender.seal(say)]
                 self.recorded = [*self.recorded[-200:], *sealed]
                 for source, datagram in sealed if draws.random() < 0.8 else draws.sample(sealed, len(sealed)):
@@ -108,7 +108,7 @@
         start = draws.choice((self.lives[sender].start, 1, 2**48 - 1, draws.randrange(2**48)))
         sequence = draws.choice((0, 1, 2**40 - 1, draws.randrange(2**40), self.lives[sender]._sequence))
         to_all, piece = draws.random() < 0.3, draws.random() < 0.5
-        head = layout.write_head(to_all, piece, draws.randrange(8), 1, sender, start, sequence)
+        head = datagram_format.write_head(to_all, piece, draws.randrange(8), 1, sender, start, sequence)
         body = draws.choice((bytes([draws.randrange(18), draws.randrange(18)]), bytes([draws.randrange(5)])))
         data = head + body + draws.randbytes(draws.choice((0, 1, 8, 16, 230)))
         return data + keys.mac(TO_ALL if to_all else 0, data)
@@ -135,7 +135,7 @@
     def step(self) -> None:
         draws = self.draws
         if draws.random() < 0.7:
-            size = draws.choice((0, 50, 200, 234, layout.MOST_BODY, layout.MOST_BODY + 1))
+            size = draws.choice((0, 50, 200, 234, datagram_format.MOST_BODY, datagram_format.MOST_BODY + 1))
             to = draws.choice((ALL_PEERS, 1, self.others, self.others + 1, 0, -7))
             say = Outgoing(to, draws.choice(ROOMS), draws.randbytes(size), draws.choice(list(Priority)))
             self.box.put(self.now, say)
--- a/tests/peers/test_fuzz.py
+++ b/tests/peers/test_fuzz.py
@@ -26,11 +26,11 @@
 from ironrail.peers.zone_latency.room import LatencyRoom
 from tests.peers import scenario
 from tests.peers.consensus.watching import FACTS, FLOOR, policy
-from tests.peers.fuzz.accord import Accord, _state
-from tests.peers.fuzz.base import Attack, Make, run, size_of
-from tests.peers.fuzz.gossip import Latency, OfRegions
-from tests.peers.fuzz.papers import Documents, Posts, Records, place
-from tests.peers.fuzz.wires import Outboxes, Wires
+from tests.peers.fuzz.consensus_target import Accord, _state
+from tests.peers.fuzz.harness import Attack, Make, run, size_of
+from tests.peers.fuzz.gossip_targets import Latency, OfRegions
+from tests.peers.fuzz.document_targets import Documents, Posts, Records, place
+from tests.peers.fuzz.transport_targets import Outboxes, Wires
 
 TARGETS: dict[str, tuple[Make, int, int]] = {  # how many episodes of how many inputs
     "wire": (Wires, 4, 200),
--- a/tests/peers/transport/test_wire_bodies.py
+++ b/tests/peers/transport/test_datagram_integrity.py
@@ -10,9 +10,9 @@
 
 from ironrail.peers.messages import ALL_PEERS, MAX_DATAGRAM_BYTES, Outgoing, Received, Topic
 from ironrail.peers.transport.errors import UnsendableError
-from ironrail.peers.transport.layout import MOST_BODY, ROOM, sealed_size
-from ironrail.peers.transport.wire import Reason
-from tests.wire_tier import datagrams, heard, met, reason, wire
+from ironrail.peers.transport.datagram_format import MOST_BODY, ROOM, sealed_size
+from ironrail.peers.transport.datagram_codec import Reason
+from tests.datagram_harness import datagrams, heard, met, reason, wire
 
 BODIES = st.one_of(
     st.binary(max_size=40),
--- a/tests/peers/transport/test_wire_lives.py
+++ b/tests/peers/transport/test_incarnations.py
@@ -8,9 +8,9 @@
 
 from ironrail.peers.messages import ALL_PEERS, Outgoing, Topic
 from ironrail.peers.transport.keys import Keys
-from ironrail.peers.transport.sender import REPLACED, WINDOW, Sender
-from ironrail.peers.transport.wire import Reason
-from tests.wire_tier import KEYS, NEW, OLD, datagrams, heard, meet, met, pass_on, reason, wire
+from ironrail.peers.transport.sender_state import REPLACED, WINDOW, Sender
+from ironrail.peers.transport.datagram_codec import Reason
+from tests.datagram_harness import KEYS, NEW, OLD, datagrams, heard, meet, met, pass_on, reason, wire
 
 
 @given(st.lists(st.integers(0, 3 * WINDOW), max_size=60))
--- a/tests/peers/transport/test_wire_outbox.py
+++ b/tests/peers/transport/test_send_queue.py
@@ -9,9 +9,9 @@
 
 from ironrail.peers.messages import ALL_PEERS, MAX_ROUTERS, Outgoing, Priority, Topic
 from ironrail.peers.transport.errors import PaceError
-from ironrail.peers.transport.layout import MOST_BODY, sealed_size
-from ironrail.peers.transport.outbox import BURST, MOST_SAYS, MOST_WAITING, PACE, Outbox
-from tests.wire_tier import wire
+from ironrail.peers.transport.datagram_format import MOST_BODY, sealed_size
+from ironrail.peers.transport.send_queue import BURST, MOST_SAYS, MOST_WAITING, PACE, Outbox
+from tests.datagram_harness import wire
 
 
 def outbox(routers: int = 10) -> Outbox:
--- a/tests/peers/transport/test_wire_errors.py
+++ b/tests/peers/transport/test_transport_errors.py
@@ -9,8 +9,8 @@
 from ironrail.errors import InputError, all_errors
 from ironrail.peers.transport import errors
 from ironrail.peers.transport.keys import Keys
-from ironrail.peers.transport.wire import Wire
-from tests.wire_tier import KEYS, NEW, OLD, draws
+from ironrail.peers.transport.datagram_codec import Wire
+from tests.datagram_harness import KEYS, NEW, OLD, draws
 
 CASES: list[tuple[type[InputError], Callable[[], object]]] = [
     (errors.SecretError, lambda: Keys(1, {1: bytes(15)})),
--- a/tests/peers/transport/test_wire_bounds.py
+++ b/tests/peers/transport/test_transport_limits.py
@@ -9,11 +9,11 @@
 
 from ironrail.peers.messages import MAX_DATAGRAM_BYTES, MAX_ROUTERS, Topic
 from ironrail.peers.transport.keys import Keys
-from ironrail.peers.transport.layout import LEAST_DATAGRAM, MOST_BODY
-from ironrail.peers.transport.meeting import Meeting
-from ironrail.peers.transport.pieces import MOST_AGE, MOST_IN_ALL
-from ironrail.peers.transport.wire import FAILS, FAILS_AT_ONCE, MEETINGS, Reason, Wire
-from tests.wire_tier import datagrams, heard, meet, met, pass_on, wire
+from ironrail.peers.transport.datagram_format import LEAST_DATAGRAM, MOST_BODY
+from ironrail.peers.transport.handshake import Meeting
+from ironrail.peers.transport.fragmentation import MOST_AGE, MOST_IN_ALL
+from ironrail.peers.transport.datagram_codec import FAILS, FAILS_AT_ONCE, MEETINGS, Reason, Wire
+from tests.datagram_harness import datagrams, heard, meet, met, pass_on, wire
 
 FORGED = Keys(1, {1: b"a secret nobody else has"})
 
--- a/tests/test_stored_forms.py
+++ b/tests/test_stored_forms.py
@@ -17,7 +17,7 @@
 from ironrail.peers.consensus import messages as m
 from ironrail.peers.messages import Received, Topic
 from ironrail.peers.zone_latency import reports as latency_reports
-from tests.wire_tier import datagrams, meet, wire
+from tests.datagram_harness import datagrams, meet, wire
 
 FORMS = Path(__file__).with_name("stored_forms.json")
 
