--- a/benchmarks/peers_wire.py
+++ b/benchmarks/peers_wire.py
@@ -150,7 +150,10 @@
 def size() -> None:
     for body in (20, 100, datagram_format.MAX_SINGLE_BODY_BYTES, 300, 1000, MAX_BODY_BYTES):
         fragments, overhead = datagram_format.count_fragments(body), sealed_size(body) - body
-        print(f"body of {body:5} bytes: {fragments:2} datagrams, {overhead:4} bytes of overhead ({overhead / body:.0%})")
+        print(
+            f"body of {body:5} bytes: {fragments:2} datagrams,"
+            f" {overhead:4} bytes of overhead ({overhead / body:.0%})"
+        )
 
 
 def memory() -> None:
@@ -173,7 +176,10 @@
     assert all(receiver.proven_incarnation(index) for index in range(1, MAX_ROUTERS))
     allocated = tracemalloc.get_traced_memory()[0] - before
     tracemalloc.stop()
-    print(f"a receiver of {MAX_ROUTERS - 1} senders, replay windows in use, all with incomplete bodies: {allocated / 1e6:.2f} MB")
+    print(
+        f"a receiver of {MAX_ROUTERS - 1} senders, replay windows in use, all with incomplete bodies:"
+        f" {allocated / 1e6:.2f} MB"
+    )
 
 
 def header_encodings() -> None:
--- a/ironrail/net/peers/admin_documents.py
+++ b/ironrail/net/peers/admin_documents.py
@@ -1,4 +1,4 @@
-"""Parses the documents that operators post to the admin endpoint, and builds its text responses."""
+"""Parses documents posted to the admin endpoint, and builds its text responses."""
 
 from __future__ import annotations
 
--- a/ironrail/net/peers/node_identity.py
+++ b/ironrail/net/peers/node_identity.py
@@ -1,4 +1,4 @@
-"""The identity of this router within its peer group, passed to each component that talks to peers."""
+"""The identity of this router within its peer group, passed to each peer component."""
 
 from __future__ import annotations
 
@@ -27,6 +27,9 @@
     rng: random.Random
 
     def zone_indices(self) -> tuple[list[str], list[int]]:
-        """Return the distinct zones, in the same order on every router, and each router's index in them."""
+        """Return the distinct zones, sorted, and the index of each router's zone in them.
+
+        The order is the same on every router.
+        """
         names = sorted(set(self.zones))
         return names, [names.index(zone) for zone in self.zones]
--- a/ironrail/net/peers/policies.py
+++ b/ironrail/net/peers/policies.py
@@ -1,7 +1,7 @@
 """Drives the consensus protocol of this router: its record on disk and its admin endpoint.
 
-The effective policy is passed to the decision module as an event. It is checked again before each decision,
-because a lease may have expired while the process was suspended.
+The effective policy is passed to the decision module as an event. It is checked again before each
+decision, because a lease may have expired while the process was suspended.
 """
 
 from __future__ import annotations
@@ -55,7 +55,9 @@
 
 
 def read_fallback_policy(path: str) -> p.Policy:
-    """Read the policy that applies while there is no effective one; an empty path is an empty policy.
+    """Read the policy that applies while there is no effective one.
+
+    With an empty path it is a policy without fields.
 
     Raises:
         OperatorError: The file can't be used.
@@ -254,14 +256,15 @@
     def propose(self, body: bytes) -> Response:
         """Propose the policy in a TOML document.
 
-        A list `voters` in the document replaces the current voters. A document with only `version` and
-        `voters` proposes the policy in force unchanged, under that version.
+        A list `voters` in the document replaces the current voters. A document with only `version`
+        and `voters` proposes the policy in force unchanged, under that version.
 
         Args:
             body: The document.
 
         Returns:
-            202 if the proposal has started, 409 if none can be made now, 400 if the document is invalid.
+            202 if the proposal has started, 409 if none can be made now, 400 if the document is
+            invalid.
         """
         now = self._now()
         try:
--- a/ironrail/net/peers/record_store.py
+++ b/ironrail/net/peers/record_store.py
@@ -54,7 +54,8 @@
     def write(self, name: str, data: bytes) -> None:
         """Implement `RecordStore.write`.
 
-        The checksum before the data detects a file that the disk truncated or corrupted all the same.
+        The checksum before the data detects a file that the disk truncated or corrupted all the
+        same.
         """
         temporary = self._folder / f"{name}.half"
         try:
--- a/ironrail/net/peers/runtime.py
+++ b/ironrail/net/peers/runtime.py
@@ -40,7 +40,7 @@
         """The protocol that this component drives."""
 
     def publish_changes(self) -> None:
-        """Pass changes of the protocol's state to the decision module; called after each peer event."""
+        """Pass changes of state to the decision module; called after each peer event."""
 
     def pages(self) -> dict[str, Handler]:
         """Return handlers for the admin endpoint, by path."""
--- a/ironrail/net/peers/transport.py
+++ b/ironrail/net/peers/transport.py
@@ -59,9 +59,11 @@
 
 
 def draw_incarnation(system: System) -> int:
-    """Return an identifier for this process, above those of earlier ones unless the wall clock steps back.
+    """Return an identifier for this process.
 
-    It only distinguishes the incarnations of a router; a handshake proves which one is alive.
+    It is above those of earlier processes unless the wall clock steps back.
+
+    It only distinguishes the incarnations of a router; a handshake proves which one is running.
     """
     drawn = int.from_bytes(os.urandom(1), "big") >> (8 - INCARNATION_RANDOM_BITS)
     return ((int(system.wall() * 1000) << INCARNATION_RANDOM_BITS) | drawn) % (1 << 48) or 1
@@ -170,7 +172,7 @@
         self.flush()
 
     def error_received(self, exc: Exception) -> None:
-        """Ignore an ICMP error, as from a peer that is down: the protocols repeat their messages."""
+        """Ignore ICMP errors, as of a peer that is down: the protocols repeat their messages."""
 
     # Timers and sending
 
--- a/ironrail/peers/messages.py
+++ b/ironrail/peers/messages.py
@@ -1,8 +1,8 @@
 """The types that the protocols of `ironrail/peers/` and their driver share.
 
-A router is identified by its index among all routers (`settings.me`, the position of its address in
-`peers`), a zone by its name. Times are seconds on the router's own monotonic clock, which is not comparable
-with the clocks of other routers.
+A router is identified by its index among all routers (`settings.me`, the position of its address
+in `peers`), a zone by its name. Times are seconds on the router's own monotonic clock, which is
+not comparable with the clocks of other routers.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 
 
 class Priority(IntEnum):
-    """The order of sending when more is queued than the rate limit admits; the last is dropped first."""
+    """The order of sending when the rate limit delays messages; the last is dropped first."""
 
     VOTE = 0  # promises, votes, decisions
     LEASE = 1  # lease renewals and their replies
@@ -58,8 +58,9 @@
 
     Attributes:
         sender: The sender's index.
-        incarnation: Identifies the sender's process. Another incarnation of the same sender is another
-            process without its memory; messages of a replaced process are no longer received.
+        incarnation: Identifies the sender's process. Another incarnation of the same sender is
+            another process without its memory; messages of a replaced process are no longer
+            received.
         body: The encoded message.
     """
 
@@ -95,7 +96,7 @@
 
 @runtime_checkable
 class Timestamped(Protocol):
-    """A protocol whose messages carry the time of sending, unknown until they leave the send queue."""
+    """A protocol whose messages carry the time at which they leave the send queue."""
 
     def with_timestamp(self, now: float, outgoing: Outgoing) -> Outgoing:
         """Return the message with the time of sending filled in; of the same length."""
--- a/ironrail/peers/transport/datagram_codec.py
+++ b/ironrail/peers/transport/datagram_codec.py
@@ -1,8 +1,9 @@
 """Seals messages into datagrams and opens received ones.
 
-Opening accepts each datagram at most once, unforged, from the current process of a router, and passes on only
-complete messages. All checks that are cheap come before the MAC, whose failures are limited for each source;
-nothing in a datagram is trusted before its MAC is verified. `docs/peers/wire.md` has the rationale.
+Opening accepts each datagram at most once, unforged, from the current process of a router, and
+passes on only complete messages. All checks that are cheap come before the MAC, whose failures are
+limited for each source; nothing in a datagram is trusted before its MAC is verified.
+`docs/peers/wire.md` has the rationale.
 """
 
 from __future__ import annotations
@@ -263,8 +264,8 @@
     ) -> OpenedMessages | DropReason:
         """Process a datagram that bears an incarnation that is not proven.
 
-        Only handshakes are accepted. Any other datagram, if its MAC is valid, is a reason to challenge
-        that incarnation.
+        Only handshakes are accepted. Any other datagram, if its MAC is valid, is a reason to
+        challenge that incarnation.
         """
         if header.incarnation in sender.replaced_incarnations:
             return DropReason.REPLACED
--- a/ironrail/peers/transport/datagram_format.py
+++ b/ironrail/peers/transport/datagram_format.py
@@ -1,6 +1,7 @@
 """The header of a datagram: how it is encoded and decoded, and how many bytes of a body fit.
 
-All numbers are big-endian. The fields are specified in `docs/peers/wire.md`. Decoding validates nothing.
+All numbers are big-endian. The fields are specified in `docs/peers/wire.md`. Decoding validates
+nothing.
 """
 
 from __future__ import annotations
--- a/ironrail/peers/transport/fragmentation.py
+++ b/ironrail/peers/transport/fragmentation.py
@@ -106,7 +106,7 @@
             self.expired += 1
 
     def drop_sender(self, sender: int) -> None:
-        """Drop the incomplete bodies of a sender whose process was replaced: they can't be completed."""
+        """Drop the incomplete bodies of a replaced process, as they will never be completed."""
         for body_id in (
             [body_id for body_id in self._bodies if body_id[0] == sender]
             if sender in self._bodies_per_sender
--- a/ironrail/peers/transport/handshake.py
+++ b/ironrail/peers/transport/handshake.py
@@ -1,8 +1,8 @@
-"""The challenge-response handshake by which routers prove to each other that their process is running.
+"""The challenge-response handshake that proves which process of a router is running.
 
-A challenge carries a nonce, a response returns it; one datagram may carry both. Handshakes are limited to a
-rate and sent in the order in which they became due, with one entry for each router, so that a flood from one
-router does not delay the others.
+A challenge carries a nonce, a response returns it; one datagram may carry both. Handshakes are
+limited to a rate and sent in the order in which they became due, with one entry for each router,
+so that a flood from one router does not delay the others.
 """
 
 from __future__ import annotations
@@ -83,7 +83,7 @@
         ) or now - sender.challenged_at < CHALLENGE_RETRY_SECONDS
 
     def has_pending_response(self, peer_index: int) -> bool:
-        """Return whether a response to this router is due; its next challenge has to wait for that."""
+        """Return whether a response to this router is due; its next challenge has to wait."""
         pending = self._pending.get(peer_index)
         return pending is not None and bool(pending.response)
 
--- a/ironrail/peers/transport/keys.py
+++ b/ironrail/peers/transport/keys.py
@@ -1,7 +1,7 @@
-"""The operator's shared secrets, and the MAC that proves that a datagram was made with one of them.
+"""The operator's shared secrets, and the MAC that proves knowledge of one of them.
 
-The MAC is keyed BLAKE2s of the standard library with 8-byte digests. Whoever has the secret is trusted in
-everything, as any router is. Nothing is encrypted.
+The MAC is keyed BLAKE2s of the standard library with 8-byte digests. Whoever has the secret is
+trusted in everything, as any router is. Nothing is encrypted.
 """
 
 from __future__ import annotations
@@ -13,7 +13,8 @@
 from ironrail.peers.transport.datagram_format import MAC_BYTES
 from ironrail.peers.transport.errors import KeyIdError, SecretError
 
-MIN_SECRET_BYTES, MAX_SECRET_BYTES = 16, 64  # a shorter one might be guessed; BLAKE2b takes no more
+# A shorter one might be guessed; BLAKE2b takes no longer one.
+MIN_SECRET_BYTES, MAX_SECRET_BYTES = 16, 64
 MAX_KEYS = 2  # the old and the new one during a key rotation
 MAX_KEY_ID = 255
 BROADCAST_RECEIVER = 0xFFFF  # in the MAC, in place of a receiver's index
@@ -78,7 +79,7 @@
 
 
 def _hash_state(secret: bytes) -> blake2s:
-    """Derive the 32-byte BLAKE2s key, bound to this purpose, so that the secret may serve others."""
+    """Derive the 32-byte key, bound to this purpose so that the secret may have others."""
     key = blake2b(key=secret, digest_size=32, person=b"ironrail-wire-1").digest()
     return blake2s(key=key, digest_size=MAC_BYTES)
 
--- a/ironrail/peers/transport/send_queue.py
+++ b/ironrail/peers/transport/send_queue.py
@@ -1,9 +1,10 @@
-"""The send queue: one rate limit for everything that a router sends to its peers, however many they are.
+"""The send queue: one rate limit for all that a router sends, however many its peers are.
 
-There are two token buckets. A message that fits the burst is paid from the first one, in order of priority.
-A message that costs more than the burst, as one to `ALL_PEERS` with many routers, accumulates tokens in the
-second one, from half of the rate, while the other messages go on. Messages are sealed when they leave the
-queue: one that was sealed earlier would be too old for its receivers' replay windows.
+There are two token buckets. A message that fits the burst is paid from the first one, in order of
+priority. A message that costs more than the burst, as one to `ALL_PEERS` with many routers,
+accumulates tokens in the second one, from half of the rate, while the other messages go on.
+Messages are sealed when they leave the queue: one that was sealed earlier would be too old for its
+receivers' replay windows.
 """
 
 from __future__ import annotations
@@ -19,7 +20,7 @@
 DEFAULT_BYTES_PER_SECOND = 2000.0  # of datagrams without IP and UDP headers, 28 bytes each
 DEFAULT_BURST_BYTES = 4096.0  # two seconds' worth, and enough for the longest body
 MIN_BYTES_PER_SECOND = 100.0  # below it, a challenge and its response take a second
-MAX_QUEUED_BYTES = 64 * 1024  # of bodies: a message that has waited over half a minute is of no use
+MAX_QUEUED_BYTES = 64 * 1024  # of bodies: one that has waited over half a minute is of no use
 MAX_QUEUED_MESSAGES = 2048  # two for each of 1000 routers
 # Bytes of the burst that each priority leaves to the higher ones.
 RESERVED_BYTES = {
--- a/ironrail/peers/transport/sender_state.py
+++ b/ironrail/peers/transport/sender_state.py
@@ -1,7 +1,7 @@
-"""What a receiver keeps of one sender: its proven incarnation, replay window and limits of failed checks.
+"""What a receiver keeps of one sender: incarnation, replay window, limits of failed checks.
 
-A challenge that only a running process can answer tells which of two incarnations is the current one: see
-`docs/peers/wire.md`.
+A challenge that only a running process can answer tells which of two incarnations is the current
+one: see `docs/peers/wire.md`.
 """
 
 from __future__ import annotations
@@ -9,11 +9,11 @@
 from dataclasses import dataclass
 from typing import Final
 
-# Datagrams. At 2000 bytes per second of the shortest datagrams, 23 bytes, one that arrives up to 5.9 s
-# after a later one is still accepted.
+# Datagrams. At 2000 bytes per second of the shortest datagrams, 23 bytes, one that arrives up to
+# 5.9 s after a later one is still accepted.
 REPLAY_WINDOW = 512
-# Earlier incarnations that are refused without a challenge; any other would have to answer one, which a
-# process that has ended can't.
+# Earlier incarnations that are refused without a challenge; any other would have to answer one,
+# which a process that has ended can't.
 MAX_REPLACED_INCARNATIONS = 4
 # After a restart 999 others send a challenge at once, and are answered within 40 s.
 MAX_NONCE_AGE_SECONDS = 60.0
@@ -59,8 +59,8 @@
         nonce: The nonce of the challenge that waits for a response; empty without one.
         nonce_created_at: When that nonce was drawn.
         challenged_at: When the latest challenge was sent.
-        proven_failures: Limits failed MAC checks of datagrams that bear the proven incarnation or the
-            nonce.
+        proven_failures: Limits failed MAC checks of datagrams that bear the proven incarnation or
+            the nonce.
         unproven_failures: Limits failed MAC checks of all others.
     """
 
@@ -75,7 +75,7 @@
     unproven_failures: RateLimiter | None = None
 
     def is_fresh(self, sequence: int) -> bool:
-        """Return whether this datagram of the proven incarnation is neither a repeat nor too old."""
+        """Return whether a datagram of the proven incarnation is neither repeated nor too old."""
         behind = self.highest_sequence - sequence
         return behind < 0 or (behind < REPLAY_WINDOW and not self.seen_mask >> behind & 1)
 
@@ -93,8 +93,8 @@
     def accept_incarnation(self, incarnation: int, sequence: int) -> None:
         """Make an incarnation that has answered a challenge with this datagram the proven one.
 
-        Its earlier datagrams count as seen: an earlier incarnation of this router may have received
-        them, and anyone may replay them.
+        Its earlier datagrams count as seen: an earlier incarnation of this router may have
+        received them, and anyone may replay them.
         """
         if self.incarnation is not None:
             self.replaced_incarnations = (*self.replaced_incarnations, self.incarnation)[
--- a/tests/datagram_harness.py
+++ b/tests/datagram_harness.py
@@ -1,4 +1,4 @@
-"""Codecs of one peer group without a network: tests pass datagrams on, and random bytes are reproducible."""
+"""Codecs of one peer group without a network, with reproducible random bytes."""
 
 from __future__ import annotations
 
--- a/tests/peers/fuzz/__init__.py
+++ b/tests/peers/fuzz/__init__.py
@@ -1,1 +1,1 @@
-"""Fuzzing of `ironrail/peers/` with reproducible seeds, run by `benchmarks/peers_fuzz.py` and `test_fuzz.py`."""
+"""Fuzzing of `ironrail/peers/` by seed; run by `benchmarks/peers_fuzz.py` and `test_fuzz.py`."""
--- a/tests/peers/fuzz/harness.py
+++ b/tests/peers/fuzz/harness.py
@@ -1,4 +1,4 @@
-"""Runs fuzz targets input by input and records errors, the slowest input, and bytes sent per byte received."""
+"""Runs fuzz targets input by input, and records findings, CPU time and amplification."""
 
 from __future__ import annotations
 
