--- a/tests/peers/fuzz/consensus_target.py
+++ b/tests/peers/fuzz/consensus_target.py
@@ -23,11 +23,11 @@
 class ConsensusTarget(FuzzTarget):
     """A few nodes whose messages are lost at times, and an attacker that records all of them."""
 
-    def __init__(self, draws: random.Random) -> None:
-        super().__init__(draws)
-        self.now = draws.choice((0.0, 1e6))
-        routers, self.disk = draws.choice((4, 5, 40)), draws.random() < 0.5
-        self.routers, self.voters = routers, tuple(range(draws.choice((3, 3, 5)) if routers > 4 else 3))
+    def __init__(self, rng: random.Random) -> None:
+        super().__init__(rng)
+        self.now = rng.choice((0.0, 1e6))
+        routers, self.disk = rng.choice((4, 5, 40)), rng.random() < 0.5
+        self.routers, self.voters = routers, tuple(range(rng.choice((3, 3, 5)) if routers > 4 else 3))
         self.incarnations = dict.fromkeys(range(routers), 1)
         self.running = [*self.voters, *range(routers - 3, routers)]
         self.nodes = {router_index: self.make_node(router_index) for router_index in set(self.running)}
@@ -37,14 +37,14 @@
         self.version = 1
         for router_index in self.nodes:
             self.take_effects(router_index)
-        if draws.random() < 0.8:
+        if rng.random() < 0.8:
             self.bootstrap_group()
 
     def bootstrap_group(self) -> None:
         """Bootstrap, and let the nodes decide on a policy: mutated messages do more than noise only then."""
         self.nodes[0].bootstrap(self.now, 1, policy(1))
         self.take_effects(0)
-        for _ in range(self.draws.choice((60, 150, 300))):
+        for _ in range(self.rng.choice((60, 150, 300))):
             self.now += 0.05
             while self.waiting:
                 self.deliver(*self.waiting.pop(0))
@@ -65,7 +65,7 @@
             self.incarnations[router_index],
             self.routers,
             self.voters,
-            max_direct_routers=self.draws.choice((32, 4)),
+            max_direct_routers=self.rng.choice((32, 4)),
             persists_records=disk,
         )
         return ConsensusNode(conf, FACTS, FLOOR, self.now, conf.start, record)
@@ -76,10 +76,10 @@
         self.record_writes += [(router_index, write) for write in node.take_records()]
         for outgoing in node.take_outgoing():
             self.bytes_sent += len(outgoing.body)
-            self.recorded[self.draws.randrange(len(self.recorded))] = outgoing.body
+            self.recorded[self.rng.randrange(len(self.recorded))] = outgoing.body
             if len(self.recorded) < MAX_RECORDED:
                 self.recorded.append(outgoing.body)
-            if outgoing.to in self.nodes and self.draws.random() < 0.9:
+            if outgoing.to in self.nodes and self.rng.random() < 0.9:
                 self.waiting.append((outgoing.to, router_index, self.incarnations[router_index], outgoing.body))
         del self.waiting[:-400]
 
@@ -93,64 +93,64 @@
         self.take_effects(to)
 
     def step(self) -> None:
-        draws, router_index = self.draws, self.draws.choice(self.running)
-        match draws.randrange(20):
+        rng, router_index = self.rng, self.rng.choice(self.running)
+        match rng.randrange(20):
             case 0 | 1 | 2 | 3 | 4 | 5 if self.waiting:
-                for _ in range(draws.choice((1, 1, len(self.waiting)))):
-                    self.deliver(*self.waiting.pop(draws.choice((0, 0, draws.randrange(len(self.waiting))))))
+                for _ in range(rng.choice((1, 1, len(self.waiting)))):
+                    self.deliver(*self.waiting.pop(rng.choice((0, 0, rng.randrange(len(self.waiting))))))
             case 6 | 7 | 8 | 9 | 10:
                 self.attack(router_index)
             case 11 | 12 | 13 | 14:
-                self.now += draws.choice((0.0, 0.01, 0.3, 1.0))
+                self.now += rng.choice((0.0, 0.01, 0.3, 1.0))
                 self.timed(self.nodes[router_index].on_timer, self.now)
                 self.take_effects(router_index)
-            case 15 if draws.random() < 0.2:
-                self.now += draws.choice((5.0, 60.0, 1e5))
+            case 15 if rng.random() < 0.2:
+                self.now += rng.choice((5.0, 60.0, 1e5))
             case 16 if self.record_writes:
-                at, write = self.record_writes.pop(draws.choice((0, -1)))
-                complete = draws.choice((self.nodes[at].on_record_written, self.nodes[at].on_record_failed))
+                at, write = self.record_writes.pop(rng.choice((0, -1)))
+                complete = rng.choice((self.nodes[at].on_record_written, self.nodes[at].on_record_failed))
                 complete(self.now, write.token)
                 self.take_effects(at)
             case 17:
                 self.operate(router_index)
-            case 18 if draws.random() < 0.2:
+            case 18 if rng.random() < 0.2:
                 self.incarnations[router_index] += 1
                 record = next((write.record for at, write in reversed(self.record_writes) if at == router_index), None)
                 self.record_writes = [write for write in self.record_writes if write[0] != router_index]
                 self.nodes[router_index] = self.make_node(router_index, record)
                 self.take_effects(router_index)
-            case 19 if draws.random() < 0.1:
+            case 19 if rng.random() < 0.1:
                 idle(self.nodes[router_index], self.now)
                 self.take_effects(router_index)
 
     def attack(self, to: int) -> None:
-        draws = self.draws
-        old = draws.choice(self.recorded)
-        match draws.randrange(6):
+        rng = self.rng
+        old = rng.choice(self.recorded)
+        match rng.randrange(6):
             case 0:
-                body = mutate(draws, old, self.recorded)
+                body = mutate(rng, old, self.recorded)
             case 1:
                 body = old
             case 2:  # a document that a node may have been made to request
-                wanted = policy(draws.randrange(1, 2000), draws.random())
-                self.deliver(to, *self.claimed_identity(), m.encode(m.BootstrapOffer(random_state(draws, wanted))))
+                wanted = policy(rng.randrange(1, 2000), rng.random())
+                self.deliver(to, *self.claimed_identity(), m.encode(m.BootstrapOffer(random_state(rng, wanted))))
                 body = m.encode(m.Document(p.encode(wanted)))
             case _:
-                body = mutate_msgpack(draws, old, self.recorded)
+                body = mutate_msgpack(rng, old, self.recorded)
         self.deliver(to, *self.claimed_identity(), body)
 
     def claimed_identity(self) -> tuple[int, int]:
         """Return the sender and incarnation that the attacker claims; the transport would drop most."""
-        sender = self.draws.choice((self.routers - 1, *self.voters))
-        return sender, self.draws.choice((self.incarnations[sender], 1, self.draws.randrange(1, 2**48)))
+        sender = self.rng.choice((self.routers - 1, *self.voters))
+        return sender, self.rng.choice((self.incarnations[sender], 1, self.rng.randrange(1, 2**48)))
 
     def operate(self, router_index: int) -> None:
-        node, self.version = self.nodes[router_index], self.version + self.draws.choice((0, 1, 1))
+        node, self.version = self.nodes[router_index], self.version + self.rng.choice((0, 1, 1))
         try:
-            if self.draws.random() < 0.3:
-                node.bootstrap(self.now, self.draws.choice((1, 2, 2**20 - 1)), policy(self.version))
+            if self.rng.random() < 0.3:
+                node.bootstrap(self.now, self.rng.choice((1, 2, 2**20 - 1)), policy(self.version))
             else:
-                node.propose(self.now, policy(self.version), self.draws.choice((0.5, 20.0)))
+                node.propose(self.now, policy(self.version), self.rng.choice((0.5, 20.0)))
         except IronrailError:
             pass
         self.take_effects(router_index)
@@ -173,9 +173,9 @@
             self.now = max(self.now, idle(node, self.now))
 
 
-def random_state(draws: random.Random, wanted: p.Policy) -> m.RegisterState:
+def random_state(rng: random.Random, wanted: p.Policy) -> m.RegisterState:
     ref = m.PolicyRef(wanted.version, p.digest(wanted))
-    return m.RegisterState(draws.choice((1, 2, 3)) * m.EPOCH + draws.randrange(4), ref, tried=ref.version)
+    return m.RegisterState(rng.choice((1, 2, 3)) * m.EPOCH + rng.randrange(4), ref, tried=ref.version)
 
 
 def sample_messages() -> list[m.Message]:
--- a/tests/peers/fuzz/document_targets.py
+++ b/tests/peers/fuzz/document_targets.py
@@ -46,8 +46,8 @@
 class RecordTarget(DocumentTarget):
     """Record files: truncated or changed ones, and mutated records with a valid checksum."""
 
-    def __init__(self, draws: random.Random) -> None:
-        super().__init__(draws)
+    def __init__(self, rng: random.Random) -> None:
+        super().__init__(rng)
         self.folder = tempfile.TemporaryDirectory()
         self.store, self.path = FolderStore(Path(self.folder.name)), Path(self.folder.name) / policies.RECORD_NAME
         accepted = [one.vouched for one in sample_messages() if isinstance(one, m.Promise)]
@@ -55,18 +55,18 @@
         self.whole = [msgspec.msgpack.encode(v) for v in (*accepted, m.AcceptorState())]
 
     def step(self) -> None:
-        draws = self.draws
-        record = draws.choice(self.whole)
+        rng = self.rng
+        record = rng.choice(self.whole)
         self.bytes_received += len(record)
-        if draws.random() < 0.5:
-            mutated = mutate(draws, record_file(record), [record_file(other) for other in self.whole])
+        if rng.random() < 0.5:
+            mutated = mutate(rng, record_file(record), [record_file(other) for other in self.whole])
             self.path.write_bytes(mutated)
             try:
                 must(self.store.read(policies.RECORD_NAME) in self.whole, "a record that was not written")
             except RecordError:
                 return
         else:
-            self.path.write_bytes(record_file(mutate_msgpack(draws, mutate(draws, record, self.whole), self.whole)))
+            self.path.write_bytes(record_file(mutate_msgpack(rng, mutate(rng, record, self.whole), self.whole)))
         self.timed(self.runner.run, self._start())
 
     async def _start(self) -> None:
@@ -99,17 +99,17 @@
 class PolicyDocumentTarget(DocumentTarget):
     """Encoded policies: one that is accepted has one encoding, and can be merged with others."""
 
-    def __init__(self, draws: random.Random) -> None:
-        super().__init__(draws)
+    def __init__(self, rng: random.Random) -> None:
+        super().__init__(rng)
         self.whole = [
             p.encode(p.read(admin_documents.parse_toml(text.replace(b"epoch = 1", b"")))) for text in TEXTS
         ]
         self.whole += [p.encode(policy(3)), p.encode(p.Policy(1))]
 
     def step(self) -> None:
-        draws = self.draws
-        mutation = draws.choice((mutate, mutate_msgpack))
-        data = mutation(draws, draws.choice(self.whole), self.whole)
+        rng = self.rng
+        mutation = rng.choice((mutate, mutate_msgpack))
+        data = mutation(rng, rng.choice(self.whole), self.whole)
         self.bytes_received += len(data)
         try:
             decoded = self.timed(p.decode, data)
@@ -128,20 +128,20 @@
 class AdminPostTarget(DocumentTarget):
     """Posts of an operator, or an attacker, to `/-/policy` and `/-/policy/found`."""
 
-    def __init__(self, draws: random.Random) -> None:
-        super().__init__(draws)
+    def __init__(self, rng: random.Random) -> None:
+        super().__init__(rng)
         self.policies = make_policies(None)
 
     def step(self) -> None:
-        draws = self.draws
-        text = draws.choice(TEXTS)
-        for _ in range(draws.choice((0, 1, 2, 4))):
-            at = draws.randrange(len(text) + 1)
-            text = text[:at] + draws.choice(TOKENS) + text[at + draws.choice((0, 0, 1, 9)) :]
-        if draws.random() < 0.3:
-            text = mutate(draws, text, list(TEXTS))
+        rng = self.rng
+        text = rng.choice(TEXTS)
+        for _ in range(rng.choice((0, 1, 2, 4))):
+            at = rng.randrange(len(text) + 1)
+            text = text[:at] + rng.choice(TOKENS) + text[at + rng.choice((0, 0, 1, 9)) :]
+        if rng.random() < 0.3:
+            text = mutate(rng, text, list(TEXTS))
         self.bytes_received += len(text)
-        post = draws.choice((self.policies.propose, self.policies.bootstrap))
+        post = rng.choice((self.policies.propose, self.policies.bootstrap))
         response = self.timed(post, text)
         must(response.status in (202, 400, 409) and bool(response.body), "an unexpected response")
         self.bytes_sent += len(response.body)
--- a/tests/peers/fuzz/gossip_targets.py
+++ b/tests/peers/fuzz/gossip_targets.py
@@ -27,14 +27,14 @@
 
     protocol: Any
 
-    def __init__(self, draws: random.Random) -> None:
-        super().__init__(draws)
-        self.now = draws.choice((0.0, 1e6))
-        self.num_routers, self.num_zones = draws.choice(((2, 1), (9, 3), (60, 12), (1000, 64)))
+    def __init__(self, rng: random.Random) -> None:
+        super().__init__(rng)
+        self.now = rng.choice((0.0, 1e6))
+        self.num_routers, self.num_zones = rng.choice(((2, 1), (9, 3), (60, 12), (1000, 64)))
         self.zone_of = [r % self.num_zones for r in range(self.num_routers)]
         self.zone_names = [f"h{n}" for n in range(self.num_zones)]
-        self.own_index = draws.randrange(self.num_routers)
-        self.incarnation = draws.choice((1, 2**40))
+        self.own_index = rng.randrange(self.num_routers)
+        self.incarnation = rng.choice((1, 2**40))
         self.recorded: list[bytes] = []
         self.protocol = self.make()
 
@@ -52,18 +52,18 @@
         raise NotImplementedError
 
     def step(self) -> None:
-        draws = self.draws
-        match draws.randrange(8):
+        rng = self.rng
+        match rng.randrange(8):
             case 0 | 1 | 2 | 3:
-                body = draws.randbytes(draws.randrange(60)) if draws.random() < 0.1 else self.body()
-                if draws.random() < 0.4:
-                    body = mutate(draws, body, self.recorded)
-                if self.recorded and draws.random() < 0.1:
-                    body = draws.choice(self.recorded)
+                body = rng.randbytes(rng.randrange(60)) if rng.random() < 0.1 else self.body()
+                if rng.random() < 0.4:
+                    body = mutate(rng, body, self.recorded)
+                if self.recorded and rng.random() < 0.1:
+                    body = rng.choice(self.recorded)
                 self.recorded = [*self.recorded[-20:], body]
                 self.bytes_received += len(body)
                 reports = self.own_reports()
-                received = Received(draws.randrange(self.num_routers), draws.randrange(1, 2**48), body)
+                received = Received(rng.randrange(self.num_routers), rng.randrange(1, 2**48), body)
                 self.timed(self.protocol.on_message, self.now, received)
                 # reports of others may evict one of its own, but not replace it
                 pairs = zip(reports, self.own_reports(), strict=True)
@@ -73,11 +73,11 @@
             case 4 | 5:
                 self.measure()
             case 6:
-                self.now += draws.choice((0.0, 0.02, 0.3, 5.0))
+                self.now += rng.choice((0.0, 0.02, 0.3, 5.0))
                 self.run_timer(self.now)
-            case _ if draws.random() < 0.1:
-                self.now += draws.choice((60.0, 1e4, 1e7))
-            case _ if draws.random() < 0.1:
+            case _ if rng.random() < 0.1:
+                self.now += rng.choice((60.0, 1e4, 1e7))
+            case _ if rng.random() < 0.1:
                 before = self.now
                 self.now = idle(self.protocol, self.now)
                 sent_bytes = sum(len(outgoing.body) for outgoing in self.protocol.take_outgoing())
@@ -99,21 +99,21 @@
     """The zone latency map."""
 
     def make(self) -> LatencyRoom:
-        draws = random.Random(self.draws.random())
-        return LatencyRoom(self.now, self.own_index, self.incarnation, self.zone_names, self.zone_of, draws)
+        rng = random.Random(self.rng.random())
+        return LatencyRoom(self.now, self.own_index, self.incarnation, self.zone_names, self.zone_of, rng)
 
     def body(self) -> bytes:
-        return latency_body(self.draws, self.num_routers, self.num_zones)
+        return latency_body(self.rng, self.num_routers, self.num_zones)
 
     def measure(self) -> None:
-        zone = self.draws.randrange(self.num_zones)
-        for _ in range(self.draws.choice((1, 9))):
-            self.now += self.draws.choice((0.0, 0.11))
-            if self.draws.random() < 0.3:
+        zone = self.rng.randrange(self.num_zones)
+        for _ in range(self.rng.choice((1, 9))):
+            self.now += self.rng.choice((0.0, 0.11))
+            if self.rng.random() < 0.3:
                 self.protocol.lost(self.now, zone)
             else:
                 self.protocol.observe(
-                    self.now, zone, self.draws.choice((0.01, 0.0, -1.0, 1e9, math.inf, math.nan))
+                    self.now, zone, self.rng.choice((0.01, 0.0, -1.0, 1e9, math.inf, math.nan))
                 )
 
     def own_reports(self) -> list[object]:
@@ -137,22 +137,22 @@
     """The steering of clients between zones."""
 
     def make(self) -> RegionsRoom:
-        self.regions = REGIONS[self.draws.choice((1, 6, 255))]
-        draws = random.Random(self.draws.random())
+        self.regions = REGIONS[self.rng.choice((1, 6, 255))]
+        rng = random.Random(self.rng.random())
         return RegionsRoom(
-            self.now, self.own_index, self.incarnation, self.regions, self.zone_names, self.zone_of, CLASSES, draws
+            self.now, self.own_index, self.incarnation, self.regions, self.zone_names, self.zone_of, CLASSES, rng
         )
 
     def body(self) -> bytes:
-        return regions_body(self.draws, self.num_routers, len(self.regions.names), self.regions.digest)
+        return regions_body(self.rng, self.num_routers, len(self.regions.names), self.regions.digest)
 
     def measure(self) -> None:
-        draws = self.draws
-        for _ in range(draws.choice((1, 9))):
-            region = draws.choice((*self.regions.names, "nowhere"))
-            seconds = draws.choice((0.02, 0.0, -1.0, 1e9, math.inf, math.nan))
+        rng = self.rng
+        for _ in range(rng.choice((1, 9))):
+            region = rng.choice((*self.regions.names, "nowhere"))
+            seconds = rng.choice((0.02, 0.0, -1.0, 1e9, math.inf, math.nan))
             self.protocol.client_rtt(self.now, region, seconds)
-            self.protocol.served(self.now, region, draws.choice(CLASSES), seconds, draws.random() < 0.8, False)
+            self.protocol.served(self.now, region, rng.choice(CLASSES), seconds, rng.random() < 0.8, False)
 
     def own_reports(self) -> list[object]:
         regions = range(0, len(self.regions.names), 17)
@@ -169,8 +169,8 @@
         )
         if self.num_zones * len(self.regions.names) > 1000:
             return  # a proposal over the largest tables takes seconds
-        standing = self.draws.choice(list(Standing))
-        zones = {name: Hall(self.draws.choice((0.0, 9.0, 1e6)), 5.0, standing, 2) for name in names}
+        standing = self.rng.choice(list(Standing))
+        zones = {name: Hall(self.rng.choice((0.0, 9.0, 1e6)), 5.0, standing, 2) for name in names}
         proposal = protocol.propose(self.now, {}, zones, dict.fromkeys(names, 0.01))
         for row in (proposal.rows or {}).values():
             must(sum(row.values()) <= 1 + 1e-9 and set(row) <= set(names), "an invalid row")
--- a/tests/peers/fuzz/harness.py
+++ b/tests/peers/fuzz/harness.py
@@ -30,14 +30,14 @@
     """A target with its generator of inputs.
 
     Attributes:
-        draws: The random numbers of this episode.
+        rng: The random numbers of this episode.
         bytes_received: Bytes passed to the target.
         bytes_sent: Bytes that the target sent.
         slowest: Seconds of CPU of the slowest input.
     """
 
-    def __init__(self, draws: random.Random) -> None:
-        self.draws, self.bytes_received, self.bytes_sent, self.slowest = draws, 0, 0, 0.0
+    def __init__(self, rng: random.Random) -> None:
+        self.rng, self.bytes_received, self.bytes_sent, self.slowest = rng, 0, 0, 0.0
 
     def timed(self, call: Callable[P, T], *args: P.args, **kwargs: P.kwargs) -> T:
         """Pass one input to the target and measure its CPU time."""
--- a/tests/peers/fuzz/transport_targets.py
+++ b/tests/peers/fuzz/transport_targets.py
@@ -29,9 +29,9 @@
 class CodecTarget(FuzzTarget):
     """Router 0 is attacked; 1 to 3 are honest, 5 has the key and sends anything from its own address."""
 
-    def __init__(self, draws: random.Random) -> None:
-        super().__init__(draws)
-        self.now = draws.choice((0.0, 1e6))
+    def __init__(self, rng: random.Random) -> None:
+        super().__init__(rng)
+        self.now = rng.choice((0.0, 1e6))
         self.began, self.handshakes = self.now, 0
         self.codecs = {index: self.make_codec(index) for index in (0, 1, 2, 3, ATTACKER)}
         self.sent: dict[tuple[int, int], set[bytes]] = {}  # honest bodies by sender and incarnation
@@ -40,8 +40,8 @@
         self.count = 0
 
     def make_codec(self, index: int) -> DatagramCodec:
-        draw = random.Random(self.draws.random()).randbytes
-        return DatagramCodec(index, self.draws.randrange(1, 2**48), KEYS, NUM_ROUTERS, draw)
+        draw = random.Random(self.rng.random()).randbytes
+        return DatagramCodec(index, self.rng.randrange(1, 2**48), KEYS, NUM_ROUTERS, draw)
 
     def deliver(self, source: int | None, datagram: bytes) -> None:
         """Pass a datagram to the router under attack."""
@@ -62,25 +62,25 @@
             self.handshakes += 1
             for to, datagram in target.seal(outgoing):
                 self.bytes_sent += len(datagram)
-                if to in self.codecs and self.draws.random() < 0.8:
+                if to in self.codecs and self.rng.random() < 0.8:
                     self.codecs[to].open(self.now, 0, datagram)
         must(target.next_timer_at() > self.now, "a timer that is always due")
         must(self.handshakes <= MAX_HANDSHAKES_PER_SECOND * (self.now - self.began) + 26, "handshakes without end")
 
     def step(self) -> None:  # noqa: PLR0912 - a case for each kind of input
-        draws, index = self.draws, self.draws.randrange(1, 4)
-        match draws.randrange(12):
+        rng, index = self.rng, self.rng.randrange(1, 4)
+        match rng.randrange(12):
             case 0 | 1 | 2:
                 self.count += 1
-                size = draws.choice((0, 9, 200, 233, 234, 700, datagram_format.MAX_BODY_BYTES))
-                body = b"%d " % self.count + draws.randbytes(size)
+                size = rng.choice((0, 9, 200, 233, 234, 700, datagram_format.MAX_BODY_BYTES))
+                body = b"%d " % self.count + rng.randbytes(size)
                 sender = self.codecs[index]
                 self.sent.setdefault((index, sender.incarnation), set()).add(body[: datagram_format.MAX_BODY_BYTES])
-                outgoing = Outgoing(draws.choice((0, 0, ALL_PEERS)), draws.choice(TOPICS), body[: datagram_format.MAX_BODY_BYTES])
+                outgoing = Outgoing(rng.choice((0, 0, ALL_PEERS)), rng.choice(TOPICS), body[: datagram_format.MAX_BODY_BYTES])
                 sealed = [(index, datagram) for _, datagram in sender.seal(outgoing)]
                 self.recorded = [*self.recorded[-200:], *sealed]
-                for source, datagram in sealed if draws.random() < 0.8 else draws.sample(sealed, len(sealed)):
-                    if draws.random() < 0.95:
+                for source, datagram in sealed if rng.random() < 0.8 else rng.sample(sealed, len(sealed)):
+                    if rng.random() < 0.95:
                         self.deliver(source, datagram)
             case 3:
                 sender = self.codecs[index]
@@ -90,35 +90,35 @@
                         self.recorded.append((index, datagram))
                         self.deliver(index, datagram)
             case 4 | 5 if self.recorded:
-                source, datagram = draws.choice(self.recorded)
-                self.deliver(draws.choice((source, source, None, 0, 4, ATTACKER, 6, -1)), datagram)
+                source, datagram = rng.choice(self.recorded)
+                self.deliver(rng.choice((source, source, None, 0, 4, ATTACKER, 6, -1)), datagram)
             case 6 | 7 if self.recorded:
-                source, datagram = draws.choice(self.recorded)
+                source, datagram = rng.choice(self.recorded)
                 others = [datagram for _, datagram in self.recorded]
-                mutated = mutate(draws, datagram, others)
+                mutated = mutate(rng, datagram, others)
                 if mutated not in others:
                     self.deliver(source, mutated)
             case 8:
-                self.deliver(draws.choice((index, ATTACKER)), self.make_datagram(WRONG, index))
+                self.deliver(rng.choice((index, ATTACKER)), self.make_datagram(WRONG, index))
             case 9:
                 self.deliver(ATTACKER, self.make_datagram(KEYS, ATTACKER))
             case 10:
-                self.now += draws.choice((0.0, 0.04, 1.0, 61.0, 1e6))
+                self.now += rng.choice((0.0, 0.04, 1.0, 61.0, 1e6))
                 self.answer_handshakes()
-            case 11 if draws.random() < 0.2:
+            case 11 if rng.random() < 0.2:
                 self.codecs[index] = self.make_codec(index)
             case _:
-                self.deliver(index, draws.randbytes(draws.randrange(MAX_DATAGRAM_BYTES + 9)))
+                self.deliver(index, rng.randbytes(rng.randrange(MAX_DATAGRAM_BYTES + 9)))
 
     def make_datagram(self, keys: KeyRing, sender: int) -> bytes:
         """Return a datagram with a random header and a MAC by these keys."""
-        draws = self.draws
-        incarnation = draws.choice((self.codecs[sender].incarnation, 1, 2**48 - 1, draws.randrange(2**48)))
-        sequence = draws.choice((0, 1, 2**40 - 1, draws.randrange(2**40), self.codecs[sender]._sequence))
-        to_all, is_fragment = draws.random() < 0.3, draws.random() < 0.5
-        header = datagram_format.encode_header(to_all, is_fragment, draws.randrange(8), 1, sender, incarnation, sequence)
-        body = draws.choice((bytes([draws.randrange(18), draws.randrange(18)]), bytes([draws.randrange(5)])))
-        data = header + body + draws.randbytes(draws.choice((0, 1, 8, 16, 230)))
+        rng = self.rng
+        incarnation = rng.choice((self.codecs[sender].incarnation, 1, 2**48 - 1, rng.randrange(2**48)))
+        sequence = rng.choice((0, 1, 2**40 - 1, rng.randrange(2**40), self.codecs[sender]._sequence))
+        to_all, is_fragment = rng.random() < 0.3, rng.random() < 0.5
+        header = datagram_format.encode_header(to_all, is_fragment, rng.randrange(8), 1, sender, incarnation, sequence)
+        body = rng.choice((bytes([rng.randrange(18), rng.randrange(18)]), bytes([rng.randrange(5)])))
+        data = header + body + rng.randbytes(rng.choice((0, 1, 8, 16, 230)))
         return data + keys.mac(BROADCAST_RECEIVER if to_all else 0, data)
 
     def end(self) -> None:
@@ -133,22 +133,22 @@
 class SendQueueTarget(FuzzTarget):
     """Any messages at any time: the rate limit holds, and all queued messages are sent in the end."""
 
-    def __init__(self, draws: random.Random) -> None:
-        super().__init__(draws)
-        self.now = draws.choice((0.0, 1e6, 1e8))
-        self.num_peers, self.began = draws.choice((1, 45, 999)), self.now
-        codec = DatagramCodec(0, 7, KEYS, self.num_peers + 1, draws.randbytes)
+    def __init__(self, rng: random.Random) -> None:
+        super().__init__(rng)
+        self.now = rng.choice((0.0, 1e6, 1e8))
+        self.num_peers, self.began = rng.choice((1, 45, 999)), self.now
+        codec = DatagramCodec(0, 7, KEYS, self.num_peers + 1, rng.randbytes)
         self.queue = SendQueue(codec.seal, self.num_peers, now=self.now)
 
     def step(self) -> None:
-        draws = self.draws
-        if draws.random() < 0.7:
-            size = draws.choice((0, 50, 200, 234, datagram_format.MAX_BODY_BYTES, datagram_format.MAX_BODY_BYTES + 1))
-            to = draws.choice((ALL_PEERS, 1, self.num_peers, self.num_peers + 1, 0, -7))
-            outgoing = Outgoing(to, draws.choice(TOPICS), draws.randbytes(size), draws.choice(list(Priority)))
+        rng = self.rng
+        if rng.random() < 0.7:
+            size = rng.choice((0, 50, 200, 234, datagram_format.MAX_BODY_BYTES, datagram_format.MAX_BODY_BYTES + 1))
+            to = rng.choice((ALL_PEERS, 1, self.num_peers, self.num_peers + 1, 0, -7))
+            outgoing = Outgoing(to, rng.choice(TOPICS), rng.randbytes(size), rng.choice(list(Priority)))
             self.queue.enqueue(self.now, outgoing)
         else:
-            self.now += draws.choice((0.0, 1e-9, 0.002, 1.0, 500.0))
+            self.now += rng.choice((0.0, 1e-9, 0.002, 1.0, 500.0))
         self.take_sendable()
         must(self.queue._queued_bytes <= MAX_QUEUED_BYTES and self.queue._queued_messages <= MAX_QUEUED_MESSAGES, "queued without end")
 
--- a/tests/peers/test_fuzz.py
+++ b/tests/peers/test_fuzz.py
@@ -54,7 +54,7 @@
 def test_the_runner_reports_what_was_raised_and_the_seed() -> None:
     class Raises(FuzzTarget):
         def step(self) -> None:
-            if self.draws.random() < 0.5:
+            if self.rng.random() < 0.5:
                 raise KeyError("x")
 
         def end(self) -> None:
