--- a/tests/peers/fuzz/consensus_target.py
+++ b/tests/peers/fuzz/consensus_target.py
@@ -32,7 +32,7 @@
         self.running = [*self.voters, *range(routers - 3, routers)]
         self.nodes = {router_index: self.make_node(router_index) for router_index in set(self.running)}
         self.recorded: list[bytes] = [m.encode(one) for one in sample_messages()]
-        self.waiting: list[tuple[int, int, int, bytes]] = []  # to, sender, start, body
+        self.waiting: list[tuple[int, int, int, bytes]] = []  # to, sender, incarnation, body
         self.record_writes: list[tuple[int, Any]] = []
         self.version = 1
         for router_index in self.nodes:
