--- a/benchmarks/peers_fuzz.py
+++ b/benchmarks/peers_fuzz.py
@@ -2,9 +2,9 @@
 
     PYTHONPATH=. python benchmarks/peers_fuzz.py [--seconds 60] [--seed 1] [--steps 400] [--what wire ...]
 
-Prints for each target the episodes (each from its own seed), inputs, CPU of the slowest input, bytes sent per
-byte received, and the findings with a seed: `--what accord --seed 17 --episodes 1` reproduces one. Exits with 1
-if anything was found. Earlier findings are in `docs/peers/attacks.md`.
+Prints for each target the episodes (each from its own seed), inputs, CPU of the slowest input, bytes
+sent per byte received, and the findings with a seed: `--what accord --seed 17 --episodes 1` reproduces
+one. Exits with 1 if anything was found. Earlier findings are in `docs/peers/attacks.md`.
 """
 
 from __future__ import annotations
@@ -16,10 +16,10 @@
 import time
 
 from tests.peers.fuzz.consensus_target import ConsensusTarget
+from tests.peers.fuzz.document_targets import AdminPostTarget, PolicyDocumentTarget, RecordTarget
+from tests.peers.fuzz.gossip_targets import SteeringTarget, ZoneLatencyTarget
 from tests.peers.fuzz.harness import TargetFactory, run
-from tests.peers.fuzz.gossip_targets import ZoneLatencyTarget, SteeringTarget
-from tests.peers.fuzz.document_targets import PolicyDocumentTarget, AdminPostTarget, RecordTarget
-from tests.peers.fuzz.transport_targets import SendQueueTarget, CodecTarget
+from tests.peers.fuzz.transport_targets import CodecTarget, SendQueueTarget
 
 TARGETS: dict[str, TargetFactory] = {
     "wire": CodecTarget,
@@ -36,7 +36,9 @@
 def main() -> int:
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawTextHelpFormatter)
     parser.add_argument("--seconds", type=float, default=60.0, help="time for each target")
-    parser.add_argument("--seed", type=int, default=1, help="seed of the first episode; each later one has the next")
+    parser.add_argument(
+        "--seed", type=int, default=1, help="seed of the first episode; each later one has the next"
+    )
     parser.add_argument("--episodes", type=int, help="limit for each target")
     parser.add_argument("--steps", type=int, default=400, help="inputs of an episode")
     parser.add_argument("--what", nargs="+", choices=sorted(TARGETS), default=list(TARGETS))
--- a/benchmarks/peers_wire.py
+++ b/benchmarks/peers_wire.py
@@ -20,11 +20,7 @@
 
 from ironrail.peers.messages import MAX_ROUTERS, Outgoing, Topic
 from ironrail.peers.transport import datagram_format
-from ironrail.peers.transport.datagram_codec import (
-    MAX_FAILED_MACS_PER_SECOND,
-    DatagramCodec,
-    DropReason,
-)
+from ironrail.peers.transport.datagram_codec import MAX_FAILED_MACS_PER_SECOND, DatagramCodec, DropReason
 from ironrail.peers.transport.datagram_format import MAX_BODY_BYTES, sealed_size
 from ironrail.peers.transport.handshake import HandshakeMessage
 from ironrail.peers.transport.keys import KeyRing
@@ -37,9 +33,7 @@
 def make_codec(
     own_index: int, keys: KeyRing = KEYS, num_routers: int = MAX_ROUTERS, incarnation: int = 0
 ) -> DatagramCodec:
-    return DatagramCodec(
-        own_index, incarnation or 2**47 + 5000 + own_index, keys, num_routers, os.urandom
-    )
+    return DatagramCodec(own_index, incarnation or 2**47 + 5000 + own_index, keys, num_routers, os.urandom)
 
 
 def complete_handshake(now: float, first: DatagramCodec, second: DatagramCodec) -> None:
@@ -63,7 +57,11 @@
 
 
 def opened(
-    what: str, datagrams: list[bytes], receiver: Callable[[], DatagramCodec], interval: float, reason: DropReason | None
+    what: str,
+    datagrams: list[bytes],
+    receiver: Callable[[], DatagramCodec],
+    interval: float,
+    reason: DropReason | None,
 ) -> None:
     """Print the CPU time of opening each datagram, `interval` seconds apart by the router's clock."""
     best = float("inf")
@@ -76,7 +74,9 @@
                 receiver_codec.open(now + i * interval, 0, datagram)
 
         best = min(best, timeit.timeit(run, number=1))
-        share = ((receiver_codec.opened if reason is None else receiver_codec.drop_counts()[reason]) - before) / len(datagrams)
+        share = (
+            (receiver_codec.opened if reason is None else receiver_codec.drop_counts()[reason]) - before
+        ) / len(datagrams)
     show(what, best / len(datagrams) * 1e6, f"{share:.1%} {'taken' if reason is None else reason.name}")
 
 
@@ -122,7 +122,9 @@
         10.0,
         DropReason.MAC,
     )
-    opened("forged challenge, a flood", forged(9, Topic.TRANSPORT, challenge), receiver, 0.0, DropReason.FLOOD)
+    opened(
+        "forged challenge, a flood", forged(9, Topic.TRANSPORT, challenge), receiver, 0.0, DropReason.FLOOD
+    )
     opened(
         "forged, incarnation unknown, a flood",
         forged(9, Topic.CONSENSUS, bytes(100)),
@@ -141,7 +143,11 @@
     def fresh() -> DatagramCodec:
         receiver = make_codec(1)
         state, known_state = receiver._sender(0), known._sender(0)
-        state.incarnation, state.highest_sequence, state.seen_mask = known_state.incarnation, known_state.highest_sequence, known_state.seen_mask
+        state.incarnation, state.highest_sequence, state.seen_mask = (
+            known_state.incarnation,
+            known_state.highest_sequence,
+            known_state.seen_mask,
+        )
         return receiver
 
     return fresh
@@ -170,7 +176,9 @@
     for sender in senders:
         for datagram in [d for _, d in sender.seal(Outgoing(0, Topic.CONSENSUS, bytes(MAX_BODY_BYTES)))][:15]:
             receiver.open(now, sender.own_index, datagram)
-        forged = make_codec(sender.own_index, OTHERS, incarnation=7).seal(Outgoing(0, Topic.CONSENSUS, b""))[0][1]
+        forged = make_codec(sender.own_index, OTHERS, incarnation=7).seal(Outgoing(0, Topic.CONSENSUS, b""))[
+            0
+        ][1]
         receiver.open(now, sender.own_index, forged)
     del senders, sender, datagrams, datagram, forged
     assert all(receiver.proven_incarnation(index) for index in range(1, MAX_ROUTERS))
--- a/ironrail/net/peers/admin_documents.py
+++ b/ironrail/net/peers/admin_documents.py
@@ -21,9 +21,7 @@
 _TOO_MANY_DOTS = re.compile(rb"(?:\.[^.\n={},]*+){%d}" % (MAX_KEY_DOTS + 1))
 
 
-def parse_proposal(
-    body: bytes, policy_in_force: Callable[[], p.Policy]
-) -> tuple[p.Policy, tuple[int, ...]]:
+def parse_proposal(body: bytes, policy_in_force: Callable[[], p.Policy]) -> tuple[p.Policy, tuple[int, ...]]:
     """Parse a proposed policy document.
 
     Args:
--- a/ironrail/net/peers/policies.py
+++ b/ironrail/net/peers/policies.py
@@ -222,8 +222,7 @@
     def page(self) -> Response:
         """Return the effective policy and the state of the protocol as JSON."""
         return Response(
-            200,
-            orjson.dumps(self._status(), option=orjson.OPT_INDENT_2 | orjson.OPT_NON_STR_KEYS) + b"\n",
+            200, orjson.dumps(self._status(), option=orjson.OPT_INDENT_2 | orjson.OPT_NON_STR_KEYS) + b"\n"
         )
 
     def _status(self) -> dict[str, Any]:
@@ -268,9 +267,7 @@
         """
         now = self._now()
         try:
-            policy, voters = admin_documents.parse_proposal(
-                body, lambda: self.protocol.policy_in_force(now)
-            )
+            policy, voters = admin_documents.parse_proposal(body, lambda: self.protocol.policy_in_force(now))
             self.latest_proposal = self.protocol.propose(now, policy, voters=voters)
         except RejectedError as e:
             return admin_documents.text_response(409, e.with_advice())
--- a/ironrail/net/peers/readers.py
+++ b/ironrail/net/peers/readers.py
@@ -68,7 +68,9 @@
         names, hall_of = identity.zone_indices()
         now, classes = identity.system.now(), tuple(settings.classes)
         self.regions = Regions(operator.regions)
-        self.protocol = RegionsRoom(now, identity.own_index, identity.incarnation, self.regions, names, hall_of, classes, identity.rng)
+        self.protocol = RegionsRoom(
+            now, identity.own_index, identity.incarnation, self.regions, names, hall_of, classes, identity.rng
+        )
         self._evidence = Evidence(identity.system, self.regions, self.protocol, settings)
         self._worth = Worth({name: known.priority_weight for name, known in settings.classes.items()})
         self._list, self._carrier = Servers(), Carrier(identity.zones[identity.own_index], now)
--- a/ironrail/net/peers/record_store.py
+++ b/ironrail/net/peers/record_store.py
@@ -94,10 +94,7 @@
     """Writes one record after another in a thread, as a disk may block for seconds."""
 
     def __init__(
-        self,
-        store: RecordStore,
-        name: str,
-        on_written: Callable[[int, OSError | None], None],
+        self, store: RecordStore, name: str, on_written: Callable[[int, OSError | None], None]
     ) -> None:
         """Start the thread; call from a running event loop.
 
--- a/ironrail/net/peers/runtime.py
+++ b/ironrail/net/peers/runtime.py
@@ -96,9 +96,7 @@
                 f"settings.me is {own_index}, but there are only {len(table.peers)} peers", "peers"
             )
         incarnation = draw_incarnation(system)
-        self.transport = PeerTransport(
-            own_index, table, peers, incarnation, system, self._publish_changes
-        )
+        self.transport = PeerTransport(own_index, table, peers, incarnation, system, self._publish_changes)
         self.policies: Policies | None = None
         if peers.voters:
             process = ProcessIdentity(own_index, incarnation, system.now(), config.seed)
@@ -106,9 +104,7 @@
             if (
                 record_store is None
                 and peers.record_folder
-                and (
-                    own_index in peers.voters or has_record_folder(peers.record_folder, own_index)
-                )
+                and (own_index in peers.voters or has_record_folder(peers.record_folder, own_index))
             ):
                 # also for a router that is not a voter: it may become one later
                 record_store = FolderStore(resolve_record_folder(peers.record_folder, own_index))
@@ -125,9 +121,7 @@
             self.transport.register(self.policies.protocol)
         self.components: list[PeerComponent] = []
         self.steering: Readers | None = None
-        identity = NodeIdentity(
-            own_index, incarnation, system, peers.zones, random.Random(config.seed)
-        )
+        identity = NodeIdentity(own_index, incarnation, system, peers.zones, random.Random(config.seed))
         self.zone_latency: HallsMap | None = None
         is_cut_off = None  # whether a zone is cut off from others, according to the latency map
         if peers.zone_latency_map:
@@ -136,15 +130,11 @@
 
             self.zone_latency = HallsMap(identity, publish)
             self.components.append(self.zone_latency)
-            is_cut_off = partial(
-                cut_off, self.zone_latency.estimate, identity.zone_indices()[0], system.now
-            )
+            is_cut_off = partial(cut_off, self.zone_latency.estimate, identity.zone_indices()[0], system.now)
         if operator.regions:
             from ironrail.net.peers.readers import Readers  # noqa: PLC0415 - as above
 
-            self.steering = Readers(
-                identity, operator, config.settings, self.policies, is_cut_off
-            )
+            self.steering = Readers(identity, operator, config.settings, self.policies, is_cut_off)
             self.components.append(self.steering)
         for component in self.components:
             self.transport.register(component.protocol)
@@ -209,9 +199,7 @@
         return {"/-/policy": self.policies.propose, "/-/policy/found": self.policies.bootstrap}
 
     def _counters_page(self) -> Response:
-        return Response(
-            200, orjson.dumps(self.transport.counters(), option=orjson.OPT_INDENT_2) + b"\n"
-        )
+        return Response(200, orjson.dumps(self.transport.counters(), option=orjson.OPT_INDENT_2) + b"\n")
 
     def _publish_changes(self) -> None:
         if self.policies is not None:
--- a/ironrail/net/peers/zone_latency.py
+++ b/ironrail/net/peers/zone_latency.py
@@ -55,7 +55,14 @@
         """`tell`: takes what is decided by."""
         self._system, self._tell = identity.system, tell
         self._names, hall_of = identity.zone_indices()
-        self._map = LatencyRoom(identity.system.now(), identity.own_index, identity.incarnation, self._names, hall_of, identity.rng)
+        self._map = LatencyRoom(
+            identity.system.now(),
+            identity.own_index,
+            identity.incarnation,
+            self._names,
+            hall_of,
+            identity.rng,
+        )
         self.protocol = Echoing(self._map, hall_of)
         self.estimate = self._map.estimate
         self._seen = HallsSeen(0, self._names[hall_of[identity.own_index]], ())
--- a/ironrail/peers/steering/room.py
+++ b/ironrail/peers/steering/room.py
@@ -12,7 +12,7 @@
 from collections.abc import Mapping, Sequence
 
 from ironrail.errors import InputError
-from ironrail.peers.messages import MAX_ZONES, MAX_ROUTERS, Outgoing, Priority, Received, Topic
+from ironrail.peers.messages import MAX_ROUTERS, MAX_ZONES, Outgoing, Priority, Received, Topic
 from ironrail.peers.steering.expected import EQUAL, NOWHERE, Expected, Hall, Worth
 from ironrail.peers.steering.model import Own, time_left
 from ironrail.peers.steering.proposal import USUAL, Bounds, Past, Proposal, Rows
@@ -101,7 +101,9 @@
 
     def on_message(self, now: float, received: Received) -> None:
         try:
-            reports = decode(received.body, self._regions.digest, len(self._hall_of), len(self._regions.names))
+            reports = decode(
+                received.body, self._regions.digest, len(self._hall_of), len(self._regions.names)
+            )
         except ReportError:
             self.unusable += 1
             return
--- a/ironrail/peers/transport/fragmentation.py
+++ b/ironrail/peers/transport/fragmentation.py
@@ -28,10 +28,7 @@
     """Return the body in one part, or its fragments, each with a fragment header."""
     if len(body) <= MAX_SINGLE_BODY_BYTES:
         return [body]
-    parts = [
-        body[at : at + MAX_FRAGMENT_BODY_BYTES]
-        for at in range(0, len(body), MAX_FRAGMENT_BODY_BYTES)
-    ]
+    parts = [body[at : at + MAX_FRAGMENT_BODY_BYTES] for at in range(0, len(body), MAX_FRAGMENT_BODY_BYTES)]
     return [bytes((index, len(parts))) + part for index, part in enumerate(parts)]
 
 
@@ -59,9 +56,7 @@
         self.memory_bytes = 0
         self.expired = self.evicted = 0
 
-    def add_fragment(
-        self, now: float, sender: int, sequence: int, topic: Topic, data: bytes
-    ) -> bytes | None:
+    def add_fragment(self, now: float, sender: int, sequence: int, topic: Topic, data: bytes) -> bytes | None:
         """Add a fragment.
 
         Args:
@@ -116,9 +111,7 @@
 
     def next_timer_at(self) -> float:
         """Return when the oldest incomplete body expires; infinite if there is none."""
-        return next(
-            (body.started_at + MAX_AGE_SECONDS for body in self._bodies.values()), math.inf
-        )
+        return next((body.started_at + MAX_AGE_SECONDS for body in self._bodies.values()), math.inf)
 
     def _start_body(self, now: float, body_id: BodyId) -> _IncompleteBody | None:
         """Return a new incomplete body.
--- a/ironrail/peers/zone_latency/echoes.py
+++ b/ironrail/peers/zone_latency/echoes.py
@@ -59,7 +59,9 @@
         self.map.on_timer(now)
 
     def take_outgoing(self) -> list[Outgoing]:
-        return [replace(outgoing, body=outgoing.body + bytes(TRAILER)) for outgoing in self.map.take_outgoing()]
+        return [
+            replace(outgoing, body=outgoing.body + bytes(TRAILER)) for outgoing in self.map.take_outgoing()
+        ]
 
     def next_timer_at(self) -> float:
         return self.map.next_timer_at()
@@ -78,7 +80,8 @@
             self._answered_at[self._hall_of[outgoing.to]] = now
         fields = (self._number, answered, round((now - at) / UNIT))
         return replace(
-            outgoing, body=outgoing.body[:-TRAILER] + b"".join(field.to_bytes(FIELD, "big") for field in fields)
+            outgoing,
+            body=outgoing.body[:-TRAILER] + b"".join(field.to_bytes(FIELD, "big") for field in fields),
         )
 
     def _answer(self, now: float) -> int | None:
--- a/ironrail/rehearsal/links/accord_watch.py
+++ b/ironrail/rehearsal/links/accord_watch.py
@@ -9,7 +9,12 @@
 
 from ironrail.peers.consensus import messages as m
 from ironrail.peers.messages import Topic
-from ironrail.peers.transport.datagram_format import HEADER_BYTES, MAC_BYTES, MIN_DATAGRAM_BYTES, decode_header
+from ironrail.peers.transport.datagram_format import (
+    HEADER_BYTES,
+    MAC_BYTES,
+    MIN_DATAGRAM_BYTES,
+    decode_header,
+)
 
 
 @dataclass(frozen=True, slots=True)
--- a/ironrail/rehearsal/links/disk.py
+++ b/ironrail/rehearsal/links/disk.py
@@ -21,7 +21,11 @@
     """A store on a disk that may be full, read-only, failing or slow."""
 
     def __init__(
-        self, store: RecordStore, switch: Switch, draws: random.Random, pause: Callable[[float], None] = time.sleep
+        self,
+        store: RecordStore,
+        switch: Switch,
+        draws: random.Random,
+        pause: Callable[[float], None] = time.sleep,
     ) -> None:
         """`pause`: how a slow disk holds up who uses it, for so many seconds."""
         self._store, self._switch, self._draws, self._pause = store, switch, draws, pause
--- a/ironrail/rehearsal/links/launch.py
+++ b/ironrail/rehearsal/links/launch.py
@@ -35,7 +35,9 @@
     me = config.settings.router_index
     if operator.peers is not None and operator.peers.record_folder and me in operator.peers.voters:
         store = FaultyStore(
-            FolderStore(resolve_record_folder(operator.peers.record_folder, me)), switch, random.Random(config.seed)
+            FolderStore(resolve_record_folder(operator.peers.record_folder, me)),
+            switch,
+            random.Random(config.seed),
         )
     await Node(config, operator, Drifting(REAL, switch), store=store).serve()
 
--- a/ironrail/rehearsal/links/tierdisk.py
+++ b/ironrail/rehearsal/links/tierdisk.py
@@ -40,7 +40,9 @@
 class VirtualKeeper:
     """In place of `net.peers.record_store.RecordWriter`, which has a thread: one record after another."""
 
-    def __init__(self, store: RecordStore, switch: Switch, done: Callable[[int, OSError | None], None]) -> None:
+    def __init__(
+        self, store: RecordStore, switch: Switch, done: Callable[[int, OSError | None], None]
+    ) -> None:
         self._store, self._switch, self._done = store, switch, done
         self._loop = asyncio.get_running_loop()
         self._free_at = 0.0
--- a/tests/datagram_harness.py
+++ b/tests/datagram_harness.py
@@ -50,10 +50,10 @@
     passed = []
     while datagrams := deliver_handshakes(now, first, second) + deliver_handshakes(now, second, first):
         passed += datagrams
-    assert (
-        first.proven_incarnation(second.own_index),
-        second.proven_incarnation(first.own_index),
-    ) == (second.incarnation, first.incarnation)
+    assert (first.proven_incarnation(second.own_index), second.proven_incarnation(first.own_index)) == (
+        second.incarnation,
+        first.incarnation,
+    )
     return passed
 
 
@@ -64,18 +64,14 @@
     return first, second
 
 
-def seal_body(
-    sender: DatagramCodec, body: bytes, to: int = 1, topic: Topic = Topic.CONSENSUS
-) -> list[bytes]:
+def seal_body(sender: DatagramCodec, body: bytes, to: int = 1, topic: Topic = Topic.CONSENSUS) -> list[bytes]:
     """Return the datagrams of a message with this body."""
     return [datagram for _, datagram in sender.seal(Outgoing(to, topic, body))]
 
 
 def open_bodies(now: float, receiver: DatagramCodec, sender: int, *datagrams: bytes) -> list[bytes]:
     """Open the datagrams; return the bodies received."""
-    return [
-        received.body for datagram in datagrams for _, received in receiver.open(now, sender, datagram)
-    ]
+    return [received.body for datagram in datagrams for _, received in receiver.open(now, sender, datagram)]
 
 
 def drop_reason(
@@ -84,6 +80,4 @@
     """Open a datagram that must be dropped; return the reason."""
     before = receiver.drop_counts()
     assert receiver.open(now, source, datagram) == []
-    return next(
-        reason for reason, count in receiver.drop_counts().items() if count > before[reason]
-    )
+    return next(reason for reason, count in receiver.drop_counts().items() if count > before[reason])
--- a/tests/peers/consensus/test_door.py
+++ b/tests/peers/consensus/test_door.py
@@ -6,7 +6,7 @@
 
 import orjson
 
-from ironrail.net.peers.policies import ProcessIdentity, Policies
+from ironrail.net.peers.policies import Policies, ProcessIdentity
 from ironrail.operator_file import PeerSettings
 from ironrail.peers.messages import Received
 from ironrail.policy.settings import Settings
--- a/tests/peers/fuzz/consensus_target.py
+++ b/tests/peers/fuzz/consensus_target.py
@@ -80,7 +80,9 @@
             if len(self.recorded) < MAX_RECORDED:
                 self.recorded.append(outgoing.body)
             if outgoing.to in self.nodes and self.rng.random() < 0.9:
-                self.waiting.append((outgoing.to, router_index, self.incarnations[router_index], outgoing.body))
+                self.waiting.append(
+                    (outgoing.to, router_index, self.incarnations[router_index], outgoing.body)
+                )
         del self.waiting[:-400]
 
     def deliver(self, to: int, sender: int, incarnation: int, body: bytes) -> None:
@@ -115,7 +117,9 @@
                 self.operate(router_index)
             case 18 if rng.random() < 0.2:
                 self.incarnations[router_index] += 1
-                record = next((write.record for at, write in reversed(self.record_writes) if at == router_index), None)
+                record = next(
+                    (write.record for at, write in reversed(self.record_writes) if at == router_index), None
+                )
                 self.record_writes = [write for write in self.record_writes if write[0] != router_index]
                 self.nodes[router_index] = self.make_node(router_index, record)
                 self.take_effects(router_index)
@@ -133,7 +137,9 @@
                 body = old
             case 2:  # a document that a node may have been made to request
                 wanted = policy(rng.randrange(1, 2000), rng.random())
-                self.deliver(to, *self.claimed_identity(), m.encode(m.BootstrapOffer(random_state(rng, wanted))))
+                self.deliver(
+                    to, *self.claimed_identity(), m.encode(m.BootstrapOffer(random_state(rng, wanted)))
+                )
                 body = m.encode(m.Document(p.encode(wanted)))
             case _:
                 body = mutate_msgpack(rng, old, self.recorded)
@@ -160,7 +166,10 @@
             node.faults(self.now)
             node.effective_until(self.now)
             decided = node.effective_policy(self.now)
-            must(decided.policy is None or p.check(decided.policy, FACTS) is None, "an invalid policy is effective")
+            must(
+                decided.policy is None or p.check(decided.policy, FACTS) is None,
+                "an invalid policy is effective",
+            )
             documents = node.library._documents
             must(all(p.digest(d) == name for name, d in documents.items()), "a document under a wrong digest")
             must(len(documents) <= MAX_DOCUMENTS, f"documents without end = {len(documents)}")
--- a/tests/peers/fuzz/document_targets.py
+++ b/tests/peers/fuzz/document_targets.py
@@ -11,7 +11,7 @@
 import msgspec
 
 from ironrail.net.peers import admin_documents, policies
-from ironrail.net.peers.policies import ProcessIdentity, Policies
+from ironrail.net.peers.policies import Policies, ProcessIdentity
 from ironrail.net.peers.record_store import MAGIC, FolderStore, RecordError
 from ironrail.operator_file import PeerSettings
 from ironrail.peers.consensus import messages as m
@@ -49,7 +49,10 @@
     def __init__(self, rng: random.Random) -> None:
         super().__init__(rng)
         self.folder = tempfile.TemporaryDirectory()
-        self.store, self.path = FolderStore(Path(self.folder.name)), Path(self.folder.name) / policies.RECORD_NAME
+        self.store, self.path = (
+            FolderStore(Path(self.folder.name)),
+            Path(self.folder.name) / policies.RECORD_NAME,
+        )
         accepted = [one.vouched for one in sample_messages() if isinstance(one, m.Promise)]
         self.runner = asyncio.Runner()
         self.whole = [msgspec.msgpack.encode(v) for v in (*accepted, m.AcceptorState())]
@@ -66,7 +69,9 @@
             except RecordError:
                 return
         else:
-            self.path.write_bytes(record_file(mutate_msgpack(rng, mutate(rng, record, self.whole), self.whole)))
+            self.path.write_bytes(
+                record_file(mutate_msgpack(rng, mutate(rng, record, self.whole), self.whole))
+            )
         self.timed(self.runner.run, self._start())
 
     async def _start(self) -> None:
@@ -92,7 +97,13 @@
     peers = PeerSettings({}, 1, ("a", "b", "hall-b"), (0, 1, 2), start_mode="floor")
     classes = {name: RequestClass(name, 1.0) for name in ("grid-read", "once")}
     return Policies(
-        ProcessIdentity(0, 7, 0.0, 1), Settings(classes), peers, store, lambda _: None, lambda: 1.0, lambda: None
+        ProcessIdentity(0, 7, 0.0, 1),
+        Settings(classes),
+        peers,
+        store,
+        lambda _: None,
+        lambda: 1.0,
+        lambda: None,
     )
 
 
@@ -119,10 +130,14 @@
         if p.check(decoded, FACTS) is None:
             other = policy(5)
             must(
-                p.merge_conservatively(decoded, other, FACTS) == p.merge_conservatively(other, decoded, FACTS),
+                p.merge_conservatively(decoded, other, FACTS)
+                == p.merge_conservatively(other, decoded, FACTS),
                 "a merge that depends on the order",
             )
-            must(p.merge_conservatively(decoded, decoded, FACTS) == decoded, "a merge with itself that is another")
+            must(
+                p.merge_conservatively(decoded, decoded, FACTS) == decoded,
+                "a merge with itself that is another",
+            )
 
 
 class AdminPostTarget(DocumentTarget):
--- a/tests/peers/fuzz/gossip_targets.py
+++ b/tests/peers/fuzz/gossip_targets.py
@@ -15,7 +15,7 @@
 from ironrail.peers.zone_latency.sight import Link
 from ironrail.peers.zone_latency.spread import MOST_RUMOURS
 from tests.peers.fuzz.harness import FuzzTarget, idle, must, size_of
-from tests.peers.fuzz.mutations import latency_body, regions_body, mutate
+from tests.peers.fuzz.mutations import latency_body, mutate, regions_body
 
 MAX_PROTOCOL_BYTES = 6_000_000  # memory of a protocol with 1000 routers, as specified in docs/peers
 REGIONS = {count: Regions({f"r{n}": [f"10.{n}.0.0/16"] for n in range(count)}) for count in (1, 6, 255)}
@@ -87,7 +87,12 @@
         self.timed(self.protocol.on_timer, now)
         for outgoing in self.protocol.take_outgoing():
             self.bytes_sent += len(outgoing.body)
-            must(len(outgoing.body) <= 200 and 0 <= outgoing.to < self.num_routers and outgoing.to != self.own_index, "an invalid message")
+            must(
+                len(outgoing.body) <= 200
+                and 0 <= outgoing.to < self.num_routers
+                and outgoing.to != self.own_index,
+                "an invalid message",
+            )
 
     def end(self) -> None:
         self.now = idle(self.protocol, self.now)
@@ -117,18 +122,26 @@
                 )
 
     def own_reports(self) -> list[object]:
-        return [(held.start, held.sequence, held.values) if held else None
-                for held in (self.protocol.table.held(self.own_index, to) for to in range(self.num_zones))]  # fmt: skip
+        return [
+            (held.start, held.sequence, held.values) if held else None
+            for held in (self.protocol.table.held(self.own_index, to) for to in range(self.num_zones))
+        ]
 
     def end(self) -> None:
         super().end()
         table, spread = self.protocol.table, self.protocol._spread
         must(all(len(link) <= table.witnesses for link in table.links.values()), "reporters without end")
-        must(len(table.links) <= self.num_zones**2 and len(table.starts) <= self.num_routers, "links without end")
+        must(
+            len(table.links) <= self.num_zones**2 and len(table.starts) <= self.num_routers,
+            "links without end",
+        )
         must(sum(map(len, spread._rumours.values())) <= MOST_RUMOURS, "gossip entries without end")
         for to in range(self.num_zones):
             estimate = self.protocol.estimate(self.now, self.own_index % self.num_zones, to)
-            must(estimate.low > 0.0 and estimate.typical > 0.0 and 0.0 <= estimate.lost <= 1.0, "an invalid estimate")
+            must(
+                estimate.low > 0.0 and estimate.typical > 0.0 and 0.0 <= estimate.lost <= 1.0,
+                "an invalid estimate",
+            )
             must(isinstance(estimate.state, Link) and estimate.age >= 0.0, "an invalid state")
         self.protocol.facts()
 
@@ -140,7 +153,14 @@
         self.regions = REGIONS[self.rng.choice((1, 6, 255))]
         rng = random.Random(self.rng.random())
         return RegionsRoom(
-            self.now, self.own_index, self.incarnation, self.regions, self.zone_names, self.zone_of, CLASSES, rng
+            self.now,
+            self.own_index,
+            self.incarnation,
+            self.regions,
+            self.zone_names,
+            self.zone_of,
+            CLASSES,
+            rng,
         )
 
     def body(self) -> bytes:
@@ -156,8 +176,10 @@
 
     def own_reports(self) -> list[object]:
         regions = range(0, len(self.regions.names), 17)
-        return [held.order() if held else None
-                for held in (self.protocol.table.held(self.own_index, region) for region in regions)]  # fmt: skip
+        return [
+            held.order() if held else None
+            for held in (self.protocol.table.held(self.own_index, region) for region in regions)
+        ]
 
     def end(self) -> None:
         super().end()
@@ -165,7 +187,8 @@
         must(len(protocol._waiting) <= MOST_WAITING, "queued without end")
         must(len(protocol.table.starts) <= self.num_routers, "incarnations without end")
         must(
-            all(len(protocol.table._cell(h, 0)) <= WITNESSES for h in range(self.num_zones)), "reporters without end"
+            all(len(protocol.table._cell(h, 0)) <= WITNESSES for h in range(self.num_zones)),
+            "reporters without end",
         )
         if self.num_zones * len(self.regions.names) > 1000:
             return  # a proposal over the largest tables takes seconds
--- a/tests/peers/fuzz/harness.py
+++ b/tests/peers/fuzz/harness.py
@@ -94,11 +94,14 @@
         ratio = f"{self.bytes_sent / self.bytes_received:.2f}" if self.bytes_received else "-"
         return (
             f"{self.episodes:7} episodes {self.inputs:9} inputs {self.seconds:6.0f} s, slowest "
-            f"{self.slowest * 1e3:.1f} ms ({self.slowest_at}), sent/received {ratio}, {len(self.found)} findings"
+            f"{self.slowest * 1e3:.1f} ms ({self.slowest_at}), sent/received {ratio}, "
+            f"{len(self.found)} findings"
         )
 
 
-def run(name: str, make: TargetFactory, seeds: Iterable[int], steps: int, until: float = float("inf")) -> Figures:
+def run(
+    name: str, make: TargetFactory, seeds: Iterable[int], steps: int, until: float = float("inf")
+) -> Figures:
     """Run an episode for each seed; none starts after `until`, a time of `time.monotonic`."""
     figures, began = Figures(), time.monotonic()
     for seed in seeds:
--- a/tests/peers/fuzz/mutations.py
+++ b/tests/peers/fuzz/mutations.py
@@ -58,9 +58,7 @@
     if isinstance(old, bool):
         return rng.choice((not old, 1, None))
     if isinstance(old, int):
-        return rng.choice(
-            (*EDGES, old + 1, max(0, old - 1), old + 2**32, old % 2**32, -1, rng.randrange(8))
-        )
+        return rng.choice((*EDGES, old + 1, max(0, old - 1), old + 2**32, old % 2**32, -1, rng.randrange(8)))
     if isinstance(old, float):
         return rng.choice((0.0, 1e-9, 1.0, 3600.0, 1e308, float("nan"), float("inf"), -1.0))
     if isinstance(old, bytes):
--- a/tests/peers/fuzz/transport_targets.py
+++ b/tests/peers/fuzz/transport_targets.py
@@ -65,7 +65,10 @@
                 if to in self.codecs and self.rng.random() < 0.8:
                     self.codecs[to].open(self.now, 0, datagram)
         must(target.next_timer_at() > self.now, "a timer that is always due")
-        must(self.handshakes <= MAX_HANDSHAKES_PER_SECOND * (self.now - self.began) + 26, "handshakes without end")
+        must(
+            self.handshakes <= MAX_HANDSHAKES_PER_SECOND * (self.now - self.began) + 26,
+            "handshakes without end",
+        )
 
     def step(self) -> None:  # noqa: PLR0912 - a case for each kind of input
         rng, index = self.rng, self.rng.randrange(1, 4)
@@ -75,8 +78,12 @@
                 size = rng.choice((0, 9, 200, 233, 234, 700, datagram_format.MAX_BODY_BYTES))
                 body = b"%d " % self.count + rng.randbytes(size)
                 sender = self.codecs[index]
-                self.sent.setdefault((index, sender.incarnation), set()).add(body[: datagram_format.MAX_BODY_BYTES])
-                outgoing = Outgoing(rng.choice((0, 0, ALL_PEERS)), rng.choice(TOPICS), body[: datagram_format.MAX_BODY_BYTES])
+                self.sent.setdefault((index, sender.incarnation), set()).add(
+                    body[: datagram_format.MAX_BODY_BYTES]
+                )
+                outgoing = Outgoing(
+                    rng.choice((0, 0, ALL_PEERS)), rng.choice(TOPICS), body[: datagram_format.MAX_BODY_BYTES]
+                )
                 sealed = [(index, datagram) for _, datagram in sender.seal(outgoing)]
                 self.recorded = [*self.recorded[-200:], *sealed]
                 for source, datagram in sealed if rng.random() < 0.8 else rng.sample(sealed, len(sealed)):
@@ -116,16 +123,29 @@
         incarnation = rng.choice((self.codecs[sender].incarnation, 1, 2**48 - 1, rng.randrange(2**48)))
         sequence = rng.choice((0, 1, 2**40 - 1, rng.randrange(2**40), self.codecs[sender]._sequence))
         to_all, is_fragment = rng.random() < 0.3, rng.random() < 0.5
-        header = datagram_format.encode_header(to_all, is_fragment, rng.randrange(8), 1, sender, incarnation, sequence)
+        header = datagram_format.encode_header(
+            to_all, is_fragment, rng.randrange(8), 1, sender, incarnation, sequence
+        )
         body = rng.choice((bytes([rng.randrange(18), rng.randrange(18)]), bytes([rng.randrange(5)])))
         data = header + body + rng.randbytes(rng.choice((0, 1, 8, 16, 230)))
         return data + keys.mac(BROADCAST_RECEIVER if to_all else 0, data)
 
     def end(self) -> None:
         reassembly, target = self.codecs[0]._reassembly, self.codecs[0]
-        must(0 <= reassembly.memory_bytes <= MAX_MEMORY_BYTES and len(reassembly._bodies) <= 2 * NUM_ROUTERS, "bodies without end")
-        must(len(target._senders) <= NUM_ROUTERS and len(target._handshakes._pending) <= NUM_ROUTERS, "senders without end")
-        must(all(len(s.replaced_incarnations) <= 4 and s.seen_mask < 1 << 512 for s in target._senders.values()), "replaced incarnations without end")
+        must(
+            0 <= reassembly.memory_bytes <= MAX_MEMORY_BYTES and len(reassembly._bodies) <= 2 * NUM_ROUTERS,
+            "bodies without end",
+        )
+        must(
+            len(target._senders) <= NUM_ROUTERS and len(target._handshakes._pending) <= NUM_ROUTERS,
+            "senders without end",
+        )
+        must(
+            all(
+                len(s.replaced_incarnations) <= 4 and s.seen_mask < 1 << 512 for s in target._senders.values()
+            ),
+            "replaced incarnations without end",
+        )
         target.take_outgoing(self.now + 5.0)
         must(not reassembly._bodies and reassembly.memory_bytes == 0, "an incomplete body that never expires")
 
@@ -143,18 +163,26 @@
     def step(self) -> None:
         rng = self.rng
         if rng.random() < 0.7:
-            size = rng.choice((0, 50, 200, 234, datagram_format.MAX_BODY_BYTES, datagram_format.MAX_BODY_BYTES + 1))
+            size = rng.choice(
+                (0, 50, 200, 234, datagram_format.MAX_BODY_BYTES, datagram_format.MAX_BODY_BYTES + 1)
+            )
             to = rng.choice((ALL_PEERS, 1, self.num_peers, self.num_peers + 1, 0, -7))
             outgoing = Outgoing(to, rng.choice(TOPICS), rng.randbytes(size), rng.choice(list(Priority)))
             self.queue.enqueue(self.now, outgoing)
         else:
             self.now += rng.choice((0.0, 1e-9, 0.002, 1.0, 500.0))
         self.take_sendable()
-        must(self.queue._queued_bytes <= MAX_QUEUED_BYTES and self.queue._queued_messages <= MAX_QUEUED_MESSAGES, "queued without end")
+        must(
+            self.queue._queued_bytes <= MAX_QUEUED_BYTES
+            and self.queue._queued_messages <= MAX_QUEUED_MESSAGES,
+            "queued without end",
+        )
 
     def take_sendable(self) -> int:
         datagrams = self.timed(self.queue.take_sendable, self.now)
-        self.bytes_sent += sum(len(datagram) * (self.num_peers if to == ALL_PEERS else 1) for to, datagram in datagrams)
+        self.bytes_sent += sum(
+            len(datagram) * (self.num_peers if to == ALL_PEERS else 1) for to, datagram in datagrams
+        )
         largest_cost = 3696 + 16 * 25
         limit = DEFAULT_BURST_BYTES + 2000 * (self.now - self.began) + largest_cost * self.num_peers
         must(self.bytes_sent <= limit + 1, f"exceeds the rate limit = {self.bytes_sent}")
@@ -170,4 +198,6 @@
             # because of rounding; the driver waits at least as long
             self.now += MIN_TIMER_SECONDS if idle_timers else 0.0
             must(idle_timers < 2, "a timer that sends nothing")
-        must(not self.queue._queued_messages and not self.queue._queued_bytes, "counts messages that are gone")
+        must(
+            not self.queue._queued_messages and not self.queue._queued_bytes, "counts messages that are gone"
+        )
--- a/tests/peers/test_fuzz.py
+++ b/tests/peers/test_fuzz.py
@@ -27,10 +27,15 @@
 from tests.peers import scenario
 from tests.peers.consensus.watching import FACTS, FLOOR, policy
 from tests.peers.fuzz.consensus_target import ConsensusTarget, random_state
+from tests.peers.fuzz.document_targets import (
+    AdminPostTarget,
+    PolicyDocumentTarget,
+    RecordTarget,
+    make_policies,
+)
+from tests.peers.fuzz.gossip_targets import SteeringTarget, ZoneLatencyTarget
 from tests.peers.fuzz.harness import FuzzTarget, TargetFactory, run, size_of
-from tests.peers.fuzz.gossip_targets import ZoneLatencyTarget, SteeringTarget
-from tests.peers.fuzz.document_targets import PolicyDocumentTarget, AdminPostTarget, RecordTarget, make_policies
-from tests.peers.fuzz.transport_targets import SendQueueTarget, CodecTarget
+from tests.peers.fuzz.transport_targets import CodecTarget, SendQueueTarget
 
 TARGETS: dict[str, tuple[TargetFactory, int, int]] = {  # target, episodes, inputs of each
     "wire": (CodecTarget, 4, 200),
@@ -125,7 +130,9 @@
 
 
 @scenario
-async def test_an_invalid_record_with_a_valid_checksum_is_reported_and_the_voter_starts(tmp_path: Path) -> None:
+async def test_an_invalid_record_with_a_valid_checksum_is_reported_and_the_voter_starts(
+    tmp_path: Path,
+) -> None:
     store = FolderStore(tmp_path)
     for record in (b"", b"\x93", msgspec.msgpack.encode([1, 2]), b"\x91" * 5000):
         with pytest.raises(RecordFormError):
@@ -188,7 +195,9 @@
         protocol.table._words.clear()
         for region in range(256):
             report = regions.Report(reporter, 1, region, 1, bytes(4), 0.0)
-            protocol.on_message(float(region), Received(reporter, 1, regions.encode(known.digest, [report])[0]))
+            protocol.on_message(
+                float(region), Received(reporter, 1, regions.encode(known.digest, [report])[0])
+            )
             sizes.append(len(protocol._waiting))
     assert max(sizes) == MOST_WAITING
     after = [after for before, after in zip(sizes, sizes[1:], strict=False) if after < before]
--- a/tests/peers/transport/test_incarnations.py
+++ b/tests/peers/transport/test_incarnations.py
@@ -40,7 +40,9 @@
     sender, receiver = connected_pair()
     sent = [seal_body(sender, b"%d" % i)[0] for i in range(REPLAY_WINDOW + 2)]
     assert open_bodies(1.0, receiver, 0, *sent[1:]) == [b"%d" % i for i in range(1, REPLAY_WINDOW + 2)]
-    assert {drop_reason(receiver, datagram, now=2.0 + i) for i, datagram in enumerate(sent)} == {DropReason.REPEATED}
+    assert {drop_reason(receiver, datagram, now=2.0 + i) for i, datagram in enumerate(sent)} == {
+        DropReason.REPEATED
+    }
     assert open_bodies(3.0, receiver, 0, *seal_body(sender, b"next")) == [b"next"]
 
 
@@ -117,11 +119,17 @@
 
 
 def test_a_response_needs_a_valid_mac_and_stays_valid_when_the_challenge_is_repeated() -> None:
-    receiver, sender, forger = make_codec(1), make_codec(0), make_codec(0, incarnation=66, keys=KeyRing(1, {1: NEW}))
+    receiver, sender, forger = (
+        make_codec(1),
+        make_codec(0),
+        make_codec(0, incarnation=66, keys=KeyRing(1, {1: NEW})),
+    )
     challenges = []
     for now in (0.0, 1.5):
         receiver.start_handshake(now, 0)
-        challenges += [datagram for outgoing in receiver.take_outgoing(now) for _, datagram in receiver.seal(outgoing)]
+        challenges += [
+            datagram for outgoing in receiver.take_outgoing(now) for _, datagram in receiver.seal(outgoing)
+        ]
     sender.open(1.5, 1, challenges[0])
     (outgoing,) = sender.take_outgoing(1.5)
     assert drop_reason(receiver, forger.seal(outgoing)[0][1], now=1.6) is DropReason.MAC
--- a/tests/peers/transport/test_send_queue.py
+++ b/tests/peers/transport/test_send_queue.py
@@ -133,9 +133,6 @@
 
 
 def test_a_rate_limit_that_admits_no_long_message_is_refused() -> None:
-    for bytes_per_second, burst_bytes in (
-        (99.0, DEFAULT_BURST_BYTES),
-        (DEFAULT_BYTES_PER_SECOND, 1000.0),
-    ):
+    for bytes_per_second, burst_bytes in ((99.0, DEFAULT_BURST_BYTES), (DEFAULT_BYTES_PER_SECOND, 1000.0)):
         with pytest.raises(RateLimitError):
             SendQueue(make_codec(0).seal, 1, bytes_per_second, burst_bytes)
--- a/tests/test_halls.py
+++ b/tests/test_halls.py
@@ -12,7 +12,7 @@
 
 from ironrail.connections.upstream.pool_settings import PoolSettings
 from ironrail.net.peers.node_identity import NodeIdentity
-from ironrail.net.peers.transport import PeerTransport, PeerTable
+from ironrail.net.peers.transport import PeerTable, PeerTransport
 from ironrail.net.peers.zone_latency import HallsMap
 from ironrail.net.protocol.meta_codec import Command, parse_fields
 from ironrail.net.system import REAL
@@ -51,7 +51,9 @@
     ends = []
     for me in range(2):
         part = HallsMap(here(me), tell if me == 0 else lambda event: None)
-        end = PeerTransport(me, PeerTable(addresses[me], addresses, None), conf, me + 1, REAL, part.publish_changes)
+        end = PeerTransport(
+            me, PeerTable(addresses[me], addresses, None), conf, me + 1, REAL, part.publish_changes
+        )
         end.register(part.protocol)
         for step in range(6):  # connects to caches of its own hall a moment ago: something to tell at all
             part._map.observe(REAL.now() - 2.0 + step * 0.2, me, 0.001)
--- a/tests/test_record_store.py
+++ b/tests/test_record_store.py
@@ -74,7 +74,9 @@
             return None
 
     results: asyncio.Queue[tuple[int, OSError | None]] = asyncio.Queue()
-    writer = RecordWriter(store := SlowStore(), "accord", lambda token, error: results.put_nowait((token, error)))
+    writer = RecordWriter(
+        store := SlowStore(), "accord", lambda token, error: results.put_nowait((token, error))
+    )
     for token in (1, 8, 9, 2):  # while the disk hangs only the last one waits
         writer.enqueue(token, b"%d" % token)
     permitted_writes.release(2)
