--- a/ironrail/peers/transport/datagram_codec.py
+++ b/ironrail/peers/transport/datagram_codec.py
@@ -109,7 +109,7 @@
         """
         to_all = outgoing.to == ALL_PEERS
         if not to_all and (outgoing.to == self.own_index or not 0 <= outgoing.to < self.num_routers):
-            raise UnsendableError(f"topic {outgoing.topic}: router {outgoing.to} is no receiver")
+            raise UnsendableError(f"topic {outgoing.topic}: router {outgoing.to} is not a valid receiver")
         if len(outgoing.body) > datagram_format.MAX_BODY_BYTES:
             raise UnsendableError(f"topic {outgoing.topic}: a body of {len(outgoing.body)} bytes is too long")
         keys, receiver, parts = (
