--- a/ironrail/net/peers/node_identity.py
+++ b/ironrail/net/peers/node_identity.py
@@ -1,4 +1,4 @@
-"""Where a router stands among all: what each part of what it does with others is told."""
+"""The identity of this router within its peer group, passed to each peer component."""
 
 from __future__ import annotations
 
@@ -10,15 +10,26 @@
 
 @dataclass(frozen=True, slots=True)
 class NodeIdentity:
-    """Where this router stands among all."""
+    """This router's index, process incarnation and zone table.
 
-    me: int
-    start: int  # of this process
+    Attributes:
+        own_index: This router's index among all routers.
+        incarnation: Identifier of this process.
+        system: Clocks and sockets.
+        zones: The zone of each router, by router index.
+        rng: Source of randomness for the protocols.
+    """
+
+    own_index: int
+    incarnation: int
     system: System
-    halls: tuple[str, ...]  # of each router, by its number
-    draws: random.Random
+    zones: tuple[str, ...]
+    rng: random.Random
+
+    def zone_indices(self) -> tuple[list[str], list[int]]:
+        """Return the distinct zones, sorted, and the index of each router's zone in them.
 
-    def numbered(self) -> tuple[list[str], list[int]]:
-        """The different halls in an order that all routers share, and each router's among them."""
-        names = sorted(set(self.halls))
-        return names, [names.index(hall) for hall in self.halls]
+        The order is the same on every router.
+        """
+        names = sorted(set(self.zones))
+        return names, [names.index(zone) for zone in self.zones]
