--- a/benchmarks/halls_evidence.py
+++ b/benchmarks/halls_evidence.py
@@ -11,8 +11,8 @@
 import random
 from collections.abc import Callable
 
-from ironrail.peers.zone_latency.evidence import Evidence
-from ironrail.peers.zone_latency.sight import Link
+from ironrail.peers.zone_latency.link_monitor import Evidence
+from ironrail.peers.zone_latency.link_tracker import Link
 
 TRIPS = (0.0006, 0.02, 0.1)
 EACH, WORK, SPREAD, HINT = 20.0, 0.11, 0.8, 0.3
--- a/benchmarks/peers_latency.py
+++ b/benchmarks/peers_latency.py
@@ -18,9 +18,9 @@
 from peers_latency_fleet import Fleet, matrix
 from peers_latency_space import space
 
-from ironrail.peers.zone_latency.buckets import code_of
-from ironrail.peers.zone_latency.sight import Link, Sight
-from ironrail.peers.zone_latency.table import Table
+from ironrail.peers.zone_latency.histogram import code_of
+from ironrail.peers.zone_latency.link_tracker import Link, Sight
+from ironrail.peers.zone_latency.report_table import Table
 
 STEP, PATIENCE = 0.05, 30.0  # seconds
 WARM = {3: 25.0, 6: 25.0, 12: 30.0, 50: 60.0}  # seconds before anything happens
--- a/benchmarks/peers_latency_fleet.py
+++ b/benchmarks/peers_latency_fleet.py
@@ -15,9 +15,9 @@
 from collections.abc import Callable
 
 from ironrail.peers.messages import Received
-from ironrail.peers.zone_latency.room import LatencyRoom
-from ironrail.peers.zone_latency.sight import Link
-from ironrail.peers.zone_latency.spread import OVERHEAD
+from ironrail.peers.zone_latency.protocol import LatencyRoom
+from ironrail.peers.zone_latency.link_tracker import Link
+from ironrail.peers.zone_latency.gossip_scheduler import OVERHEAD
 
 GIVEN_UP = 1.0  # seconds until a round trip counts as lost
 NEAR = 0.0003  # seconds of a round trip within a hall
--- a/ironrail/net/peers/readers.py
+++ b/ironrail/net/peers/readers.py
@@ -16,7 +16,7 @@
 from ironrail.admin.http_call import Handler, Response
 from ironrail.diagnostics.reasons import ClientCloseReason
 from ironrail.errors import InputError, IronrailError, RejectedError
-from ironrail.net.peers.link_evidence import Evidence, One
+from ironrail.net.peers.client_measurements import Evidence, One
 from ironrail.operator_file import OperatorSettings
 from ironrail.peers.consensus import policy as p
 from ironrail.peers.steering.capacity import Server, Servers, halls_now
--- a/ironrail/net/peers/zone_latency.py
+++ b/ironrail/net/peers/zone_latency.py
@@ -9,10 +9,10 @@
 
 from ironrail.admin.http_call import Handler, Response
 from ironrail.net.peers.node_identity import NodeIdentity
-from ironrail.peers.zone_latency.echoes import Echoing
-from ironrail.peers.zone_latency.facts import HallsSeen
-from ironrail.peers.zone_latency.room import LatencyRoom
-from ironrail.peers.zone_latency.sight import Link
+from ironrail.peers.zone_latency.round_trip import Echoing
+from ironrail.peers.zone_latency.snapshot import HallsSeen
+from ironrail.peers.zone_latency.protocol import LatencyRoom
+from ironrail.peers.zone_latency.link_tracker import Link
 from ironrail.policy.events import LinkState, ZoneLink, ZoneLinksChanged
 
 log = logging.getLogger(__name__)
--- a/ironrail/peers/steering/capacity.py
+++ b/ironrail/peers/steering/capacity.py
@@ -12,8 +12,8 @@
 
 from ironrail.peers.steering.expected import Cells, Hall, Standing
 from ironrail.peers.steering.proposal import USUAL
-from ironrail.peers.zone_latency.sight import Link
-from ironrail.peers.zone_latency.table import Estimate
+from ironrail.peers.zone_latency.link_tracker import Link
+from ironrail.peers.zone_latency.report_table import Estimate
 
 COLD = 0.5  # of a hall's weight that has just started, from which on nobody more is brought there
 
--- a/ironrail/peers/zone_latency/__init__.py
+++ b/ironrail/peers/zone_latency/__init__.py
@@ -1,7 +1,7 @@
 """The shared map of latency between halls: own evidence, what others saw, and how much either is worth.
 
-`room.py` is the room that a driver drives; `evidence.py` and `sight.py` judge what this router sees,
-`reports.py` is the form on the wire, `table.py` merges what witnesses say, `spread.py` picks what goes out,
-`echoes.py` measures round trips by its own messages, `facts.py` is what is handed to whoever decides.
+`protocol.py` is the room that a driver drives; `link_monitor.py` and `link_tracker.py` judge what this router sees,
+`reports.py` is the form on the wire, `report_table.py` merges what witnesses say, `gossip_scheduler.py` picks what goes out,
+`round_trip.py` measures round trips by its own messages, `snapshot.py` is what is handed to whoever decides.
 Design and figures: `docs/peers/latency.md`.
 """
--- a/ironrail/peers/zone_latency/spread.py
+++ b/ironrail/peers/zone_latency/gossip_scheduler.py
@@ -13,7 +13,7 @@
 from itertools import chain, islice
 
 from ironrail.peers.zone_latency.reports import MOST_BODY, encode
-from ironrail.peers.zone_latency.table import Change, Table
+from ironrail.peers.zone_latency.report_table import Change, Table
 
 RATE = 2000.0  # bytes a second that a router sends for the map, all told
 OVERHEAD = 60  # bytes of a message beyond its body: 28 of IP and UDP, the rest for the wire
--- a/ironrail/peers/zone_latency/evidence.py
+++ b/ironrail/peers/zone_latency/link_monitor.py
@@ -9,7 +9,7 @@
 import math
 from collections.abc import Callable
 
-from ironrail.peers.zone_latency.sight import Link, Sight
+from ironrail.peers.zone_latency.link_tracker import Link, Sight
 
 TOGETHER = 1.0  # seconds in which samples of several halls tell of the same state of this router
 OTHERS = 2  # halls that must be late with one to lay it to this router; its own hall is proof alone
--- a/ironrail/peers/zone_latency/sight.py
+++ b/ironrail/peers/zone_latency/link_tracker.py
@@ -12,7 +12,7 @@
 from collections import deque
 from enum import IntEnum
 
-from ironrail.peers.zone_latency.buckets import FARTHEST, Fading, code_of, seconds_of
+from ironrail.peers.zone_latency.histogram import FARTHEST, Fading, code_of, seconds_of
 
 WINDOW = 0.1  # seconds whose quickest sample counts: shorter than any run worth telling, longer than a burst
 USUAL = 600.0  # seconds, half-life of what counts as usual: a link slow for as long is usual by then
--- a/ironrail/peers/zone_latency/room.py
+++ b/ironrail/peers/zone_latency/protocol.py
@@ -8,12 +8,12 @@
 
 from ironrail.errors import InputError
 from ironrail.peers.messages import MOST_HALLS, Outgoing, Priority, Received, Topic
-from ironrail.peers.zone_latency.evidence import Evidence
-from ironrail.peers.zone_latency.facts import Facts, HallsSeen
+from ironrail.peers.zone_latency.link_monitor import Evidence
+from ironrail.peers.zone_latency.snapshot import Facts, HallsSeen
 from ironrail.peers.zone_latency.reports import Report, ReportError, decode, differ, pack
-from ironrail.peers.zone_latency.sight import Link
-from ironrail.peers.zone_latency.spread import Spread
-from ironrail.peers.zone_latency.table import Estimate, Table
+from ironrail.peers.zone_latency.link_tracker import Link
+from ironrail.peers.zone_latency.gossip_scheduler import Spread
+from ironrail.peers.zone_latency.report_table import Estimate, Table
 
 RETOLD = 0.25  # of a renewal at least between two reports of a link for the sake of figures alone
 LOOK = 0.25  # seconds between two looks at the map for the facts
--- a/ironrail/peers/zone_latency/table.py
+++ b/ironrail/peers/zone_latency/report_table.py
@@ -14,9 +14,9 @@
 from dataclasses import dataclass
 from enum import IntEnum
 
-from ironrail.peers.zone_latency.buckets import FARTHEST, seconds_of
+from ironrail.peers.zone_latency.histogram import FARTHEST, seconds_of
 from ironrail.peers.zone_latency.reports import Report, differ, unpack
-from ironrail.peers.zone_latency.sight import Link
+from ironrail.peers.zone_latency.link_tracker import Link
 
 WITNESSES = 5  # kept of a link: two liars or sick ones are outvoted
 ILL = 2  # witnesses that must call a link slow or cut: one liar invents no ill, and one of five hides none
--- a/ironrail/peers/zone_latency/reports.py
+++ b/ironrail/peers/zone_latency/reports.py
@@ -11,7 +11,7 @@
 from typing import NamedTuple
 
 from ironrail.errors import InputError
-from ironrail.peers.zone_latency.sight import Link
+from ironrail.peers.zone_latency.link_tracker import Link
 
 MOST_BODY = 200  # bytes: with the wire's own within the 256 that a datagram may have
 AGE_UNIT = 0.05  # seconds; rounded down, so no hop makes evidence older than it is
--- a/ironrail/peers/zone_latency/echoes.py
+++ b/ironrail/peers/zone_latency/round_trip.py
@@ -11,7 +11,7 @@
 from dataclasses import replace
 
 from ironrail.peers.messages import Outgoing, Received, Topic
-from ironrail.peers.zone_latency.room import LatencyRoom
+from ironrail.peers.zone_latency.protocol import LatencyRoom
 
 UNIT = 50e-6  # seconds: half of what a datagram takes within a hall
 FIELD = 3  # bytes: of these units 14 minutes
--- a/ironrail/peers/zone_latency/facts.py
+++ b/ironrail/peers/zone_latency/snapshot.py
@@ -6,8 +6,8 @@
 from collections.abc import Sequence
 from dataclasses import dataclass, field
 
-from ironrail.peers.zone_latency.sight import Link
-from ironrail.peers.zone_latency.table import NOTHING, Estimate
+from ironrail.peers.zone_latency.link_tracker import Link
+from ironrail.peers.zone_latency.report_table import NOTHING, Estimate
 
 STEP = 1.5  # times longer or shorter than handed out: the scale's own steps are 1.21
 LEAST_STEP = 0.0005  # seconds; less decides nothing
--- a/tests/peers/fuzz/gossip.py
+++ b/tests/peers/fuzz/gossip.py
@@ -11,9 +11,9 @@
 from ironrail.peers.steering.regions import Regions
 from ironrail.peers.steering.room import MOST_WAITING, RegionsRoom
 from ironrail.peers.steering.table import WITNESSES
-from ironrail.peers.zone_latency.room import LatencyRoom
-from ironrail.peers.zone_latency.sight import Link
-from ironrail.peers.zone_latency.spread import MOST_RUMOURS
+from ironrail.peers.zone_latency.protocol import LatencyRoom
+from ironrail.peers.zone_latency.link_tracker import Link
+from ironrail.peers.zone_latency.gossip_scheduler import MOST_RUMOURS
 from tests.peers.fuzz.base import Attack, idle, must, size_of
 from tests.peers.fuzz.bodies import latency_body, regions_body, spoil
 
--- a/tests/peers/steering/test_capacity.py
+++ b/tests/peers/steering/test_capacity.py
@@ -10,8 +10,8 @@
 from ironrail.peers.steering.table import Cell
 from ironrail.peers.steering.told import NoRowsError, tell
 from ironrail.peers.steering.turns import DELAY, Turn
-from ironrail.peers.zone_latency.sight import Link
-from ironrail.peers.zone_latency.table import NOTHING, Estimate
+from ironrail.peers.zone_latency.link_tracker import Link
+from ironrail.peers.zone_latency.report_table import NOTHING, Estimate
 
 HALL_OF = ["a", "a", "b", "c"]
 
--- a/tests/peers/test_fuzz.py
+++ b/tests/peers/test_fuzz.py
@@ -23,7 +23,7 @@
 from ironrail.peers.steering.regions import Regions
 from ironrail.peers.steering.room import LEFT_WAITING, MOST_WAITING, RegionsRoom
 from ironrail.peers.zone_latency.reports import MOST_BODY, Report, encode
-from ironrail.peers.zone_latency.room import LatencyRoom
+from ironrail.peers.zone_latency.protocol import LatencyRoom
 from tests.peers import scenario
 from tests.peers.consensus.watching import FACTS, FLOOR, policy
 from tests.peers.fuzz.accord import Accord, _state
--- a/tests/peers/zone_latency/fleet.py
+++ b/tests/peers/zone_latency/fleet.py
@@ -6,7 +6,7 @@
 import random
 
 from ironrail.peers.messages import Received
-from ironrail.peers.zone_latency.room import LatencyRoom
+from ironrail.peers.zone_latency.protocol import LatencyRoom
 
 STEP = 0.05  # seconds
 NAMES = ["a", "b", "c", "d"]
--- a/tests/peers/zone_latency/test_evidence.py
+++ b/tests/peers/zone_latency/test_link_monitor.py
@@ -4,9 +4,9 @@
 
 import pytest
 
-from ironrail.peers.zone_latency.buckets import BUCKETS, Fading, code_of, seconds_of
-from ironrail.peers.zone_latency.evidence import Evidence
-from ironrail.peers.zone_latency.sight import DWELL, MOST_DWELL, Link
+from ironrail.peers.zone_latency.histogram import BUCKETS, Fading, code_of, seconds_of
+from ironrail.peers.zone_latency.link_monitor import Evidence
+from ironrail.peers.zone_latency.link_tracker import DWELL, MOST_DWELL, Link
 
 OWN, FAR, OTHER = 0, 1, 2
 
--- a/tests/peers/zone_latency/test_room.py
+++ b/tests/peers/zone_latency/test_protocol.py
@@ -8,11 +8,11 @@
 
 from ironrail.errors import InputError
 from ironrail.peers.messages import Received
-from ironrail.peers.zone_latency.facts import HallLink, HallsSeen
+from ironrail.peers.zone_latency.snapshot import HallLink, HallsSeen
 from ironrail.peers.zone_latency.reports import Report, encode, pack
-from ironrail.peers.zone_latency.room import LatencyRoom
-from ironrail.peers.zone_latency.sight import Link
-from ironrail.peers.zone_latency.spread import OVERHEAD, RATE
+from ironrail.peers.zone_latency.protocol import LatencyRoom
+from ironrail.peers.zone_latency.link_tracker import Link
+from ironrail.peers.zone_latency.gossip_scheduler import OVERHEAD, RATE
 
 from .fleet import NAMES, Fleet
 
--- a/tests/peers/zone_latency/test_merge.py
+++ b/tests/peers/zone_latency/test_report_table.py
@@ -8,8 +8,8 @@
 from hypothesis import strategies as st
 
 from ironrail.peers.zone_latency.reports import MOST_BODY, Report, ReportError, decode, encode, pack, unpack
-from ironrail.peers.zone_latency.sight import Link
-from ironrail.peers.zone_latency.table import EXPIRED, NOTHING, STALE, WITNESSES, Change, Table, rank
+from ironrail.peers.zone_latency.link_tracker import Link
+from ironrail.peers.zone_latency.report_table import EXPIRED, NOTHING, STALE, WITNESSES, Change, Table, rank
 
 HALL_OF = [0] * 8 + [1]
 VALUES = st.builds(
--- a/tests/peers/zone_latency/test_echoes.py
+++ b/tests/peers/zone_latency/test_round_trip.py
@@ -5,10 +5,10 @@
 import pytest
 
 from ironrail.peers.messages import Outgoing, Received
-from ironrail.peers.zone_latency.echoes import MOST_HOLD, TRAILER, Echoing
-from ironrail.peers.zone_latency.evidence import Evidence
-from ironrail.peers.zone_latency.room import LatencyRoom
-from ironrail.peers.zone_latency.sight import Link
+from ironrail.peers.zone_latency.round_trip import MOST_HOLD, TRAILER, Echoing
+from ironrail.peers.zone_latency.link_monitor import Evidence
+from ironrail.peers.zone_latency.protocol import LatencyRoom
+from ironrail.peers.zone_latency.link_tracker import Link
 
 HALL_OF = [0, 1, 2, 1]
 
--- a/tests/test_readers.py
+++ b/tests/test_readers.py
@@ -13,7 +13,7 @@
 
 from ironrail.diagnostics.reasons import ClientCloseReason
 from ironrail.net.peers import readers as driver
-from ironrail.net.peers.link_evidence import One
+from ironrail.net.peers.client_measurements import One
 from tests.peers import World, scenario
 from tests.readers_router import AWAY, HERE, ROW, Read
 
