--- a/ironrail/net/peers/client_measurements.py
+++ b/ironrail/net/peers/client_measurements.py
@@ -1,4 +1,4 @@
-"""What this router itself sees of each region's readers, on its way to the room; decides nothing."""
+"""Measures round trips to clients and the outcome of their requests, by region, for steering."""
 
 from __future__ import annotations
 
@@ -17,64 +17,105 @@
     from ironrail.net.downstream.client_connection import ClientConnection
     from ironrail.net.downstream.client_listener import ClientListener
 
-ROUND_TRIPS = 8  # asked of the system a tick: 60 us, and 17 minutes for 8,000 connections
-PASSED_OVER = 256  # connections a tick of which there is nothing new to ask
+MAX_ROUND_TRIP_READS = 8  # of the kernel, a tick; they take 60 us, and 17 minutes for 8,000 connections
+MAX_CONNECTIONS_VISITED = 256  # a tick, including those on which nothing new was received
 
 
-class One:
-    """Whoever is at the other end of one client's connection."""
+class MeasuredClient:
+    """The client of one connection.
 
-    __slots__ = ("_evidence", "client", "looked", "opened", "region", "rtt")
+    Attributes:
+        address: IP address; empty if it is not known.
+        opened_at: Time at which the connection was accepted.
+        region: Name of the client's region.
+        rtt: Round trip in seconds, 0 while it is not known.
+        measured_at: Time at which the round trip was last read.
+    """
 
-    def __init__(self, evidence: Evidence, client: str, now: float) -> None:
-        self._evidence, self.client, self.opened = evidence, client, now
-        self.region = evidence.regions.name(client)
-        self.rtt, self.looked = 0.0, now  # seconds, 0 if not known yet
+    __slots__ = ("_measurements", "address", "measured_at", "opened_at", "region", "rtt")
+
+    def __init__(self, measurements: ClientMeasurements, address: str, now: float) -> None:
+        """Initialize a client that has just connected."""
+        self._measurements, self.address, self.opened_at = measurements, address, now
+        self.region = measurements.regions.name(address)
+        self.rtt, self.measured_at = 0.0, now
 
     def time_left(self, left: float) -> float:
-        return self._evidence.time_left(self.region, left)
+        """Return the seconds left to the router, of those until the client needs the answer."""
+        return self._measurements.time_left(self.region, left)
 
     def ended(self, request_class: str, seconds: float, ended: RequestOutcome) -> None:
-        self._evidence.ended(self, request_class, seconds, ended)
+        """Record the end of a request after some seconds."""
+        self._measurements.ended(self, request_class, seconds, ended)
+
 
+class ClientMeasurements:
+    """Records the round trips of clients and the end of their requests.
 
-class Evidence:
-    """Takes note of round trips and of requests that end."""
+    Attributes:
+        regions: Maps addresses to regions.
+    """
 
-    def __init__(self, system: System, regions: Regions, room: RegionsRoom, settings: Settings) -> None:
-        self._system, self.regions, self._room = system, regions, room
+    def __init__(
+        self, system: System, regions: Regions, protocol: RegionsRoom, settings: Settings
+    ) -> None:
+        """Initialize without any client.
+
+        Args:
+            system: Clock, and access to the sockets' round trips.
+            regions: Maps addresses to regions.
+            protocol: Gets the measurements.
+            settings: Has the request classes.
+        """
+        self._system, self.regions, self._protocol = system, regions, protocol
         self._classes = settings.classes
-        self._waiting = deque["ClientConnection"]()
+        self._unvisited = deque["ClientConnection"]()
 
-    def one(self, transport: asyncio.Transport) -> One:
-        """Whoever has come."""
-        name = transport.get_extra_info("peername")
-        return One(self, name[0] if name else "", self._system.now())
+    def identify(self, transport: asyncio.Transport) -> MeasuredClient:
+        """Return the client of a new connection."""
+        peer_name = transport.get_extra_info("peername")
+        return MeasuredClient(self, peer_name[0] if peer_name else "", self._system.now())
 
     def time_left(self, region: str, left: float) -> float:
-        return self._room.time_left(self._system.now(), region, left)
-
-    def ended(self, one: One, request_class: str, seconds: float, ended: RequestOutcome) -> None:
-        """A request's end. Of one that was not served only that counts: a refusal is quick."""
-        served, early = ended is RequestOutcome.SERVED, ended is RequestOutcome.CLIENT_DISCONNECTED
-        in_time = served and seconds + one.rtt <= self._classes[request_class].latency_objective
-        took = seconds if served or early else math.inf
-        self._room.served(self._system.now(), one.region, request_class, took, in_time, early)
+        """Return the seconds left to the router, of those until a client of the region needs the answer."""
+        return self._protocol.time_left(self._system.now(), region, left)
+
+    def ended(
+        self, client: MeasuredClient, request_class: str, seconds: float, ended: RequestOutcome
+    ) -> None:
+        """Record the end of a request.
+
+        The duration of a request that was not served is not used: a refusal is quick.
+        """
+        was_served, left_early = (
+            ended is RequestOutcome.SERVED,
+            ended is RequestOutcome.CLIENT_DISCONNECTED,
+        )
+        is_in_time = (
+            was_served and seconds + client.rtt <= self._classes[request_class].latency_objective
+        )
+        service_time = seconds if was_served or left_early else math.inf
+        self._protocol.served(
+            self._system.now(), client.region, request_class, service_time, is_in_time, left_early
+        )
 
     def measure(self, clients: ClientListener) -> None:
-        """Round trips of a few connections in turn, of those on which something came since the last look."""
-        if not self._waiting:
-            self._waiting.extend(clients.open_connections())
-        now, asked = self._system.now(), 0
-        for _ in range(min(PASSED_OVER, len(self._waiting))):
-            connection = self._waiting.popleft()
-            one = connection.reader
-            if not isinstance(one, One) or connection.session.last_received_at <= one.looked:
+        """Read the round trips of a few connections in turn, of those that received data since then."""
+        if not self._unvisited:
+            self._unvisited.extend(clients.open_connections())
+        now, num_reads = self._system.now(), 0
+        for _ in range(min(MAX_CONNECTIONS_VISITED, len(self._unvisited))):
+            connection = self._unvisited.popleft()
+            client = connection.reader
+            if (
+                not isinstance(client, MeasuredClient)
+                or connection.session.last_received_at <= client.measured_at
+            ):
                 continue
             seconds = self._system.round_trip(connection.transport)
             if seconds is not None:
-                one.rtt, one.looked = seconds, now
-                self._room.client_rtt(now, one.region, seconds)
-            asked += 1
-            if asked == ROUND_TRIPS:
+                client.rtt, client.measured_at = seconds, now
+                self._protocol.client_rtt(now, client.region, seconds)
+            num_reads += 1
+            if num_reads == MAX_ROUND_TRIP_READS:
                 break
--- a/ironrail/net/peers/readers.py
+++ b/ironrail/net/peers/readers.py
@@ -16,7 +16,7 @@
 from ironrail.admin.http_call import Handler, Response
 from ironrail.diagnostics.reasons import ClientCloseReason
 from ironrail.errors import InputError, IronrailError, RejectedError
-from ironrail.net.peers.client_measurements import Evidence, One
+from ironrail.net.peers.client_measurements import ClientMeasurements, MeasuredClient
 from ironrail.operator_file import OperatorSettings
 from ironrail.peers.consensus import policy as p
 from ironrail.peers.steering.capacity import Server, Servers, halls_now
@@ -69,7 +69,7 @@
         now, classes = here.system.now(), tuple(settings.classes)
         self.regions = Regions(operator.regions)
         self.room = RegionsRoom(now, here.me, here.start, self.regions, names, hall_of, classes, here.draws)
-        self._evidence = Evidence(here.system, self.regions, self.room, settings)
+        self._evidence = ClientMeasurements(here.system, self.regions, self.room, settings)
         self._worth = Worth({name: known.priority_weight for name, known in settings.classes.items()})
         self._list, self._carrier = Servers(), Carrier(here.halls[here.me], now)
         self._turn: Turn | None = None
@@ -94,7 +94,7 @@
     def serve(self, clients: ClientListener) -> None:
         """Those whose requests come to this router."""
         self._clients = clients
-        clients.context.identify_reader = self._evidence.one
+        clients.context.identify_reader = self._evidence.identify
         self._timer = asyncio.get_running_loop().call_later(TICK, self._tick)
 
     def close(self) -> None:
@@ -180,10 +180,10 @@
         looked = [self._to_move.popleft() for _ in range(min(LOOKED_AT, len(self._to_move)))]
         for number, connection in enumerate(looked):
             one, at = connection.reader, connection.session
-            if isinstance(one, One) and one.region in self._rows and connection not in self._leaving:
+            if isinstance(one, MeasuredClient) and one.region in self._rows and connection not in self._leaving:
                 owed = not at.is_idle or not at.has_been_used or at.responses_unread_since is not None
                 resting.append(
-                    Resting(number, one.region, one.client, owed, now - at.last_received_at, one.opened)
+                    Resting(number, one.region, one.address, owed, now - at.last_received_at, one.opened_at)
                 )
         if not resting:
             return
--- a/ironrail/net/peers/runtime.py
+++ b/ironrail/net/peers/runtime.py
@@ -26,7 +26,7 @@
 if TYPE_CHECKING:
     from ironrail.net.downstream.client_listener import ClientListener
     from ironrail.net.peers.readers import Readers
-    from ironrail.net.peers.zone_latency import HallsMap
+    from ironrail.net.peers.zone_latency import ZoneLatencyComponent
 
 
 class PeerComponent(Protocol):
@@ -89,12 +89,12 @@
         self.parts: list[PeerComponent] = []
         self.readers: Readers | None = None
         here = NodeIdentity(me, start, system, peers.zones, random.Random(config.seed))
-        self.halls: HallsMap | None = None
+        self.halls: ZoneLatencyComponent | None = None
         cut = None  # whether a hall is cut off from others, as far as the map tells
         if peers.zone_latency_map:
-            from ironrail.net.peers.zone_latency import HallsMap  # noqa: PLC0415 - only where it is wanted
+            from ironrail.net.peers.zone_latency import ZoneLatencyComponent  # noqa: PLC0415 - only if enabled
 
-            self.halls = HallsMap(here, guide)
+            self.halls = ZoneLatencyComponent(here, guide)
             self.parts.append(self.halls)
             cut = partial(cut_off, self.halls.estimate, here.numbered()[0], system.now)
         if operator.regions:
@@ -135,7 +135,7 @@
 
     def watch(self, zone: str) -> LinkObserver | None:
         """Who is to be told of connections to servers there, if anybody."""
-        return self.halls.watch(zone) if self.halls is not None else None
+        return self.halls.link_observer(zone) if self.halls is not None else None
 
     def check(self, now: float) -> None:
         """Before each decision."""
--- a/ironrail/net/peers/zone_latency.py
+++ b/ironrail/net/peers/zone_latency.py
@@ -1,4 +1,4 @@
-"""The map of latency between halls: what this router sees goes in, what it decides by out."""
+"""Connects the zone latency protocol to connections, which provide evidence, and to the policy."""
 
 from __future__ import annotations
 
@@ -9,100 +9,135 @@
 
 from ironrail.admin.http_call import Handler, Response
 from ironrail.net.peers.node_identity import NodeIdentity
-from ironrail.peers.zone_latency.round_trip import Echoing
-from ironrail.peers.zone_latency.snapshot import HallsSeen
-from ironrail.peers.zone_latency.protocol import LatencyRoom
-from ironrail.peers.zone_latency.link_tracker import Link
+from ironrail.peers.zone_latency.link_tracker import MeasuredLinkState
+from ironrail.peers.zone_latency.protocol import ZoneLatencyProtocol
+from ironrail.peers.zone_latency.round_trip import RoundTripProtocol
+from ironrail.peers.zone_latency.snapshot import LinksSnapshot
 from ironrail.policy.events import LinkState, ZoneLink, ZoneLinksChanged
 
 log = logging.getLogger(__name__)
 
-STATES = {
-    Link.UNKNOWN: LinkState.UNKNOWN,
-    Link.WELL: LinkState.GOOD,
-    Link.SLOW: LinkState.SLOW,
-    Link.CUT: LinkState.CUT,
+POLICY_LINK_STATES = {
+    MeasuredLinkState.UNKNOWN: LinkState.UNKNOWN,
+    MeasuredLinkState.WELL: LinkState.GOOD,
+    MeasuredLinkState.SLOW: LinkState.SLOW,
+    MeasuredLinkState.CUT: LinkState.CUT,
 }
 
 
-class Watch:
-    """What the connections to one server tell of the way to its hall."""
+class ZoneLinkObserver:
+    """Records what the connections to one server show of the link to its zone."""
 
-    def __init__(self, room: LatencyRoom, hall: int, now: Callable[[], float]) -> None:
-        self._room, self._hall, self._now = room, hall, now
+    def __init__(self, protocol: ZoneLatencyProtocol, zone: int, now: Callable[[], float]) -> None:
+        """Initialize an observer.
+
+        Args:
+            protocol: Gets the evidence.
+            zone: Number of the server's zone.
+            now: Returns the current time.
+        """
+        self._protocol, self._zone, self._now = protocol, zone, now
 
     def connected(self, seconds: float) -> None:
-        """A connection came up, or was refused: the server's system answered by itself."""
-        self._room.observe(self._now(), self._hall, seconds)
+        """Record that a connect succeeded or was refused: the server's kernel answered by itself."""
+        self._protocol.record_round_trip(self._now(), self._zone, seconds)
 
     def unconnected(self) -> None:
-        """Nothing answered a connect."""
-        self._room.lost(self._now(), self._hall)
+        """Record that a connect was not answered."""
+        self._protocol.record_loss(self._now(), self._zone)
 
     def heard(self) -> None:
-        """A reply: how long the way was can't be told from how long the work was."""
-        self._room.heard(self._now(), self._hall)
+        """Record a reply. Its round trip is not known, as it includes the server's work."""
+        self._protocol.record_reply(self._now(), self._zone)
 
     def silent(self, seconds: float) -> None:
-        """An attempt was given up, and for so long not a byte had come on its connection."""
-        self._room.silent(self._now(), self._hall, seconds)
+        """Record that an attempt was given up, and for how long nothing had been read."""
+        self._protocol.record_silence(self._now(), self._zone, seconds)
 
 
-class HallsMap:
-    """One router's part in the map."""
+class ZoneLatencyComponent:
+    """One router's part in measuring the latency between zones.
 
-    def __init__(self, here: NodeIdentity, tell: Callable[[ZoneLinksChanged], None]) -> None:
-        """`tell`: takes what is decided by."""
-        self._system, self._tell = here.system, tell
-        self._names, hall_of = here.numbered()
-        self._map = LatencyRoom(here.system.now(), here.me, here.start, self._names, hall_of, here.draws)
-        self.room = Echoing(self._map, hall_of)
-        self.estimate = self._map.estimate
-        self._seen = HallsSeen(0, self._names[hall_of[here.me]], ())
+    Attributes:
+        room: The protocol to drive.
+        estimate: Returns what is known of a link between two zones, by their numbers.
+    """
 
-    def watch(self, zone: str) -> Watch | None:
-        """Who is to be told of connections there; None for a hall without routers, which no word is on."""
-        return Watch(self._map, self._names.index(zone), self._system.now) if zone in self._names else None
+    def __init__(self, identity: NodeIdentity, on_links_changed: Callable[[ZoneLinksChanged], None]) -> None:
+        """Initialize the component.
+
+        Args:
+            identity: This router among its peers.
+            on_links_changed: Called with each new snapshot of the links from this router's zone.
+        """
+        self._system, self._on_links_changed = identity.system, on_links_changed
+        self._zones, router_zones = identity.numbered()
+        self._zone_latency = ZoneLatencyProtocol(
+            identity.system.now(), identity.me, identity.start, self._zones, router_zones, identity.draws
+        )
+        self.room = RoundTripProtocol(self._zone_latency, router_zones)
+        self.estimate = self._zone_latency.estimate
+        self._snapshot = LinksSnapshot(0, self._zones[router_zones[identity.me]], ())
+
+    def link_observer(self, zone: str) -> ZoneLinkObserver | None:
+        """Return the observer of connections to a zone; None for a zone without routers.
+
+        No router could report on the link from such a zone.
+        """
+        return (
+            ZoneLinkObserver(self._zone_latency, self._zones.index(zone), self._system.now)
+            if zone in self._zones
+            else None
+        )
 
     def settled(self) -> None:
-        """After each event."""
-        seen = self._map.facts()
-        if seen is None:
+        """Pass a new snapshot on to the policy; called after each event of the peers' runtime."""
+        snapshot = self._zone_latency.take_snapshot()
+        if snapshot is None:
             return
-        before, self._seen = {link.hall: link.state for link in self._seen.links}, seen
-        states = {link.hall: link.state for link in seen.links}
-        if states != before:
-            log.info("halls", extra={"hall": seen.hall, "links": {h: s.name for h, s in states.items()}})
+        old_states, self._snapshot = {link.zone: link.state for link in self._snapshot.links}, snapshot
+        states = {link.zone: link.state for link in snapshot.links}
+        if states != old_states:
+            log.info(
+                "halls", extra={"hall": snapshot.zone, "links": {z: s.name for z, s in states.items()}}
+            )
         now = self._system.now()
-        self._tell(
+        self._on_links_changed(
             ZoneLinksChanged(
                 {
-                    link.hall: ZoneLink(STATES[link.state], link.low, link.typical, link.lost, link.age(now))
-                    for link in seen.links
+                    link.zone: ZoneLink(
+                        POLICY_LINK_STATES[link.state],
+                        link.fastest,
+                        link.median,
+                        link.loss_ratio,
+                        link.age(now),
+                    )
+                    for link in snapshot.links
                 }
             )
         )
 
     def pages(self) -> dict[str, Handler]:
+        """Return the handlers of the admin endpoint by path."""
         return {"/-/halls": self._page}
 
     def _page(self) -> Response:
-        """What is decided by, as JSON; figures that nobody knows are null."""
+        """Return the snapshot in use as JSON; unknown figures are null."""
         now = self._system.now()
         links = [
             {
-                "hall": link.hall,
-                "state": STATES[link.state].value,
-                "low": link.low,
-                "typical": link.typical,
-                "lost": link.lost,
+                "hall": link.zone,
+                "state": POLICY_LINK_STATES[link.state].value,
+                "low": link.fastest,
+                "typical": link.median,
+                "lost": link.loss_ratio,
                 "age": link.age(now),
-                "witnesses": link.witnesses,
+                "witnesses": link.num_reporters,
             }
-            for link in self._seen.links
+            for link in self._snapshot.links
         ]
-        told = {"hall": self._seen.hall, "version": self._seen.version, "links": links}
-        return Response(200, orjson.dumps(told, option=orjson.OPT_INDENT_2) + b"\n")
+        document = {"hall": self._snapshot.zone, "version": self._snapshot.version, "links": links}
+        return Response(200, orjson.dumps(document, option=orjson.OPT_INDENT_2) + b"\n")
 
     def close(self) -> None:
-        """Nothing is held."""
+        """Release nothing: the component has no timers."""
--- a/ironrail/peers/steering/capacity.py
+++ b/ironrail/peers/steering/capacity.py
@@ -12,8 +12,8 @@
 
 from ironrail.peers.steering.expected import Cells, Hall, Standing
 from ironrail.peers.steering.proposal import USUAL
-from ironrail.peers.zone_latency.link_tracker import Link
-from ironrail.peers.zone_latency.report_table import Estimate
+from ironrail.peers.zone_latency.link_tracker import MeasuredLinkState
+from ironrail.peers.zone_latency.report_table import LinkEstimate
 
 COLD = 0.5  # of a hall's weight that has just started, from which on nobody more is brought there
 
@@ -90,7 +90,7 @@
 
 
 def cut_off(
-    estimate: Callable[[float, int, int], Estimate], halls: Sequence[str], now: Callable[[], float], hall: str
+    estimate: Callable[[float, int, int], LinkEstimate], halls: Sequence[str], now: Callable[[], float], hall: str
 ) -> bool:
     """Whether more than half of the links between this hall and others, of those known, are cut.
 
@@ -99,8 +99,8 @@
     at, me = now(), halls.index(hall)
     ways = [way for n in range(len(halls)) if n != me for way in ((me, n), (n, me))]
     states = [estimate(at, *way).state for way in ways]
-    known = [state for state in states if state is not Link.UNKNOWN]
-    return 2 * known.count(Link.CUT) > len(known)
+    known = [state for state in states if state is not MeasuredLinkState.UNKNOWN]
+    return 2 * known.count(MeasuredLinkState.CUT) > len(known)
 
 
 def takes(halls: Mapping[str, Hall]) -> dict[str, bool]:
--- a/ironrail/peers/zone_latency/__init__.py
+++ b/ironrail/peers/zone_latency/__init__.py
@@ -1,7 +1,13 @@
-"""The shared map of latency between halls: own evidence, what others saw, and how much either is worth.
+"""Latency between zones: measured by each router, shared by gossip, and agreed on by several reporters.
+
+- `protocol.py`: the protocol that the peers' runtime drives;
+- `round_trip.py`: the same, measuring round trips by its own messages;
+- `link_monitor.py` and `link_tracker.py`: the state of links as this router measures it;
+- `histogram.py`: the scale of durations, and histograms that decay;
+- `reports.py`: link reports and their encoding in messages;
+- `report_table.py`: reports of all routers, merged;
+- `gossip_scheduler.py`: which reports are sent, and when;
+- `snapshot.py`: snapshots of the links for the policy.
 
-`protocol.py` is the room that a driver drives; `link_monitor.py` and `link_tracker.py` judge what this router sees,
-`reports.py` is the form on the wire, `report_table.py` merges what witnesses say, `gossip_scheduler.py` picks what goes out,
-`round_trip.py` measures round trips by its own messages, `snapshot.py` is what is handed to whoever decides.
 Design and figures: `docs/peers/latency.md`.
 """
--- a/ironrail/peers/zone_latency/gossip_scheduler.py
+++ b/ironrail/peers/zone_latency/gossip_scheduler.py
@@ -1,8 +1,9 @@
-"""What goes out next, and how soon: rumours first, then the whole map in turn. Pure.
+"""Decides which link reports go into the next message, and when it is sent.
 
-A rumour is a word that just changed something here; it is passed on a bounded number of times, the largest
-change first and of these the newest (as Das, Gupta, Motivala have it in SWIM, DSN 2002). What is left of
-a message goes round the map, so that whoever missed a rumour hears it in the end.
+A report that has just changed the table is forwarded a bounded number of times, the largest changes first
+and of these the newest (as in SWIM: Das, Gupta, Motivala, DSN 2002). The rest of a message is filled with
+the whole table in turn, so that a router that missed a forwarded report gets it in the end.
+Does no I/O and reads no clock.
 """
 
 from __future__ import annotations
@@ -12,90 +13,112 @@
 from collections.abc import Container, Iterator
 from itertools import chain, islice
 
-from ironrail.peers.zone_latency.reports import MOST_BODY, encode
-from ironrail.peers.zone_latency.report_table import Change, Table
+from ironrail.peers.zone_latency.report_table import LinkReportChange, LinkReportTable
+from ironrail.peers.zone_latency.reports import MAX_BODY_BYTES, encode
 
-RATE = 2000.0  # bytes a second that a router sends for the map, all told
-OVERHEAD = 60  # bytes of a message beyond its body: 28 of IP and UDP, the rest for the wire
-QUIET = 0.5  # of RATE while no rumour is under way
-MOST_RUMOURS = 1024  # under way; a hall of fifty that is cut off makes 490
-MOST_SHORT = 7  # messages of changes of state alone, which go sooner and to more, before a full one
-MOST_PICKED = MOST_BODY // 7  # a word takes 6 bytes at the least, and one more from its 128th on
-TELL = 1.5  # times the log2 of the routers that a change of state is passed on: with 30% lost still to all
-FEWER = {Change.STATE: 1.0, Change.VALUES: 0.5, Change.RENEWED: 0.25}  # of that for smaller changes
+MAX_BYTES_PER_SECOND = 2000.0  # sent by one router for this protocol, overhead included
+OVERHEAD_BYTES = 60  # of a message beyond its body: 28 of IP and UDP, the rest of the peers' transport
+IDLE_RATE_FRACTION = 0.5  # of the maximum rate, while no change is being forwarded
+MAX_PENDING_REPORTS = 1024  # a zone of fifty that is cut off causes 490
+# in a row, then a full message; urgent ones hold only changes of state, so they go sooner and to more
+MAX_URGENT_MESSAGES = 7
+# a report takes 6 bytes at least, and one more from sequence number 128 on
+MAX_REPORTS_PER_MESSAGE = MAX_BODY_BYTES // 7
+# times the log2 of the routers; a change of state reaches all of them even with 30% loss
+FORWARDS_PER_LOG2_ROUTERS = 1.5
+# of the number of times that a change of state is forwarded
+FORWARDING_FRACTIONS = {
+    LinkReportChange.STATE: 1.0,
+    LinkReportChange.VALUES: 0.5,
+    LinkReportChange.REFRESHED: 0.25,
+}
 
 
-class Spread:
-    """The rumours of one router, and its pace."""
+class GossipScheduler:
+    """The reports that one router forwards, and its rate limit."""
 
-    def __init__(self, table: Table) -> None:
+    def __init__(self, table: LinkReportTable) -> None:
+        """Initialize a scheduler that sends the reports of `table`."""
         self._table = table
-        tell = TELL * math.log2(max(2, len(table.hall_of)))
-        self._most = {change: math.ceil(tell * share) for change, share in FEWER.items()}
-        # how often each (witness, to) was told; the next to go first, so new ones before those told once
-        self._rumours = {change: OrderedDict[tuple[int, int], int]() for change in FEWER}
-        self._round: Iterator[tuple[int, int]] = iter(())
-        self._sent_at, self._price = -math.inf, 0.0
-        self._in_short = 0  # messages in a row that held changes of state alone
+        state_forwards = FORWARDS_PER_LOG2_ROUTERS * math.log2(max(2, len(table.router_zones)))
+        self._max_forwards = {
+            change: math.ceil(state_forwards * fraction)
+            for change, fraction in FORWARDING_FRACTIONS.items()
+        }
+        # how often each (reporter, to zone) was forwarded, in sending order: new ones go first
+        self._pending = {change: OrderedDict[tuple[int, int], int]() for change in FORWARDING_FRACTIONS}
+        self._table_pass: Iterator[tuple[int, int]] = iter(())
+        self._sent_at, self._sent_bytes = -math.inf, 0.0
+        self._num_urgent = 0  # messages in a row with changes of state only
 
-    def note(self, witness: int, to: int, change: Change) -> None:
-        """A word that changed something here."""
-        if change is Change.NONE:
+    def enqueue(self, reporter: int, to_zone: int, change: LinkReportChange) -> None:
+        """Queue a report that changed the table."""
+        if change is LinkReportChange.NONE:
             return
-        key = witness, to
-        for told in self._rumours.values():
-            told.pop(key, None)
-        self._rumours[change][key] = 0
-        self._rumours[change].move_to_end(key, last=False)
-        if sum(map(len, self._rumours.values())) > MOST_RUMOURS:
-            next(told for told in reversed(self._rumours.values()) if told).popitem()
+        key = reporter, to_zone
+        for forwards in self._pending.values():
+            forwards.pop(key, None)
+        self._pending[change][key] = 0
+        self._pending[change].move_to_end(key, last=False)
+        if sum(map(len, self._pending.values())) > MAX_PENDING_REPORTS:
+            next(forwards for forwards in reversed(self._pending.values()) if forwards).popitem()
 
-    def due(self) -> float:
-        """When the next message may go: after as long as the one before it costs."""
-        urgent = self._rumours[Change.STATE] or self._rumours[Change.VALUES]
-        return self._sent_at + self._price / (RATE if urgent else RATE * QUIET)
+    def next_message_at(self) -> float:
+        """Return when the next message may be sent, by the size of the one before and the rate."""
+        has_changes = self._pending[LinkReportChange.STATE] or self._pending[LinkReportChange.VALUES]
+        return self._sent_at + self._sent_bytes / (
+            MAX_BYTES_PER_SECOND if has_changes else MAX_BYTES_PER_SECOND * IDLE_RATE_FRACTION
+        )
 
     @property
-    def hurried(self) -> bool:
-        """Whether the latest message held changes of state alone."""
-        return self._in_short > 0
+    def is_urgent(self) -> bool:
+        """Whether the latest message held changes of state only."""
+        return self._num_urgent > 0
 
-    def compose(self, now: float) -> bytes:
-        """The next message, empty if there is nothing to tell."""
-        urgent = bool(self._rumours[Change.STATE]) and self._in_short < MOST_SHORT
-        self._in_short = self._in_short + 1 if urgent else 0
-        kinds = {Change.STATE: self._rumours[Change.STATE]} if urgent else self._rumours
-        picked = [(key, change) for change, told in kinds.items() for key in islice(told, MOST_PICKED)]
-        keys = dict(picked[:MOST_PICKED])
-        rumours = len(keys)
+    def compose_message(self, now: float) -> bytes:
+        """Return the body of the next message, empty if there is nothing to send."""
+        is_urgent = bool(self._pending[LinkReportChange.STATE]) and self._num_urgent < MAX_URGENT_MESSAGES
+        self._num_urgent = self._num_urgent + 1 if is_urgent else 0
+        candidates = (
+            {LinkReportChange.STATE: self._pending[LinkReportChange.STATE]} if is_urgent else self._pending
+        )
+        picked = [
+            (key, change)
+            for change, forwards in candidates.items()
+            for key in islice(forwards, MAX_REPORTS_PER_MESSAGE)
+        ]
+        keys = dict(picked[:MAX_REPORTS_PER_MESSAGE])
+        num_pending = len(keys)
         reports = []
-        for number, key in enumerate(chain(list(keys), self._further(0 if urgent else MOST_PICKED, keys))):
+        for number, key in enumerate(
+            chain(list(keys), self._next_of_table(0 if is_urgent else MAX_REPORTS_PER_MESSAGE, keys))
+        ):
             report = self._table.report(now, *key)
             if report is not None:
                 reports.append(report)
-            elif number < rumours:
-                del self._rumours[keys.pop(key)][key]
-        body, taken = encode(reports)
-        for report in reports[:taken]:
-            key = report.witness, report.to
+            elif number < num_pending:
+                del self._pending[keys.pop(key)][key]
+        body, num_encoded = encode(reports)
+        for report in reports[:num_encoded]:
+            key = report.reporter, report.to_zone
             if key in keys:
-                self._told(key, keys[key])
-        self._sent_at, self._price = now, len(body) + OVERHEAD
+                self._count_forward(key, keys[key])
+        self._sent_at, self._sent_bytes = now, len(body) + OVERHEAD_BYTES
         return body
 
-    def _told(self, key: tuple[int, int], change: Change) -> None:
-        told = self._rumours[change]
-        told[key] += 1
-        told.move_to_end(key)
-        if told[key] >= self._most[change]:
-            del told[key]
+    def _count_forward(self, key: tuple[int, int], change: LinkReportChange) -> None:
+        forwards = self._pending[change]
+        forwards[key] += 1
+        forwards.move_to_end(key)
+        if forwards[key] >= self._max_forwards[change]:
+            del forwards[key]
 
-    def _further(self, most: int, but: Container[tuple[int, int]]) -> Iterator[tuple[int, int]]:
-        """The next of the round through the map, which begins anew when it is through."""
-        for _ in range(most):
-            key = next(self._round, None)
+    def _next_of_table(self, limit: int, excluded: Container[tuple[int, int]]) -> Iterator[tuple[int, int]]:
+        """Yield the next keys of the pass through the table; a new pass starts with the next message."""
+        for _ in range(limit):
+            key = next(self._table_pass, None)
             if key is None:
-                self._round = iter(sorted(self._table.keys()))
+                self._table_pass = iter(sorted(self._table.keys()))
                 return
-            if key not in but:
+            if key not in excluded:
                 yield key
--- a/ironrail/peers/zone_latency/histogram.py
+++ b/ironrail/peers/zone_latency/histogram.py
@@ -1,80 +1,93 @@
-"""Durations on a logarithmic scale, and distributions of them that fade with time. Pure.
+"""Logarithmic buckets for durations, and histograms whose counts decay with time.
 
-The scale is that of DDSketch (Masson, Rim, Lee, VLDB 2019), cut to 64 buckets so that one fits 6 bits; the
-fading is forward decay (Cormode, Shkapenyuk, Srivastava, Xu, ICDE 2009): weights grow from a landmark on, so
-that nothing stored has to be touched as time passes. It takes one clock, so it never leaves the router.
+The bucket scale is that of DDSketch (Masson, Rim, Lee, VLDB 2019), limited to 64 buckets so that a
+bucket number fits in 6 bits. The histogram uses forward decay (Cormode, Shkapenyuk, Srivastava, Xu,
+ICDE 2009): new samples weigh more, counted from a landmark time, so that stored counts need no
+update as time passes. The weights depend on this router's clock; a histogram is never sent to
+another router. Does no I/O and reads no clock.
 """
 
 from __future__ import annotations
 
 import math
 
-LEAST = 50e-6  # seconds: half of what a datagram takes within a hall
-RATIO = 1.21  # of a bucket to the one before: 64 of them reach 8.2 s at an error of a tenth
-BUCKETS = 64
-FARTHEST = BUCKETS - 1  # also told where nothing is answered: far, never near
-_LOG_RATIO = math.log(RATIO)
-_TOP = LEAST * RATIO**FARTHEST
-_MOST_GROWTH = 40.0  # half-lives that weights may grow before they are scaled down; doubles hold 2**1023
+MIN_DURATION_SECONDS = 50e-6  # half of what a datagram takes within a zone
+BUCKET_RATIO = 1.21  # of a bucket to the one before; 64 of them reach 8.2 s with an error of 10%
+NUM_BUCKETS = 64
+LAST_BUCKET = NUM_BUCKETS - 1  # also stands for "no answer", so that such a link never looks near
+_LOG_BUCKET_RATIO = math.log(BUCKET_RATIO)
+_LAST_BUCKET_SECONDS = MIN_DURATION_SECONDS * BUCKET_RATIO**LAST_BUCKET
+_MAX_GROWTH_HALF_LIVES = 40.0  # growth of weights until they are scaled down; a double holds 2**1023
 
 
-def code_of(seconds: float) -> int:
-    """The bucket of a duration; below and beyond the scale the first and the last."""
-    if seconds <= LEAST:
+def bucket_of(seconds: float) -> int:
+    """Return the bucket of a duration; the first or the last one for values outside the scale."""
+    if seconds <= MIN_DURATION_SECONDS:
         return 0
-    return FARTHEST if seconds >= _TOP else round(math.log(seconds / LEAST) / _LOG_RATIO)
+    return (
+        LAST_BUCKET
+        if seconds >= _LAST_BUCKET_SECONDS
+        else round(math.log(seconds / MIN_DURATION_SECONDS) / _LOG_BUCKET_RATIO)
+    )
 
 
-def seconds_of(code: int) -> float:
-    """The middle of a bucket, in seconds: within a tenth of each duration in it."""
-    return LEAST * math.pow(RATIO, code)
+def bucket_seconds(bucket: int) -> float:
+    """Return the middle of a bucket in seconds, within 10% of each duration in it."""
+    return MIN_DURATION_SECONDS * math.pow(BUCKET_RATIO, bucket)
 
 
-class Fading:
-    """Counts by bucket, each worth half as much after every half-life."""
+class DecayingHistogram:
+    """Counts by bucket; a sample's weight halves with every half-life."""
 
     __slots__ = ("_counts", "_half_life", "_landmark", "_total")
 
-    def __init__(self, half_life: float, size: int = BUCKETS) -> None:
-        """`half_life` in seconds."""
+    def __init__(self, half_life: float, size: int = NUM_BUCKETS) -> None:
+        """Initialize an empty histogram.
+
+        Args:
+            half_life: Seconds after which a sample counts half.
+            size: Number of buckets.
+        """
         self._half_life = half_life
         self._counts = [0.0] * size
         self._total = 0.0
         self._landmark = 0.0
 
     def add(self, now: float, bucket: int) -> None:
+        """Count one sample."""
         age = (now - self._landmark) / self._half_life
-        if age > _MOST_GROWTH:
-            shrink = 2.0**-age if self._total else 0.0
-            self._counts = [count * shrink for count in self._counts]
-            self._total *= shrink
+        if age > _MAX_GROWTH_HALF_LIVES:
+            scale = 2.0**-age if self._total else 0.0
+            self._counts = [count * scale for count in self._counts]
+            self._total *= scale
             self._landmark, age = now, 0.0
         weight = 2.0**age
         self._counts[bucket] += weight
         self._total += weight
 
     def clear(self) -> None:
+        """Remove all samples."""
         self._counts = [0.0] * len(self._counts)
         self._total = 0.0
 
-    def weight(self, now: float) -> float:
-        """How many samples of this moment what is left is worth."""
+    def total_weight(self, now: float) -> float:
+        """Return the weight of all samples; a sample taken now weighs 1."""
         return self._total * math.pow(2.0, -min(1000.0, (now - self._landmark) / self._half_life))
 
-    def share(self, bucket: int) -> float:
-        """Of this bucket in all, 0 where nothing was counted."""
+    def fraction(self, bucket: int) -> float:
+        """Return the fraction of the weight that is in this bucket, 0 for an empty histogram."""
         return self._counts[bucket] / self._total if self._total else 0.0
 
-    def quantile(self, share: float) -> int | None:
-        """The bucket below or in which this share lies; None where nothing was counted."""
+    def quantile(self, fraction: float) -> int | None:
+        """Return the bucket of a quantile, None for an empty histogram."""
         if not self._total:
             return None
-        left = self._total * share
+        remaining = self._total * fraction
         last = 0
         for bucket, count in enumerate(self._counts):
             if count:
                 last = bucket
-                left -= count
-                if left <= 0.0:
+                remaining -= count
+                if remaining <= 0.0:
                     break
         return last
--- a/ironrail/peers/zone_latency/link_monitor.py
+++ b/ironrail/peers/zone_latency/link_monitor.py
@@ -1,7 +1,8 @@
-"""All that one router sees itself, and what of it is its own doing rather than a link's. Pure.
+"""Monitors all links from this router's zone, and separates its own delays from those of links.
 
-Round trips that are late everywhere at once waited in this router: the least excess among the halls
-heard from within a second is taken off every sample. Losses count only while somebody answers.
+Round trips that are late to all zones at once were delayed in this router: the least excess among the
+zones that answered within a second is subtracted from every sample. Losses count only while some zone
+answers. Does no I/O and reads no clock.
 """
 
 from __future__ import annotations
@@ -9,82 +10,109 @@
 import math
 from collections.abc import Callable
 
-from ironrail.peers.zone_latency.link_tracker import Link, Sight
+from ironrail.peers.zone_latency.link_tracker import LinkTracker, MeasuredLinkState
 
-TOGETHER = 1.0  # seconds in which samples of several halls tell of the same state of this router
-OTHERS = 2  # halls that must be late with one to lay it to this router; its own hall is proof alone
-HEARING = 0.25  # seconds in which somebody's answer shows that a loss is the link's
-SILENT = 0.4  # seconds besides the way: most servers answer sooner, or answer another meanwhile
+LOCAL_DELAY_SECONDS = 1.0  # samples of several zones within this time share the delay of this router
+MIN_OTHER_ZONES = 2  # with the same fault, for it to be this router's; its own zone alone suffices
+RECENT_REPLY_SECONDS = 0.25  # a reply of any zone within this time shows that a loss is the link's
+# beyond the round trip; most servers answer sooner, or answer another request meanwhile
+MIN_SILENCE_SECONDS = 0.4
 
 
-class Evidence:
-    """Sights of a router in hall `own`, by the number of the other hall."""
+class LinkMonitor:
+    """Trackers of the links from this router's zone, by the number of the other zone.
 
-    def __init__(self, own: int, suspected: Callable[[float, int], bool] = lambda now, hall: False) -> None:
-        """`suspected`: whether others in this hall lately called the link to that one slow or cut."""
-        self._own, self._suspected = own, suspected
-        self.sights: dict[int, Sight] = {}
-        self.unusable = 0  # durations that are none
+    Attributes:
+        trackers: By zone number.
+        invalid_durations: Number of durations that were not positive and finite.
+    """
 
-    def observe(self, now: float, hall: int, seconds: float) -> int | None:
-        """A round trip of so many seconds. Returns the hall if a window of its closed."""
+    def __init__(
+        self, own_zone: int, is_suspected: Callable[[float, int], bool] = lambda now, zone: False
+    ) -> None:
+        """Initialize a monitor without any samples.
+
+        Args:
+            own_zone: Number of this router's zone.
+            is_suspected: Called with the time and a zone; whether another router of this zone lately
+                reported the link to that zone slow or cut.
+        """
+        self._own_zone, self._is_suspected = own_zone, is_suspected
+        self.trackers: dict[int, LinkTracker] = {}
+        self.invalid_durations = 0
+
+    def record_round_trip(self, now: float, zone: int, seconds: float) -> int | None:
+        """Record a measured round trip. Returns the zone if one of its windows has ended."""
         if not 0.0 < seconds < math.inf:
-            self.unusable += 1
+            self.invalid_durations += 1
             return None
-        closed = self._close_if_due(now, hall)
-        self.sights[hall].answered(now, seconds)
+        closed = self._close_window_if_due(now, zone)
+        self.trackers[zone].record_round_trip(now, seconds)
         return closed
 
-    def lost(self, now: float, hall: int) -> int | None:
-        """One that never came back. Returns the hall if a window of its closed."""
-        closed = self._close_if_due(now, hall)
-        self.sights[hall].lost(now)
+    def record_loss(self, now: float, zone: int) -> int | None:
+        """Record a missing answer. Returns the zone if one of its windows has ended."""
+        closed = self._close_window_if_due(now, zone)
+        self.trackers[zone].record_loss(now)
         return closed
 
-    def heard(self, now: float, hall: int) -> int | None:
-        """Something came back, who knows how quickly. Returns the hall if a window of its closed."""
-        closed = self._close_if_due(now, hall)
-        self.sights[hall].heard(now)
+    def record_reply(self, now: float, zone: int) -> int | None:
+        """Record a reply of unknown round trip. Returns the zone if one of its windows has ended."""
+        closed = self._close_window_if_due(now, zone)
+        self.trackers[zone].record_reply(now)
         return closed
 
-    def silent(self, now: float, hall: int, seconds: float) -> int | None:
-        """Somebody waited so long and nothing came: lost, if way and work take less."""
-        usual = self.sights[hall].usual if hall in self.sights else math.inf
-        return self.lost(now, hall) if seconds >= SILENT + (usual if usual < math.inf else 0.0) else None
-
-    def close_due(self, now: float) -> list[int]:
-        """End the windows that are over; the halls they were of."""
-        due = [hall for hall, sight in self.sights.items() if sight.window_at <= now]
-        return [hall for hall in due if self._close_if_due(now, hall) is not None]
-
-    def due(self) -> float:
-        """When the next window ends, infinite if none is open."""
-        return min((sight.window_at for sight in self.sights.values()), default=math.inf)
-
-    def state(self, hall: int) -> Link:
-        return self.sights[hall].state if hall in self.sights else Link.UNKNOWN
-
-    def _close_if_due(self, now: float, hall: int) -> int | None:
-        sight = self.sights.get(hall)
-        if sight is None:
-            sight = self.sights[hall] = Sight()
-        if now < sight.window_at:
+    def record_silence(self, now: float, zone: int, seconds: float) -> int | None:
+        """Record that nothing arrived for some seconds: a loss if round trip and work take less.
+
+        Returns the zone if one of its windows has ended.
+        """
+        baseline = self.trackers[zone].baseline if zone in self.trackers else math.inf
+        return (
+            self.record_loss(now, zone)
+            if seconds >= MIN_SILENCE_SECONDS + (baseline if baseline < math.inf else 0.0)
+            else None
+        )
+
+    def close_due_windows(self, now: float) -> list[int]:
+        """End the windows that are over, and return their zones."""
+        due = [zone for zone, tracker in self.trackers.items() if tracker.window_ends_at <= now]
+        return [zone for zone in due if self._close_window_if_due(now, zone) is not None]
+
+    def next_window_end(self) -> float:
+        """Return when the next window ends, infinite if none is open."""
+        return min((tracker.window_ends_at for tracker in self.trackers.values()), default=math.inf)
+
+    def state(self, zone: int) -> MeasuredLinkState:
+        """Return the state of the link to a zone."""
+        return self.trackers[zone].state if zone in self.trackers else MeasuredLinkState.UNKNOWN
+
+    def _close_window_if_due(self, now: float, zone: int) -> int | None:
+        tracker = self.trackers.get(zone)
+        if tracker is None:
+            tracker = self.trackers[zone] = LinkTracker()
+        if now < tracker.window_ends_at:
             return None
-        suspected = sight.close_to_verdict and self._suspected(now, hall)
-        sight.close(now, self._own_share(now, hall), self._deaf(now, hall), suspected)
-        return hall
-
-    def _own_share(self, now: float, hall: int) -> float:
-        late = {h: s.excess for h, s in self.sights.items() if h != hall and now - s.answered_at <= TOGETHER}
-        if len(late) >= OTHERS or self._own in late:
-            return max(0.0, min(late.values()))
+        is_suspected = tracker.is_near_fault and self._is_suspected(now, zone)
+        tracker.close_window(now, self._local_delay(now, zone), self._is_isolated(now, zone), is_suspected)
+        return zone
+
+    def _local_delay(self, now: float, zone: int) -> float:
+        """Return the seconds of delay that all other links show, 0 if too few of them are known."""
+        excesses = {
+            z: t.excess_seconds
+            for z, t in self.trackers.items()
+            if z != zone and now - t.round_trip_at <= LOCAL_DELAY_SECONDS
+        }
+        if len(excesses) >= MIN_OTHER_ZONES or self._own_zone in excesses:
+            return max(0.0, min(excesses.values()))
         return 0.0
 
-    def _deaf(self, now: float, hall: int) -> bool:
-        """Whether what is lost is lost everywhere: so it is when this router itself is cut off."""
-        others = [(h, s) for h, s in self.sights.items() if h != hall]
-        heard = max((s.heard_at for _, s in others), default=-math.inf)
-        if now - heard <= HEARING:
+    def _is_isolated(self, now: float, zone: int) -> bool:
+        """Return whether other zones don't answer either, as when this router itself is cut off."""
+        others = [(z, t) for z, t in self.trackers.items() if z != zone]
+        replied_at = max((t.reply_at for _, t in others), default=-math.inf)
+        if now - replied_at <= RECENT_REPLY_SECONDS:
             return False
-        silent = [h for h, s in others if s.lost_at > heard]
-        return len(silent) >= OTHERS or self._own in silent
+        silent = [z for z, t in others if t.lost_at > replied_at]
+        return len(silent) >= MIN_OTHER_ZONES or self._own_zone in silent
--- a/ironrail/peers/zone_latency/link_tracker.py
+++ b/ironrail/peers/zone_latency/link_tracker.py
@@ -1,9 +1,10 @@
-"""What one router sees of the link from its hall to another, and what it makes of it. Pure.
+"""Tracks the state of one link between two zones from the samples of this router.
 
-Samples are taken by windows, the quickest of each: ten answers that waited behind one another are one piece
-of news. Two questions are asked of each: did anything come back, and if so, much later than usual? Runs of
-yes and of no are weighed by sums of log likelihoods (CUSUM, Page 1954) against what is usual here: a link
-that always loses half needs a longer run to count as cut, and no longer one to count as slow.
+Samples are grouped into windows, and only the fastest round trip of a window counts: ten answers that
+queued behind one another are one observation. Each window answers two questions: did any answer
+arrive, and did it take much longer than the baseline? Runs of bad windows are detected by sums of log
+likelihood ratios (CUSUM, Page 1954) relative to the baseline of this link: a link that always loses
+half of its packets needs a longer run to count as cut. Does no I/O and reads no clock.
 """
 
 from __future__ import annotations
@@ -12,27 +13,34 @@
 from collections import deque
 from enum import IntEnum
 
-from ironrail.peers.zone_latency.histogram import FARTHEST, Fading, code_of, seconds_of
-
-WINDOW = 0.1  # seconds whose quickest sample counts: shorter than any run worth telling, longer than a burst
-USUAL = 600.0  # seconds, half-life of what counts as usual: a link slow for as long is usual by then
-RECENT = 10.0  # seconds, half-life of what is told as present; cleared when the verdict changes
-SHARE = 30.0  # seconds, the same of the share lost, which takes more samples to tell: 85 of 2 a second
-TIMES = 3.0  # slower than usual is bad: halls differ by less from hour to hour, a tenfold fault by more
-LEAST_LATER = 0.002  # seconds later than usual to be bad: less is the loop of a busy router
-EVIDENCE = 8.5  # log of the odds at which a verdict falls: 3 bad windows where 0.05 are, 14 where half are
-SECONDED = EVIDENCE * 2 / 3  # where others in the hall suspect the link too: 2 windows, and 9
-FEW, MOST = 0.05, 0.6  # bounds on the usual share of bad windows; beyond, no run is worth much
-IN_FAULT = 0.95  # share of bad windows of a link that is slow or cut
-OWN_TIMES = 2.0  # of what waited in this router is let off: no two samples wait alike
-LEAST_WINDOWS = 4  # before any verdict
-DWELL = 2.0  # seconds at least that a link stays slow or cut
-FLAPPING = 120.0  # seconds in which each verdict of slow or cut doubles the next stay
-MOST_DWELL = 64.0  # seconds
-
-
-class Link(IntEnum):
-    """How a link is, worse the higher; nothing is known of UNKNOWN, also not that it is near."""
+from ironrail.peers.zone_latency.histogram import LAST_BUCKET, DecayingHistogram, bucket_of, bucket_seconds
+
+WINDOW_SECONDS = 0.1  # longer than a burst of answers, shorter than any fault worth reporting
+BASELINE_HALF_LIFE_SECONDS = 600.0  # a link that has been slow for as long has a new baseline
+RECENT_HALF_LIFE_SECONDS = 10.0  # of the round trips that are reported; cleared on a change of state
+LOSS_HALF_LIFE_SECONDS = 30.0  # longer, as a loss ratio needs more samples: 85 at 2 a second
+# times the baseline counts as late; links vary by less from hour to hour, a tenfold fault by more
+LATE_FACTOR = 3.0
+MIN_LATE_SECONDS = 0.002  # beyond the baseline; a busy router's event loop delays by less
+# log of the odds; 3 bad windows reach it where 5% are bad as a baseline, 14 where half of them are
+DECISION_THRESHOLD = 8.5
+# where others in the zone suspect the link too; 2 and 9 windows reach it
+SUSPECTED_THRESHOLD = DECISION_THRESHOLD * 2 / 3
+# limits of the baseline's fraction of bad windows; above the upper one a run proves little
+MIN_BAD_FRACTION, MAX_BAD_FRACTION = 0.05, 0.6
+FAULTY_BAD_FRACTION = 0.95  # of the windows of a link that is slow or cut
+LOCAL_DELAY_FACTOR = 2.0  # of the delay within this router is tolerated: samples are delayed unequally
+MIN_WINDOWS = 4  # before the state is first set
+MIN_DWELL_SECONDS = 2.0  # for which a link stays slow or cut at least
+FLAPPING_SECONDS = 120.0  # each fault within this time doubles the dwell of the next
+MAX_DWELL_SECONDS = 64.0
+
+
+class MeasuredLinkState(IntEnum):
+    """State of a link as routers measure it, a worse one being greater.
+
+    UNKNOWN means that there is no evidence, in particular none that the other zone is near.
+    """
 
     UNKNOWN = 0
     WELL = 1
@@ -40,144 +48,197 @@
     CUT = 3
 
 
-class Runs:
-    """Two sums on one question: the worse grows with what is bad, the better with what isn't."""
+class CusumDetector:
+    """Two cumulative sums of one yes-or-no question, for the start and for the end of a fault.
+
+    Attributes:
+        fault_score: Grows with bad windows.
+        recovery_score: Grows with good windows.
+    """
 
-    __slots__ = ("_usual", "better", "worse")
+    __slots__ = ("_baseline", "fault_score", "recovery_score")
 
     def __init__(self) -> None:
-        self._usual = Fading(USUAL, 2)
-        self.worse = self.better = 0.0
+        """Initialize the detector without any window."""
+        self._baseline = DecayingHistogram(BASELINE_HALF_LIFE_SECONDS, 2)
+        self.fault_score = self.recovery_score = 0.0
+
+    def add(self, now: float, is_bad: bool) -> None:
+        """Add one window."""
+        weight = self._baseline.total_weight(now)
+        # Laplace's rule of succession: a new link may be bad
+        bad_fraction = (self._baseline.fraction(1) * weight + 1.0) / (weight + 2.0)
+        bad_fraction = min(MAX_BAD_FRACTION, max(MIN_BAD_FRACTION, bad_fraction))
+        step = (
+            math.log(FAULTY_BAD_FRACTION / bad_fraction)
+            if is_bad
+            else math.log((1 - FAULTY_BAD_FRACTION) / (1 - bad_fraction))
+        )
+        self.fault_score = min(DECISION_THRESHOLD, max(0.0, self.fault_score + step))
+        self.recovery_score = min(DECISION_THRESHOLD, max(0.0, self.recovery_score - step))
+        self._baseline.add(now, int(is_bad))
 
-    def add(self, now: float, bad: bool) -> None:
-        weight = self._usual.weight(now)
-        seldom = (self._usual.share(1) * weight + 1.0) / (weight + 2.0)  # Laplace's: a new link may be bad
-        seldom = min(MOST, max(FEW, seldom))
-        step = math.log(IN_FAULT / seldom) if bad else math.log((1 - IN_FAULT) / (1 - seldom))
-        self.worse = min(EVIDENCE, max(0.0, self.worse + step))
-        self.better = min(EVIDENCE, max(0.0, self.better - step))
-        self._usual.add(now, int(bad))
 
+class LinkTracker:
+    """Samples of one link, and the state that follows from them.
 
-class Sight:
-    """Evidence of one link."""
+    Attributes:
+        state: State of the link.
+        evidence_at: Time of the latest window that was used; -inf before the first.
+        excess_seconds: What the fastest round trip of the latest window took beyond the baseline.
+        round_trip_at: Time of the latest round trip that was measured.
+        lost_at: Time of the latest loss.
+        reply_at: Time of the latest reply, whether its round trip was measured or not.
+        window_ends_at: End of the open window; infinite if none is open.
+    """
 
     def __init__(self) -> None:
-        self.state = Link.UNKNOWN
-        self.at = -math.inf  # of the latest evidence
-        self.excess = 0.0  # seconds that the latest window's quickest took beyond the usual
-        self.answered_at = self.lost_at = -math.inf
-        self.heard_at = -math.inf  # of whatever came back, timed or not
-        self.window_at = math.inf  # when the open window ends; infinite if none is open
-        self._quickest, self._heard = math.inf, False  # of the open window
-        self._usual = Fading(USUAL)
-        self._gone, self._late = Runs(), Runs()  # no answer; an answer that came late
-        self._recent, self._lost = Fading(RECENT), Fading(SHARE, 2)
-        self._tail: deque[int | None] = deque(maxlen=3)  # the latest windows, by which a verdict falls
-        self._windows = 0
-        self._changed_at = -math.inf
-        self._falls: deque[float] = deque(maxlen=8)
+        """Initialize the tracker of a link of unknown state."""
+        self.state = MeasuredLinkState.UNKNOWN
+        self.evidence_at = -math.inf
+        self.excess_seconds = 0.0
+        self.round_trip_at = self.lost_at = -math.inf
+        self.reply_at = -math.inf
+        self.window_ends_at = math.inf
+        self._window_fastest, self._window_has_reply = math.inf, False
+        self._baseline = DecayingHistogram(BASELINE_HALF_LIFE_SECONDS)
+        self._loss_detector, self._delay_detector = CusumDetector(), CusumDetector()
+        self._recent, self._losses = (
+            DecayingHistogram(RECENT_HALF_LIFE_SECONDS),
+            DecayingHistogram(LOSS_HALF_LIFE_SECONDS, 2),
+        )
+        # bucket of each of the latest windows, None without an answer; they start the new state's figures
+        self._last_windows: deque[int | None] = deque(maxlen=3)
+        self._num_windows = 0
+        self._state_changed_at = -math.inf
+        self._faults_at: deque[float] = deque(maxlen=8)
 
     @property
-    def usual(self) -> float:
-        """Seconds; infinite where nothing was ever answered."""
-        code = self._usual.quantile(0.5)
-        return math.inf if code is None else seconds_of(code)
+    def baseline(self) -> float:
+        """Median round trip of the baseline in seconds; infinite without any answer."""
+        bucket = self._baseline.quantile(0.5)
+        return math.inf if bucket is None else bucket_seconds(bucket)
 
     @property
-    def close_to_verdict(self) -> bool:
-        """Whether the next window may bring it, if others suspect the link too."""
-        return self.state < Link.CUT and self._gone.worse + self._late.worse > 0.0
-
-    def answered(self, now: float, seconds: float) -> None:
-        self._open(now)
-        self.answered_at = self.heard_at = now
-        self._quickest = min(self._quickest, seconds)
-        self._recent.add(now, code_of(seconds))
-        self._lost.add(now, 0)
-
-    def heard(self, now: float) -> None:
-        """Something came back; how long the way was is not known."""
-        self._open(now)
-        self.heard_at = now
-        if not self._heard:
-            self._heard = True
-            self._lost.add(now, 0)
-
-    def lost(self, now: float) -> None:
-        self._open(now)
-        self.lost_at = now
-        self._lost.add(now, 1)
-
-    def _open(self, now: float) -> None:
-        if self.window_at == math.inf:
-            self.window_at, self._quickest, self._heard = now + WINDOW, math.inf, False
-
-    def close(self, now: float, own: float, deaf: bool, suspected: bool = False) -> None:
-        """The window is over.
+    def is_near_fault(self) -> bool:
+        """Whether the next window may start a fault if others suspect the link too."""
+        return (
+            self.state < MeasuredLinkState.CUT
+            and self._loss_detector.fault_score + self._delay_detector.fault_score > 0.0
+        )
 
-        `own`: seconds of it that are this router's, as far as others tell; `deaf`: nobody answered it at all;
-        `suspected`: others in this hall lately called the link slow or cut.
+    def record_round_trip(self, now: float, seconds: float) -> None:
+        """Record a reply whose round trip was measured."""
+        self._open_window(now)
+        self.round_trip_at = self.reply_at = now
+        self._window_fastest = min(self._window_fastest, seconds)
+        self._recent.add(now, bucket_of(seconds))
+        self._losses.add(now, 0)
+
+    def record_reply(self, now: float) -> None:
+        """Record a reply whose round trip is not known."""
+        self._open_window(now)
+        self.reply_at = now
+        if not self._window_has_reply:
+            self._window_has_reply = True
+            self._losses.add(now, 0)
+
+    def record_loss(self, now: float) -> None:
+        """Record that an answer did not arrive."""
+        self._open_window(now)
+        self.lost_at = now
+        self._losses.add(now, 1)
+
+    def _open_window(self, now: float) -> None:
+        if self.window_ends_at == math.inf:
+            self.window_ends_at, self._window_fastest, self._window_has_reply = (
+                now + WINDOW_SECONDS,
+                math.inf,
+                False,
+            )
+
+    def close_window(
+        self, now: float, local_delay: float, is_isolated: bool, is_suspected: bool = False
+    ) -> None:
+        """End the window and update the state.
+
+        Args:
+            now: Current time.
+            local_delay: Seconds of the delay that this router caused, as other links show.
+            is_isolated: Whether this router got no answer from any zone.
+            is_suspected: Whether another router of this zone lately reported the link slow or cut.
         """
-        self.window_at = math.inf
-        untimed = self._quickest == math.inf
-        gone = untimed and not self._heard
-        if gone and deaf:
+        self.window_ends_at = math.inf
+        is_untimed = self._window_fastest == math.inf
+        is_unanswered = is_untimed and not self._window_has_reply
+        if is_unanswered and is_isolated:
             return
-        self.at = now
-        self._gone.add(now, gone)
-        if not untimed:
-            usual = self.usual
-            self.excess = self._quickest - usual if usual < math.inf else 0.0
-            self._late.add(now, self.excess > max((TIMES - 1.0) * usual, LEAST_LATER) + OWN_TIMES * own)
-            if own <= LEAST_LATER:
-                self._usual.add(now, code_of(self._quickest))
-        if gone or not untimed:
-            self._tail.append(None if gone else code_of(self._quickest))
-        self._windows += 1
-        if self._windows >= LEAST_WINDOWS:
-            self._judge(now, SECONDED if suspected else EVIDENCE)
-
-    def _judge(self, now: float, needed: float) -> None:
-        if self._gone.worse >= needed:
-            worst = Link.CUT
-        elif self._late.worse >= needed:
-            worst = Link.SLOW
+        self.evidence_at = now
+        self._loss_detector.add(now, is_unanswered)
+        if not is_untimed:
+            baseline = self.baseline
+            self.excess_seconds = self._window_fastest - baseline if baseline < math.inf else 0.0
+            self._delay_detector.add(
+                now,
+                self.excess_seconds
+                > max((LATE_FACTOR - 1.0) * baseline, MIN_LATE_SECONDS) + LOCAL_DELAY_FACTOR * local_delay,
+            )
+            if local_delay <= MIN_LATE_SECONDS:
+                self._baseline.add(now, bucket_of(self._window_fastest))
+        if is_unanswered or not is_untimed:
+            self._last_windows.append(None if is_unanswered else bucket_of(self._window_fastest))
+        self._num_windows += 1
+        if self._num_windows >= MIN_WINDOWS:
+            self._update_state(now, SUSPECTED_THRESHOLD if is_suspected else DECISION_THRESHOLD)
+
+    def _update_state(self, now: float, threshold: float) -> None:
+        if self._loss_detector.fault_score >= threshold:
+            indicated = MeasuredLinkState.CUT
+        elif self._delay_detector.fault_score >= threshold:
+            indicated = MeasuredLinkState.SLOW
         else:
-            worst = Link.WELL if self.usual < math.inf else Link.UNKNOWN
-        if worst > self.state:
-            if worst > Link.WELL:
-                self._falls.append(now)
-            self._turn(now, worst)
-        elif worst < self.state and now - self._changed_at >= self.dwell(now):
-            runs = self._gone if self.state is Link.CUT else self._late
-            if runs.better >= EVIDENCE:
-                self._turn(now, worst)
+            indicated = (
+                MeasuredLinkState.WELL if self.baseline < math.inf else MeasuredLinkState.UNKNOWN
+            )
+        if indicated > self.state:
+            if indicated > MeasuredLinkState.WELL:
+                self._faults_at.append(now)
+            self._set_state(now, indicated)
+        elif indicated < self.state and now - self._state_changed_at >= self.dwell(now):
+            detector = (
+                self._loss_detector if self.state is MeasuredLinkState.CUT else self._delay_detector
+            )
+            if detector.recovery_score >= DECISION_THRESHOLD:
+                self._set_state(now, indicated)
 
     def dwell(self, now: float) -> float:
-        """Seconds that the present stay in slow or cut lasts at least: doubled by each lately before it."""
-        lately = sum(now - at <= FLAPPING for at in self._falls)
-        return min(MOST_DWELL, DWELL * 2.0 ** max(0, lately - 1))
+        """Return the minimum seconds in slow or cut; each earlier fault of late doubles them."""
+        num_recent = sum(now - at <= FLAPPING_SECONDS for at in self._faults_at)
+        return min(MAX_DWELL_SECONDS, MIN_DWELL_SECONDS * 2.0 ** max(0, num_recent - 1))
 
-    def _turn(self, now: float, state: Link) -> None:
-        """What was seen before the turn is of another link, in effect: the present starts with the run."""
-        if state is not Link.WELL or self.state is not Link.UNKNOWN:
-            self._recent.clear()
-            self._lost.clear()
-            for code in self._tail:
-                self._lost.add(now, int(code is None))
-                if code is not None:
-                    self._recent.add(now, code)
-        self.state, self._changed_at = state, now
-
-    def told(self) -> tuple[int, int, float]:
-        """Buckets of the low and the typical round trip at present, and the share lost.
+    def _set_state(self, now: float, state: MeasuredLinkState) -> None:
+        """Change the state, and start its figures with the run of windows that caused the change.
 
-        Both buckets are the last one where nothing was answered since the verdict: far, never near.
+        Older samples describe the link before the change.
+        """
+        if state is not MeasuredLinkState.WELL or self.state is not MeasuredLinkState.UNKNOWN:
+            self._recent.clear()
+            self._losses.clear()
+            for bucket in self._last_windows:
+                self._losses.add(now, int(bucket is None))
+                if bucket is not None:
+                    self._recent.add(now, bucket)
+        self.state, self._state_changed_at = state, now
+
+    def figures(self) -> tuple[int, int, float]:
+        """Return the buckets of the fastest and the median round trip, and the loss ratio.
+
+        Both buckets are the last one if nothing was answered since the state changed, so that
+        such a link never looks near.
         """
-        low, typical = self._recent.quantile(0.1), self._recent.quantile(0.5)
+        fastest, median = self._recent.quantile(0.1), self._recent.quantile(0.5)
         return (
-            FARTHEST if low is None else low,
-            FARTHEST if typical is None else typical,
-            self._lost.share(1),
+            LAST_BUCKET if fastest is None else fastest,
+            LAST_BUCKET if median is None else median,
+            self._losses.fraction(1),
         )
--- a/ironrail/peers/zone_latency/protocol.py
+++ b/ironrail/peers/zone_latency/protocol.py
@@ -1,4 +1,8 @@
-"""The room of the map of latency: what a driver drives. Pure."""
+"""The zone latency protocol, driven by the peers' runtime.
+
+Routers measure the links from their own zone, exchange reports on them by gossip, and keep the same table
+of all links between zones. Does no I/O and reads no clock.
+"""
 
 from __future__ import annotations
 
@@ -8,163 +12,219 @@
 
 from ironrail.errors import InputError
 from ironrail.peers.messages import MOST_HALLS, Outgoing, Priority, Received, Topic
-from ironrail.peers.zone_latency.link_monitor import Evidence
-from ironrail.peers.zone_latency.snapshot import Facts, HallsSeen
-from ironrail.peers.zone_latency.reports import Report, ReportError, decode, differ, pack
-from ironrail.peers.zone_latency.link_tracker import Link
-from ironrail.peers.zone_latency.gossip_scheduler import Spread
-from ironrail.peers.zone_latency.report_table import Estimate, Table
-
-RETOLD = 0.25  # of a renewal at least between two reports of a link for the sake of figures alone
-LOOK = 0.25  # seconds between two looks at the map for the facts
-SWEEP = 5.0  # seconds between two looks for what is to be renewed or let go
-EARLIER = 0.25  # of a renewal by which it may come early, drawn: routers that start together don't renew so
+from ironrail.peers.zone_latency.gossip_scheduler import GossipScheduler
+from ironrail.peers.zone_latency.link_monitor import LinkMonitor
+from ironrail.peers.zone_latency.link_tracker import MeasuredLinkState
+from ironrail.peers.zone_latency.report_table import LinkEstimate, LinkReportTable
+from ironrail.peers.zone_latency.reports import (
+    LinkReport,
+    ReportError,
+    decode,
+    is_significant_change,
+    pack_values,
+)
+from ironrail.peers.zone_latency.snapshot import LinksSnapshot, SnapshotPublisher
+
+# of the refresh interval, between two reports of a link that differ in figures only
+MIN_REPORT_INTERVAL_FRACTION = 0.25
+SNAPSHOT_INTERVAL_SECONDS = 0.25  # between two checks whether a snapshot is due
+SWEEP_INTERVAL_SECONDS = 5.0  # between two checks for reports to refresh or to remove
+# of the refresh interval, by which a refresh may come early; spreads routers that start together
+REFRESH_JITTER_FRACTION = 0.25
 
 
 class HallsError(InputError):
-    """Halls that no map can be kept of."""
+    """The zones in the settings are not valid."""
 
     advice = "Give each router of `peers` one of at most 64 different halls."
 
 
-class LatencyRoom:
-    """What router `me` sees, hears and says of the links between halls."""
+class ZoneLatencyProtocol:
+    """One router's part in the protocol.
+
+    Attributes:
+        table: Reports of all routers.
+        monitor: This router's own measurements.
+        unusable: Number of messages that could not be decoded.
+        preferred_peer: Called with the time; the router that gets the next message, None for any.
+    """
 
     topic = Topic.ZONE_LATENCY
 
     def __init__(
         self,
         now: float,
-        me: int,
-        start: int,
-        halls: Sequence[str],
-        hall_of: Sequence[int],
-        draws: random.Random,
+        own_index: int,
+        incarnation: int,
+        zones: Sequence[str],
+        router_zones: Sequence[int],
+        rng: random.Random,
     ) -> None:
-        """`start`: of this process, above those before it. `hall_of`: each router's hall by number."""
-        if len(set(halls)) < len(halls) or not 0 < len(halls) <= MOST_HALLS:
-            raise HallsError(f"{len(halls)} halls, where 1 to {MOST_HALLS} different ones may be", "halls")
-        if not 0 <= me < len(hall_of) or not all(0 <= hall < len(halls) for hall in hall_of):
-            raise HallsError("a router without a hall", "peers")
-        self._me, self._start, self._draws = me, start, draws
-        self._hall, self._routers, self._halls = hall_of[me], len(hall_of), len(halls)
-        self.table = Table(hall_of, len(halls))
-        self.evidence = Evidence(self._hall, self._suspected)
-        self._spread = Spread(self.table)
-        self._facts = Facts(halls[self._hall], halls)
+        """Initialize the protocol without any report.
+
+        Args:
+            now: Current time.
+            own_index: Number of this router.
+            incarnation: Of this process, greater than those of earlier ones.
+            zones: Names of all zones.
+            router_zones: Zone number of each router.
+            rng: Source of the jitter and of the choice of peers.
+
+        Raises:
+            HallsError: The zones are not valid.
+        """
+        if len(set(zones)) < len(zones) or not 0 < len(zones) <= MOST_HALLS:
+            raise HallsError(f"{len(zones)} zones, expected 1 to {MOST_HALLS} distinct ones", "halls")
+        if not 0 <= own_index < len(router_zones) or not all(
+            0 <= zone < len(zones) for zone in router_zones
+        ):
+            raise HallsError("a router has no zone", "peers")
+        self._own_index, self._incarnation, self._rng = own_index, incarnation, rng
+        self._own_zone, self._num_routers, self._num_zones = (
+            router_zones[own_index],
+            len(router_zones),
+            len(zones),
+        )
+        self.table = LinkReportTable(router_zones, len(zones))
+        self.monitor = LinkMonitor(self._own_zone, self._is_suspected)
+        self._gossip = GossipScheduler(self.table)
+        self._publisher = SnapshotPublisher(zones[self._own_zone], zones)
         self._sequences: dict[int, int] = {}
-        self._told_at: dict[int, float] = {}
-        self._renew_at: dict[int, float] = {}
-        self._out: list[Outgoing] = []
-        self._fresh: HallsSeen | None = None
-        self._look_at, self._sweep_at = now, now + SWEEP
-        self.unusable = 0  # messages that were no reports
-        self.prefer: Callable[[float], int | None] = lambda now: None  # who is to be told next, if it matters
-
-    def observe(self, now: float, to_hall: int, seconds: float) -> None:
-        """A round trip of so many seconds, others' work taken off as far as it is known."""
-        closed = self.evidence.observe(now, to_hall, seconds)
+        self._reported_at: dict[int, float] = {}
+        self._refresh_at: dict[int, float] = {}
+        self._outgoing: list[Outgoing] = []
+        self._new_snapshot: LinksSnapshot | None = None
+        self._snapshot_at, self._sweep_at = now, now + SWEEP_INTERVAL_SECONDS
+        self.unusable = 0
+        self.preferred_peer: Callable[[float], int | None] = lambda now: None
+
+    def record_round_trip(self, now: float, to_zone: int, seconds: float) -> None:
+        """Record a measured round trip, without the other side's processing time as far as known."""
+        closed = self.monitor.record_round_trip(now, to_zone, seconds)
         if closed is not None:
-            self._consider(now, closed)
+            self._report_if_due(now, closed)
 
-    def lost(self, now: float, to_hall: int) -> None:
-        """A round trip that was given up."""
-        closed = self.evidence.lost(now, to_hall)
+    def record_loss(self, now: float, to_zone: int) -> None:
+        """Record that an answer did not arrive."""
+        closed = self.monitor.record_loss(now, to_zone)
         if closed is not None:
-            self._consider(now, closed)
+            self._report_if_due(now, closed)
 
-    def heard(self, now: float, to_hall: int) -> None:
-        """Something came back, after a time that tells nothing of the way."""
-        closed = self.evidence.heard(now, to_hall)
+    def record_reply(self, now: float, to_zone: int) -> None:
+        """Record a reply whose round trip is not known."""
+        closed = self.monitor.record_reply(now, to_zone)
         if closed is not None:
-            self._consider(now, closed)
+            self._report_if_due(now, closed)
 
-    def silent(self, now: float, to_hall: int, seconds: float) -> None:
-        """Somebody waited so long for a word, and none came."""
-        closed = self.evidence.silent(now, to_hall, seconds)
+    def record_silence(self, now: float, to_zone: int, seconds: float) -> None:
+        """Record that a reply was awaited for some seconds, and nothing arrived."""
+        closed = self.monitor.record_silence(now, to_zone, seconds)
         if closed is not None:
-            self._consider(now, closed)
+            self._report_if_due(now, closed)
 
-    def on_message(self, now: float, heard: Received) -> None:
+    def on_message(self, now: float, received: Received) -> None:
+        """Merge the reports of a message."""
         try:
-            reports = decode(heard.body, self._routers, self._halls)
+            reports = decode(received.body, self._num_routers, self._num_zones)
         except ReportError:
             self.unusable += 1
             return
         for report in reports:
-            if report.witness != self._me:  # nobody tells a router what it saw
-                self._spread.note(report.witness, report.to, self.table.merge(now, report))
+            if report.reporter != self._own_index:  # only this process reports its own measurements
+                self._gossip.enqueue(report.reporter, report.to_zone, self.table.merge(now, report))
 
     def on_timer(self, now: float) -> None:
-        for hall in self.evidence.close_due(now):
-            self._consider(now, hall)
+        """Close windows, refresh reports, update the snapshot, and send a message, as each is due."""
+        for zone in self.monitor.close_due_windows(now):
+            self._report_if_due(now, zone)
         if now >= self._sweep_at:
-            self._sweep_at = now + SWEEP
-            self.table.sweep(now)
-            for hall, sight in self.evidence.sights.items():
-                held = self.table.held(self._me, hall)
-                if now >= self._renew_at.get(hall, math.inf) and (held is None or sight.at > held.born):
-                    self._report(now, hall)
-        if now >= self._look_at:
-            self._look_at = now + LOOK
-            links = [self.table.estimate(now, self._hall, to) for to in range(self._halls)]
-            self._fresh = self._facts.update(now, links) or self._fresh
-        if self._routers > 1 and now >= self._spread.due():
-            body = self._spread.compose(now)
+            self._sweep_at = now + SWEEP_INTERVAL_SECONDS
+            self.table.remove_expired(now)
+            for zone, tracker in self.monitor.trackers.items():
+                stored = self.table.stored(self._own_index, zone)
+                if now >= self._refresh_at.get(zone, math.inf) and (
+                    stored is None or tracker.evidence_at > stored.evidence_at
+                ):
+                    self._report(now, zone)
+        if now >= self._snapshot_at:
+            self._snapshot_at = now + SNAPSHOT_INTERVAL_SECONDS
+            links = [
+                self.table.estimate(now, self._own_zone, to_zone) for to_zone in range(self._num_zones)
+            ]
+            self._new_snapshot = self._publisher.update(now, links) or self._new_snapshot
+        if self._num_routers > 1 and now >= self._gossip.next_message_at():
+            body = self._gossip.compose_message(now)
             if body:
-                self._out.append(Outgoing(self._peer(now), self.topic, body, Priority.GOSSIP))
+                self._outgoing.append(Outgoing(self._choose_peer(now), self.topic, body, Priority.GOSSIP))
 
-    def _peer(self, now: float) -> int:
-        """A drawn one for changes of state, which are to spread; else whoever is preferred."""
-        preferred = None if self._spread.hurried else self.prefer(now)
+    def _choose_peer(self, now: float) -> int:
+        """Return a random peer for changes of state, which are to spread; else the preferred one."""
+        preferred = None if self._gossip.is_urgent else self.preferred_peer(now)
         if preferred is not None:
             return preferred
-        peer = self._draws.randrange(self._routers - 1)
-        return peer + (peer >= self._me)
+        peer = self._rng.randrange(self._num_routers - 1)
+        return peer + (peer >= self._own_index)
 
     def take_outgoing(self) -> list[Outgoing]:
-        out, self._out = self._out, []
-        return out
+        """Return the messages to send, once."""
+        outgoing, self._outgoing = self._outgoing, []
+        return outgoing
 
     def next_timer_at(self) -> float:
-        due = self._spread.due() if self._routers > 1 else math.inf  # alone it has nobody to tell
-        return min(self._look_at, self._sweep_at, self.evidence.due(), due)
-
-    def facts(self) -> HallsSeen | None:
-        """The latest table for whoever decides, once, if there is one since the last call."""
-        fresh, self._fresh = self._fresh, None
-        return fresh
-
-    def estimate(self, now: float, hall: int, to: int) -> Estimate:
-        """What the map says of a link between any two halls."""
-        return self.table.estimate(now, hall, to)
-
-    def _suspected(self, now: float, hall: int) -> bool:
-        return self.table.suspected(now, self._hall, hall, self._me)
-
-    def _consider(self, now: float, hall: int) -> None:
-        """New evidence: is it worth telling before its renewal?"""
-        sight = self.evidence.sights[hall]
-        if sight.state is Link.UNKNOWN:
+        """Return when the timer is due."""
+        # a router without peers sends nothing
+        message_at = self._gossip.next_message_at() if self._num_routers > 1 else math.inf
+        return min(self._snapshot_at, self._sweep_at, self.monitor.next_window_end(), message_at)
+
+    def take_snapshot(self) -> LinksSnapshot | None:
+        """Return the latest snapshot if it is newer than the last one taken, else None."""
+        snapshot, self._new_snapshot = self._new_snapshot, None
+        return snapshot
+
+    def estimate(self, now: float, from_zone: int, to_zone: int) -> LinkEstimate:
+        """Return what is known of a link between any two zones."""
+        return self.table.estimate(now, from_zone, to_zone)
+
+    def _is_suspected(self, now: float, zone: int) -> bool:
+        return self.table.is_suspected(now, self._own_zone, zone, self._own_index)
+
+    def _report_if_due(self, now: float, zone: int) -> None:
+        """Report new evidence if it differs enough from the last report, or a refresh is due."""
+        tracker = self.monitor.trackers[zone]
+        if tracker.state is MeasuredLinkState.UNKNOWN:
             return
-        held = self.table.held(self._me, hall)
-        if hall in self._told_at:
-            values = pack(sight.state, *sight.told())
-            if held is None or held.start != self._start:
-                due = now >= self._renew_at[hall]
-            elif held.values >> 16 != sight.state:
-                due = True
+        stored = self.table.stored(self._own_index, zone)
+        if zone in self._reported_at:
+            values = pack_values(tracker.state, *tracker.figures())
+            if stored is None or stored.incarnation != self._incarnation:
+                is_due = now >= self._refresh_at[zone]
+            elif stored.packed_values >> 16 != tracker.state:
+                is_due = True
             else:
-                due = now - self._told_at[hall] >= RETOLD * self.table.renewal and differ(held.values, values)
-            if not due:
+                is_due = now - self._reported_at[
+                    zone
+                ] >= MIN_REPORT_INTERVAL_FRACTION * self.table.refresh_interval and is_significant_change(
+                    stored.packed_values, values
+                )
+            if not is_due:
                 return
-        self._report(now, hall)
-
-    def _report(self, now: float, hall: int) -> None:
-        sight = self.evidence.sights[hall]
-        self._sequences[hall] = sequence = self._sequences.get(hall, 0) + 1
-        self._told_at[hall] = now
-        self._renew_at[hall] = now + self.table.renewal * (1.0 - EARLIER * self._draws.random())
-        age = max(0.0, now - sight.at)
-        report = Report(self._me, self._start, hall, sequence, pack(sight.state, *sight.told()), age)
-        self._spread.note(self._me, hall, self.table.merge(now, report))
+        self._report(now, zone)
+
+    def _report(self, now: float, zone: int) -> None:
+        """Add a report of this router to the table, and queue it for sending."""
+        tracker = self.monitor.trackers[zone]
+        self._sequences[zone] = sequence = self._sequences.get(zone, 0) + 1
+        self._reported_at[zone] = now
+        self._refresh_at[zone] = now + self.table.refresh_interval * (
+            1.0 - REFRESH_JITTER_FRACTION * self._rng.random()
+        )
+        age = max(0.0, now - tracker.evidence_at)
+        report = LinkReport(
+            self._own_index,
+            self._incarnation,
+            zone,
+            sequence,
+            pack_values(tracker.state, *tracker.figures()),
+            age,
+        )
+        self._gossip.enqueue(self._own_index, zone, self.table.merge(now, report))
--- a/ironrail/peers/zone_latency/report_table.py
+++ b/ironrail/peers/zone_latency/report_table.py
@@ -1,9 +1,11 @@
-"""The map: of each link the latest words of a few witnesses, whatever order and repeats they came in. Pure.
-
-A join of semilattices (Shapiro, Preguica, Baquero, Zawirski, SSS 2011): of each witness the greatest (start,
-sequence, values), of equal ones the older evidence; of the witnesses of a link the first few by a rank that
-all routers share. What can only grow may be cut to its first few without spoiling the laws, which is why the
-rank does not depend on what a witness says, and a replaced process's word keeps its place but is not read.
+"""The table of link reports: of each link the latest reports of a few routers.
+
+Merging is a join of semilattices (Shapiro, Preguica, Baquero, Zawirski, SSS 2011), so the order of reports
+and repeated ones don't matter. Of each reporter the greatest (incarnation, sequence, values) is kept, of
+equal ones the older evidence; of the reporters of a link the first few by a rank that all routers share.
+Cutting a set that only grows to its first few elements keeps the join's laws; therefore the rank must not
+depend on what a report says, and a report of a replaced process keeps its place but is not used.
+Does no I/O and reads no clock.
 """
 
 from __future__ import annotations
@@ -14,163 +16,241 @@
 from dataclasses import dataclass
 from enum import IntEnum
 
-from ironrail.peers.zone_latency.histogram import FARTHEST, seconds_of
-from ironrail.peers.zone_latency.reports import Report, differ, unpack
-from ironrail.peers.zone_latency.link_tracker import Link
+from ironrail.peers.zone_latency.histogram import LAST_BUCKET, bucket_seconds
+from ironrail.peers.zone_latency.link_tracker import MeasuredLinkState
+from ironrail.peers.zone_latency.reports import LinkReport, is_significant_change, unpack_values
 
-WITNESSES = 5  # kept of a link: two liars or sick ones are outvoted
-ILL = 2  # witnesses that must call a link slow or cut: one liar invents no ill, and one of five hides none
-LEAST_RENEWAL = 20.0  # seconds after which unchanged evidence is told anew
-RENEWALS = 40.0  # a second, of all links and witnesses together: half of what 2 kB/s carry to everybody
-LATELY = 5.0  # seconds for which a suspicion makes others in its hall quicker to share it
-STALE, EXPIRED = 3.0, 6.0  # renewals missed before others take a witness's place, and before it is forgotten
+MAX_REPORTERS = 5  # of a link; two wrong ones are outvoted
+# that must report a link slow or cut: one wrong reporter can't invent a fault, and one of five hides none
+FAULT_QUORUM = 2
+MIN_REFRESH_SECONDS = 20.0  # after which unchanged evidence is reported again
+# of all links and reporters together; half of what 2 kB/s carry to all routers
+MAX_REFRESHES_PER_SECOND = 40.0
+SUSPICION_SECONDS = 5.0  # for which a reported fault lowers the threshold of others in the zone
+# refresh intervals without a report after which others take a reporter's place, and it is no longer used
+STALE_REFRESHES, EXPIRED_REFRESHES = 3.0, 6.0
 
 
-class Change(IntEnum):
-    """What a report changed in the map, the more urgent to pass on the higher."""
+class LinkReportChange(IntEnum):
+    """What a report changed in the table, more urgent changes being greater."""
 
     NONE = 0
-    RENEWED = 1
+    REFRESHED = 1
     VALUES = 2
     STATE = 3
 
 
 @dataclass(frozen=True, slots=True)
-class Estimate:
-    """What the witnesses of a link say together: the median of each figure."""
+class LinkEstimate:
+    """What the reports on a link say together.
+
+    Attributes:
+        state: The state that enough reporters confirm.
+        fastest: Median of the reported fastest round trips in seconds; infinite without an answer.
+        median: Likewise of the median round trips.
+        loss_ratio: Likewise of the loss ratios.
+        age: Seconds since the evidence of the reports of this state.
+        num_reporters: Number of reports used.
+    """
+
+    state: MeasuredLinkState
+    fastest: float
+    median: float
+    loss_ratio: float
+    age: float
+    num_reporters: int
 
-    state: Link
-    low: float  # seconds, infinite where nothing is answered
-    typical: float  # seconds, likewise
-    lost: float  # share of round trips
-    age: float  # seconds since the evidence, of those who say this state
-    witnesses: int
 
+UNKNOWN_LINK = LinkEstimate(MeasuredLinkState.UNKNOWN, math.inf, math.inf, 1.0, math.inf, 0)
 
-NOTHING = Estimate(Link.UNKNOWN, math.inf, math.inf, 1.0, math.inf, 0)
 
+class StoredLinkReport:
+    """A report as it is stored.
+
+    Attributes:
+        incarnation: Of the reporter's process.
+        sequence: Of the report.
+        packed_values: State and figures.
+        evidence_at: Time of the evidence on this router's clock.
+    """
+
+    __slots__ = ("evidence_at", "incarnation", "packed_values", "sequence")
 
-class Held:
-    """A witness's word on one link, as it is kept."""
+    def __init__(
+        self, incarnation: int, sequence: int, packed_values: int, evidence_at: float
+    ) -> None:
+        """Initialize a stored report; see the attributes of the class."""
+        self.incarnation, self.sequence, self.packed_values = incarnation, sequence, packed_values
+        self.evidence_at = evidence_at
 
-    __slots__ = ("born", "sequence", "start", "values")
+    def supersedes(self, other: StoredLinkReport) -> bool:
+        """Return whether it replaces the other.
 
-    def __init__(self, start: int, sequence: int, values: int, born: float) -> None:
-        self.start, self.sequence, self.values = start, sequence, values
-        self.born = born  # the evidence, on this router's clock
+        Equal reports differ by how much of their age was lost on the way; the older one is right.
+        """
+        own_order, other_order = (
+            (self.incarnation, self.sequence, self.packed_values),
+            (other.incarnation, other.sequence, other.packed_values),
+        )
+        return own_order > other_order or (
+            own_order == other_order and self.evidence_at < other.evidence_at
+        )
 
-    def newer(self, other: Held) -> bool:
-        """Whether it replaces the other; equal words differ by how much of their age was lost on the way."""
-        mine, its = (self.start, self.sequence, self.values), (other.start, other.sequence, other.values)
-        return mine > its or (mine == its and self.born < other.born)
 
+def rank(reporter: int, to_zone: int) -> int:
+    """Return a reporter's rank for a link; reporters of a lower rank are kept.
 
-def rank(witness: int, to: int) -> int:
-    """The lower, the sooner a witness is kept: drawn by link, so that no router speaks for all of them."""
-    return zlib.crc32(b"%d %d" % (to, witness))
+    It is hashed with the link, so that no router reports on all links of its zone.
+    """
+    return zlib.crc32(b"%d %d" % (to_zone, reporter))
 
 
-def agreed(values: list[float]) -> float:
-    """The median, of an even number the worse one; of two the better one.
+def robust_median(values: list[float]) -> float:
+    """Return the median; of an even number of values the worse one, of two the better one.
 
-    Whatever one of three or more says, this is a figure among what the others say. Of two neither can be told
-    to be wrong: one can hide an ill, but not invent it.
+    With three or more values, one wrong value can't move the result out of the range of the others. With
+    two it is not known which one is wrong: one of them can hide a fault, but not invent it.
     """
     return sorted(values)[len(values) // 2 if len(values) > 2 else 0]
 
 
-class Table:
-    """What witnesses say, for routers that stand in the halls `hall_of` tells by number."""
-
-    def __init__(self, hall_of: Sequence[int], halls: int, witnesses: int = WITNESSES) -> None:
-        self.hall_of, self.halls, self.witnesses = hall_of, halls, witnesses
-        self.starts: dict[int, int] = {}  # the latest of each witness; words of others are not read
-        self.links: dict[tuple[int, int], dict[int, Held]] = {}
-        standing = [0] * halls
-        for hall in hall_of:
-            standing[hall] += 1
-        most = halls * sum(min(witnesses, routers) for routers in standing)
-        self.renewal = max(LEAST_RENEWAL, most / RENEWALS)  # seconds, the same at all routers
-
-    def merge(self, now: float, report: Report) -> Change:
-        """Take a report, whoever passed it on and however often."""
-        witness, to = report.witness, report.to
-        if report.age > EXPIRED * self.renewal:
-            return Change.NONE
-        if report.start > self.starts.get(witness, -1):
-            self.starts[witness] = report.start
-        new = Held(report.start, report.sequence, report.values, now - report.age)
-        link = self.links.setdefault((self.hall_of[witness], to), {})
-        old = link.get(witness)
-        if old is not None and not new.newer(old):
-            return Change.NONE
-        link[witness] = new
+class LinkReportTable:
+    """Reports on all links, merged from all routers.
+
+    Attributes:
+        router_zones: Zone number of each router.
+        num_zones: Number of zones.
+        max_reporters: Reporters kept for each link.
+        incarnations: Latest incarnation of each reporter; reports of earlier ones are not used.
+        links: Stored reports by reporter, by (from zone, to zone).
+        refresh_interval: Seconds, the same at all routers.
+    """
+
+    def __init__(
+        self, router_zones: Sequence[int], num_zones: int, max_reporters: int = MAX_REPORTERS
+    ) -> None:
+        """Initialize an empty table; see the attributes of the class."""
+        self.router_zones, self.num_zones, self.max_reporters = router_zones, num_zones, max_reporters
+        self.incarnations: dict[int, int] = {}
+        self.links: dict[tuple[int, int], dict[int, StoredLinkReport]] = {}
+        routers_in_zone = [0] * num_zones
+        for zone in router_zones:
+            routers_in_zone[zone] += 1
+        max_reports = num_zones * sum(min(max_reporters, routers) for routers in routers_in_zone)
+        self.refresh_interval = max(MIN_REFRESH_SECONDS, max_reports / MAX_REFRESHES_PER_SECOND)
+
+    def merge(self, now: float, report: LinkReport) -> LinkReportChange:
+        """Merge a report, whichever router forwarded it and however often, and return what changed."""
+        reporter, to_zone = report.reporter, report.to_zone
+        if report.age > EXPIRED_REFRESHES * self.refresh_interval:
+            return LinkReportChange.NONE
+        if report.incarnation > self.incarnations.get(reporter, -1):
+            self.incarnations[reporter] = report.incarnation
+        new = StoredLinkReport(
+            report.incarnation, report.sequence, report.packed_values, now - report.age
+        )
+        link = self.links.setdefault((self.router_zones[reporter], to_zone), {})
+        old = link.get(reporter)
+        if old is not None and not new.supersedes(old):
+            return LinkReportChange.NONE
+        link[reporter] = new
         if old is None:
-            if len(link) > self.witnesses:
-                last = max(link, key=lambda w: (self._stale(now, link[w]), rank(w, to), w))
+            if len(link) > self.max_reporters:
+                last = max(link, key=lambda r: (self._is_stale(now, link[r]), rank(r, to_zone), r))
                 del link[last]
-                if last == witness:
-                    return Change.NONE
-            return Change.STATE if unpack(new.values)[0] > Link.WELL else Change.RENEWED
-        if old.values >> 16 != new.values >> 16:
-            return Change.STATE
-        return Change.VALUES if differ(old.values, new.values) else Change.RENEWED
-
-    def _stale(self, now: float, held: Held) -> bool:
-        return now - held.born > STALE * self.renewal
-
-    def held(self, witness: int, to: int) -> Held | None:
-        return self.links.get((self.hall_of[witness], to), {}).get(witness)
-
-    def report(self, now: float, witness: int, to: int) -> Report | None:
-        """What to tell others of this word, None if it is gone, replaced or too old."""
-        held = self.held(witness, to)
-        if held is None or not self._counts(now, witness, held):
+                if last == reporter:
+                    return LinkReportChange.NONE
+            return (
+                LinkReportChange.STATE
+                if unpack_values(new.packed_values)[0] > MeasuredLinkState.WELL
+                else LinkReportChange.REFRESHED
+            )
+        if old.packed_values >> 16 != new.packed_values >> 16:
+            return LinkReportChange.STATE
+        return (
+            LinkReportChange.VALUES
+            if is_significant_change(old.packed_values, new.packed_values)
+            else LinkReportChange.REFRESHED
+        )
+
+    def _is_stale(self, now: float, stored: StoredLinkReport) -> bool:
+        return now - stored.evidence_at > STALE_REFRESHES * self.refresh_interval
+
+    def stored(self, reporter: int, to_zone: int) -> StoredLinkReport | None:
+        """Return a reporter's stored report on a link, if there is one."""
+        return self.links.get((self.router_zones[reporter], to_zone), {}).get(reporter)
+
+    def report(self, now: float, reporter: int, to_zone: int) -> LinkReport | None:
+        """Return a stored report for forwarding; None if it is gone, replaced or expired."""
+        stored = self.stored(reporter, to_zone)
+        if stored is None or not self._is_valid(now, reporter, stored):
             return None
-        return Report(witness, held.start, to, held.sequence, held.values, max(0.0, now - held.born))
-
-    def _counts(self, now: float, witness: int, held: Held) -> bool:
-        return held.start >= self.starts[witness] and now - held.born <= EXPIRED * self.renewal
-
-    def estimate(self, now: float, hall: int, to: int) -> Estimate:
-        """What is known of a link; NOTHING where no witness's word counts."""
-        words = [h for w, h in self.links.get((hall, to), {}).items() if self._counts(now, w, h)]
-        words = [h for h in words if not self._stale(now, h)] or words
-        if not words:
-            return NOTHING
-        states, lows, typicals, losses = zip(*(unpack(h.values) for h in words), strict=True)
-        low, typical = int(agreed(list(lows))), int(agreed(list(typicals)))
-        state = Link(sorted(states)[max(0, len(states) - ILL)])
-        ages = [now - h.born for h in words if h.values >> 16 == state]
-        return Estimate(
+        return LinkReport(
+            reporter,
+            stored.incarnation,
+            to_zone,
+            stored.sequence,
+            stored.packed_values,
+            max(0.0, now - stored.evidence_at),
+        )
+
+    def _is_valid(self, now: float, reporter: int, stored: StoredLinkReport) -> bool:
+        return (
+            stored.incarnation >= self.incarnations[reporter]
+            and now - stored.evidence_at <= EXPIRED_REFRESHES * self.refresh_interval
+        )
+
+    def estimate(self, now: float, from_zone: int, to_zone: int) -> LinkEstimate:
+        """Return what is known of a link; UNKNOWN_LINK without any valid report."""
+        reports = [s for r, s in self.links.get((from_zone, to_zone), {}).items() if self._is_valid(now, r, s)]
+        reports = [s for s in reports if not self._is_stale(now, s)] or reports
+        if not reports:
+            return UNKNOWN_LINK
+        states, fastest_buckets, median_buckets, loss_ratios = zip(
+            *(unpack_values(s.packed_values) for s in reports), strict=True
+        )
+        fastest, median = (
+            int(robust_median(list(fastest_buckets))),
+            int(robust_median(list(median_buckets))),
+        )
+        state = MeasuredLinkState(sorted(states)[max(0, len(states) - FAULT_QUORUM)])
+        ages = [now - s.evidence_at for s in reports if s.packed_values >> 16 == state]
+        return LinkEstimate(
             state,
-            math.inf if low == FARTHEST else seconds_of(low),
-            math.inf if typical == FARTHEST else seconds_of(typical),
-            agreed(list(losses)),
-            max(0.0, agreed(ages)),
-            len(words),
+            math.inf if fastest == LAST_BUCKET else bucket_seconds(fastest),
+            math.inf if median == LAST_BUCKET else bucket_seconds(median),
+            robust_median(list(loss_ratios)),
+            max(0.0, robust_median(ages)),
+            len(reports),
         )
 
-    def suspected(self, now: float, hall: int, to: int, but: int) -> bool:
-        """Whether a witness other than `but` lately said that the link is slow or cut."""
+    def is_suspected(self, now: float, from_zone: int, to_zone: int, excluded: int) -> bool:
+        """Return whether a reporter other than `excluded` lately reported the link slow or cut."""
         return any(
-            h.values >> 16 > Link.WELL and now - h.born <= LATELY and self._counts(now, w, h)
-            for w, h in self.links.get((hall, to), {}).items()
-            if w != but
+            s.packed_values >> 16 > MeasuredLinkState.WELL
+            and now - s.evidence_at <= SUSPICION_SECONDS
+            and self._is_valid(now, r, s)
+            for r, s in self.links.get((from_zone, to_zone), {}).items()
+            if r != excluded
         )
 
-    def sweep(self, now: float) -> None:
-        """Let go of what expired; it can't come back, for it is as old wherever else it is kept."""
-        for place in list(self.links):
-            link = self.links[place]
-            for witness in [w for w, h in link.items() if now - h.born > 2 * EXPIRED * self.renewal]:
-                del link[witness]
+    def remove_expired(self, now: float) -> None:
+        """Remove expired reports. They can't come back, as other routers hold them at the same age."""
+        for ends in list(self.links):
+            link = self.links[ends]
+            for reporter in [
+                r
+                for r, s in link.items()
+                if now - s.evidence_at > 2 * EXPIRED_REFRESHES * self.refresh_interval
+            ]:
+                del link[reporter]
             if not link:
-                del self.links[place]
+                del self.links[ends]
 
     def keys(self) -> Iterator[tuple[int, int]]:
-        """All words that are kept, as (witness, to)."""
-        return ((witness, to) for (_, to), link in self.links.items() for witness in link)
+        """Return the keys of all stored reports, as (reporter, to zone)."""
+        return ((reporter, to_zone) for (_, to_zone), link in self.links.items() for reporter in link)
 
     def __len__(self) -> int:
+        """Return the number of stored reports."""
         return sum(map(len, self.links.values()))
--- a/ironrail/peers/zone_latency/reports.py
+++ b/ironrail/peers/zone_latency/reports.py
@@ -1,8 +1,9 @@
-"""What a witness says of a link, and its form on the wire. Pure.
+"""Reports of the state of a link by a router, and their encoding in messages.
 
-A message is any number of groups: witness, start of its process, count, then so many links, each with hall,
-sequence, age and three bytes of values. Whole numbers are base 128, low digits first. The hall that a report
-is from follows from the witness, so nobody can speak for a hall that it does not stand in.
+A message is a sequence of groups. A group has the reporter, the incarnation of its process, a count, and
+as many links, each with the other zone, a sequence number, an age and three bytes of values. Integers are
+varints: base 128, least significant digit first. The zone that a report is from follows from the reporter,
+so no router can report for a zone that it is not in. Does no I/O and reads no clock.
 """
 
 from __future__ import annotations
@@ -11,50 +12,65 @@
 from typing import NamedTuple
 
 from ironrail.errors import InputError
-from ironrail.peers.zone_latency.link_tracker import Link
+from ironrail.peers.zone_latency.link_tracker import MeasuredLinkState
 
-MOST_BODY = 200  # bytes: with the wire's own within the 256 that a datagram may have
-AGE_UNIT = 0.05  # seconds; rounded down, so no hop makes evidence older than it is
-LOST_STEPS = 15  # of the share lost
-MOST_START = 2**64  # of a process; starts of one witness only grow
-MOST_SEQUENCE = 2**32
-MOST_AGE = 2**16  # units, 55 minutes: longer than anything is kept
+MAX_BODY_BYTES = 200  # with the transport's overhead within the 256 bytes of a datagram
+AGE_UNIT_SECONDS = 0.05  # ages are rounded down, so no hop makes evidence older than it is
+LOSS_STEPS = 15  # of the loss ratio
+# exclusive upper bounds of decoded integers
+MAX_INCARNATION = 2**64  # of a process; those of one reporter only grow
+MAX_SEQUENCE = 2**32
+MAX_AGE_UNITS = 2**16  # 55 minutes, longer than any report is kept
 
 
 class ReportError(InputError):
-    """A message that is no list of reports. Nothing of it is taken."""
+    """A message that is not a list of reports. None of its reports is used."""
 
     advice = "Routers of different versions may speak together; bring all of them to one."
 
 
-class Report(NamedTuple):
-    """One witness's latest word on one link."""
+class LinkReport(NamedTuple):
+    """The latest report of one router on one link.
 
-    witness: int
-    start: int
-    to: int  # hall
+    Attributes:
+        reporter: Number of the router that measured the link.
+        incarnation: Of the reporter's process.
+        to_zone: Number of the zone at the other end of the link.
+        sequence: Grows with each report of the reporter on this link.
+        packed_values: State and figures, see `pack_values`.
+        age: Seconds since the evidence, not counting the transport.
+    """
+
+    reporter: int
+    incarnation: int
+    to_zone: int
     sequence: int
-    values: int  # packed
-    age: float  # seconds since the evidence, as far as known
+    packed_values: int
+    age: float
 
 
-def pack(state: Link, low: int, typical: int, lost: float) -> int:
-    """`low` and `typical`: buckets; `lost`: a share."""
-    return state << 16 | round(lost * LOST_STEPS) << 12 | low << 6 | typical
+def pack_values(state: MeasuredLinkState, fastest: int, median: int, loss_ratio: float) -> int:
+    """Pack state and figures into 18 bits; `fastest` and `median` are buckets of the histogram."""
+    return state << 16 | round(loss_ratio * LOSS_STEPS) << 12 | fastest << 6 | median
 
 
-def unpack(values: int) -> tuple[Link, int, int, float]:
-    return Link(values >> 16), values >> 6 & 63, values & 63, (values >> 12 & 15) / LOST_STEPS
+def unpack_values(packed: int) -> tuple[MeasuredLinkState, int, int, float]:
+    """Return the state, the buckets of the fastest and the median round trip, and the loss ratio."""
+    return MeasuredLinkState(packed >> 16), packed >> 6 & 63, packed & 63, (packed >> 12 & 15) / LOSS_STEPS
 
 
-def differ(one: int, other: int) -> bool:
-    """Whether the values are worth telling anew: a step of 1.46 times, or 3/15 more or less lost."""
-    _, low, typical, lost = unpack(one)
-    _, low2, typical2, lost2 = unpack(other)
-    return abs(low - low2) >= 2 or abs(typical - typical2) >= 2 or abs(lost - lost2) > 2.5 / LOST_STEPS
+def is_significant_change(one: int, other: int) -> bool:
+    """Return whether the figures differ by 1.46 times or by 3/15 of the loss ratio."""
+    _, fastest, median, loss_ratio = unpack_values(one)
+    _, other_fastest, other_median, other_loss_ratio = unpack_values(other)
+    return (
+        abs(fastest - other_fastest) >= 2
+        or abs(median - other_median) >= 2
+        or abs(loss_ratio - other_loss_ratio) > 2.5 / LOSS_STEPS
+    )
 
 
-def _number(value: int) -> bytes:
+def _encode_varint(value: int) -> bytes:
     out = bytearray()
     while value > 127:
         out.append(value & 127 | 128)
@@ -63,58 +79,75 @@
     return bytes(out)
 
 
-def encode(reports: Iterable[Report], most: int = MOST_BODY) -> tuple[bytes, int]:
-    """A message of the first reports, as many as fit, and how many those are."""
+def encode(reports: Iterable[LinkReport], max_bytes: int = MAX_BODY_BYTES) -> tuple[bytes, int]:
+    """Return a message with the first reports, as many as fit, and their number."""
     groups: dict[tuple[int, int], list[bytes]] = {}
-    size = taken = 0
+    size = num_encoded = 0
     for report in reports:
-        who = report.witness, report.start
-        age = min(MOST_AGE - 1, int(report.age / AGE_UNIT))
-        row = bytes((report.to,)) + _number(report.sequence) + _number(age) + report.values.to_bytes(3, "big")
-        head = 0 if who in groups else len(_number(who[0])) + len(_number(who[1])) + 1
-        if size + head + len(row) > most:
+        group = report.reporter, report.incarnation
+        age_units = min(MAX_AGE_UNITS - 1, int(report.age / AGE_UNIT_SECONDS))
+        row = (
+            bytes((report.to_zone,))
+            + _encode_varint(report.sequence)
+            + _encode_varint(age_units)
+            + report.packed_values.to_bytes(3, "big")
+        )
+        header_size = (
+            0 if group in groups else len(_encode_varint(group[0])) + len(_encode_varint(group[1])) + 1
+        )
+        if size + header_size + len(row) > max_bytes:
             break
-        groups.setdefault(who, []).append(row)
-        size += head + len(row)
-        taken += 1
+        groups.setdefault(group, []).append(row)
+        size += header_size + len(row)
+        num_encoded += 1
     body = b"".join(
-        _number(witness) + _number(start) + bytes((len(rows),)) + b"".join(rows)
-        for (witness, start), rows in groups.items()
+        _encode_varint(reporter) + _encode_varint(incarnation) + bytes((len(rows),)) + b"".join(rows)
+        for (reporter, incarnation), rows in groups.items()
     )
-    return body, taken
+    return body, num_encoded
+
 
+def decode(body: bytes, num_routers: int, num_zones: int) -> list[LinkReport]:
+    """Return the reports of a message.
 
-def decode(body: bytes, routers: int, halls: int) -> list[Report]:
-    """The reports of a message; ReportError if anything in it is out of form or range."""
-    if len(body) > MOST_BODY:  # nobody says so much, and it would cost as much time as it has words
-        raise ReportError("is too long", "reports of latency")
-    at = 0
+    Raises:
+        ReportError: The message is malformed or a value is out of range.
+    """
+    if len(body) > MAX_BODY_BYTES:  # no router sends so much, and decoding time grows with the size
+        raise ReportError("the message is too long", "reports of latency")
+    position = 0
 
-    def byte() -> int:
-        nonlocal at
-        if at >= len(body):
-            raise ReportError("breaks off", "reports of latency")
-        at += 1
-        return body[at - 1]
+    def read_byte() -> int:
+        nonlocal position
+        if position >= len(body):
+            raise ReportError("the message is truncated", "reports of latency")
+        position += 1
+        return body[position - 1]
 
-    def number(bound: int) -> int:
+    def read_varint(bound: int) -> int:
         value = shift = 0
         while True:
-            digit = byte()
+            digit = read_byte()
             value |= (digit & 127) << shift
             shift += 7
             if digit < 128 and value < bound:
                 return value
             if value >= bound or shift > 63 + 7:
-                raise ReportError("a number is too large", "reports of latency")
-
-    found = []
-    while at < len(body):
-        witness, start = number(routers), number(MOST_START)
-        for _ in range(byte()):
-            to, sequence, age = number(halls), number(MOST_SEQUENCE), number(MOST_AGE)
-            values = byte() << 16 | byte() << 8 | byte()
-            if not Link.WELL <= values >> 16 <= Link.CUT:
-                raise ReportError("a state is none", "reports of latency")
-            found.append(Report(witness, start, to, sequence, values, age * AGE_UNIT))
-    return found
+                raise ReportError("an integer is out of range", "reports of latency")
+
+    reports = []
+    while position < len(body):
+        reporter, incarnation = read_varint(num_routers), read_varint(MAX_INCARNATION)
+        for _ in range(read_byte()):
+            to_zone, sequence, age_units = (
+                read_varint(num_zones),
+                read_varint(MAX_SEQUENCE),
+                read_varint(MAX_AGE_UNITS),
+            )
+            values = read_byte() << 16 | read_byte() << 8 | read_byte()
+            if not MeasuredLinkState.WELL <= values >> 16 <= MeasuredLinkState.CUT:
+                raise ReportError("a link state does not exist", "reports of latency")
+            reports.append(
+                LinkReport(reporter, incarnation, to_zone, sequence, values, age_units * AGE_UNIT_SECONDS)
+            )
+    return reports
--- a/ironrail/peers/zone_latency/round_trip.py
+++ b/ironrail/peers/zone_latency/round_trip.py
@@ -1,7 +1,9 @@
-"""Round trips by what is said anyway: each message for the map names the latest one from its receiver. Pure.
+"""Measures round trips with the messages that the zone latency protocol sends anyway.
 
-As in NTP (RFC 5905), the time for which the other held it is taken off, so that no clock is compared with
-another's. A message says nothing of its own of this: what was heard and when goes along as it is sealed.
+Each message acknowledges the latest one from its receiver. As in NTP (RFC 5905), the time for which the
+receiver held that message before it answered is subtracted, so that clocks of different routers are not
+compared. The numbers and the hold time are filled in when the message is sealed. Does no I/O and reads no
+clock.
 """
 
 from __future__ import annotations
@@ -11,88 +13,114 @@
 from dataclasses import replace
 
 from ironrail.peers.messages import Outgoing, Received, Topic
-from ironrail.peers.zone_latency.protocol import LatencyRoom
+from ironrail.peers.zone_latency.protocol import ZoneLatencyProtocol
 
-UNIT = 50e-6  # seconds: half of what a datagram takes within a hall
-FIELD = 3  # bytes: of these units 14 minutes
-TRAILER = 3 * FIELD  # the message's own number, the one that it answers, and how long that was held
-MOST_HOLD = 5.0  # seconds: held longer, half of the way is of a link as it was before
-ANSWERED_WITHIN = 0.5  # seconds: messages that came since then are worth an answer of their own
-MOST_SENT = 32  # numbers kept of each router: two routers alone send 16 a second to each other
-_RANGE = 1 << 8 * FIELD
+HOLD_UNIT_SECONDS = 50e-6  # half of what a datagram takes within a zone
+FIELD_BYTES = 3  # 14 minutes of these units
+TRAILER_BYTES = 3 * FIELD_BYTES  # own number, acknowledged number, and its hold time
+MAX_HOLD_SECONDS = 5.0  # with a longer one, half of the round trip is of an earlier state of the link
+RECENT_MESSAGE_SECONDS = 0.5  # messages within this time are answered in preference to random peers
+MAX_UNACKNOWLEDGED = 32  # sent to each router; two routers alone send 16 a second to each other
+_FIELD_BOUND = 1 << 8 * FIELD_BYTES
 
 
-class Echoing:
-    """The room of the map, with round trips measured by its own messages."""
+class RoundTripProtocol:
+    """The zone latency protocol, with round trips measured by its own messages.
+
+    Attributes:
+        zone_latency: The protocol without the measurement.
+        num_round_trips: Round trips that were measured.
+    """
 
     topic = Topic.ZONE_LATENCY
 
-    def __init__(self, room: LatencyRoom, hall_of: Sequence[int]) -> None:
-        self.map, self._hall_of = room, hall_of
-        room.prefer = self._answer
-        self._number = 0
-        self._sent: dict[int, OrderedDict[int, float]] = {}  # to each router, by number: when
-        self._heard: OrderedDict[int, tuple[int, float]] = OrderedDict()  # not answered: its number, and when
-        self._answered_at: dict[int, float] = {}  # by hall
-        self._turn = False
-        self.trips = 0  # round trips that were measured
-
-    def on_message(self, now: float, heard: Received) -> None:
-        if len(heard.body) < TRAILER:
-            self.map.unusable += 1
+    def __init__(self, protocol: ZoneLatencyProtocol, router_zones: Sequence[int]) -> None:
+        """Wrap a protocol.
+
+        Args:
+            protocol: The protocol whose messages are used; its preferred peer is set.
+            router_zones: Zone number of each router.
+        """
+        self.zone_latency, self._router_zones = protocol, router_zones
+        protocol.preferred_peer = self._peer_to_answer
+        self._last_number = 0
+        self._sent: dict[int, OrderedDict[int, float]] = {}  # time of sending by number, by router
+        # number and time of the latest message of each router, until it is answered
+        self._unanswered: OrderedDict[int, tuple[int, float]] = OrderedDict()
+        self._answered_at: dict[int, float] = {}  # by zone
+        self._is_answer_next = False
+        self.num_round_trips = 0
+
+    def on_message(self, now: float, received: Received) -> None:
+        """Measure the round trip of an acknowledged message, and pass the message on."""
+        if len(received.body) < TRAILER_BYTES:
+            self.zone_latency.unusable += 1
             return
-        body, trailer = heard.body[:-TRAILER], heard.body[-TRAILER:]
-        number, answered, held = (
-            int.from_bytes(trailer[at : at + FIELD], "big") for at in range(0, TRAILER, FIELD)
+        body, trailer = received.body[:-TRAILER_BYTES], received.body[-TRAILER_BYTES:]
+        number, acknowledged, hold_units = (
+            int.from_bytes(trailer[at : at + FIELD_BYTES], "big")
+            for at in range(0, TRAILER_BYTES, FIELD_BYTES)
         )
         if number:
-            self._heard[heard.sender] = number, now
-            self._heard.move_to_end(heard.sender)
-        sent = self._sent.get(heard.sender)
-        sent_at = sent.pop(answered, None) if sent is not None else None
+            self._unanswered[received.sender] = number, now
+            self._unanswered.move_to_end(received.sender)
+        sent = self._sent.get(received.sender)
+        sent_at = sent.pop(acknowledged, None) if sent is not None else None
         if sent_at is not None:
-            self.trips += 1
-            self.map.observe(now, self._hall_of[heard.sender], max(UNIT, now - sent_at - held * UNIT))
-        self.map.on_message(now, replace(heard, body=body))
+            self.num_round_trips += 1
+            self.zone_latency.record_round_trip(
+                now,
+                self._router_zones[received.sender],
+                max(HOLD_UNIT_SECONDS, now - sent_at - hold_units * HOLD_UNIT_SECONDS),
+            )
+        self.zone_latency.on_message(now, replace(received, body=body))
 
     def on_timer(self, now: float) -> None:
-        self.map.on_timer(now)
+        """Handle the timer."""
+        self.zone_latency.on_timer(now)
 
     def take_outgoing(self) -> list[Outgoing]:
-        return [replace(say, body=say.body + bytes(TRAILER)) for say in self.map.take_outgoing()]
+        """Return the messages to send, with space for the trailer."""
+        return [
+            replace(outgoing, body=outgoing.body + bytes(TRAILER_BYTES))
+            for outgoing in self.zone_latency.take_outgoing()
+        ]
 
     def next_timer_at(self) -> float:
-        return self.map.next_timer_at()
-
-    def with_timestamp(self, now: float, say: Outgoing) -> Outgoing:
-        """The message as it goes: asked as it is sealed, since it may have waited."""
-        self._number = self._number % (_RANGE - 1) + 1
-        sent = self._sent.setdefault(say.to, OrderedDict())
-        sent[self._number] = now
-        if len(sent) > MOST_SENT:
+        """Return when the timer is due."""
+        return self.zone_latency.next_timer_at()
+
+    def with_timestamp(self, now: float, outgoing: Outgoing) -> Outgoing:
+        """Return the message with its trailer; called when it is sealed, as it may have been queued."""
+        self._last_number = self._last_number % (_FIELD_BOUND - 1) + 1
+        sent = self._sent.setdefault(outgoing.to, OrderedDict())
+        sent[self._last_number] = now
+        if len(sent) > MAX_UNACKNOWLEDGED:
             sent.popitem(last=False)
-        answered, at = self._heard.pop(say.to, (0, now))
-        if now - at > MOST_HOLD:
-            answered, at = 0, now
-        if answered:
-            self._answered_at[self._hall_of[say.to]] = now
-        fields = (self._number, answered, round((now - at) / UNIT))
+        acknowledged, received_at = self._unanswered.pop(outgoing.to, (0, now))
+        if now - received_at > MAX_HOLD_SECONDS:
+            acknowledged, received_at = 0, now
+        if acknowledged:
+            self._answered_at[self._router_zones[outgoing.to]] = now
+        fields = (self._last_number, acknowledged, round((now - received_at) / HOLD_UNIT_SECONDS))
         return replace(
-            say, body=say.body[:-TRAILER] + b"".join(field.to_bytes(FIELD, "big") for field in fields)
+            outgoing,
+            body=outgoing.body[:-TRAILER_BYTES]
+            + b"".join(field.to_bytes(FIELD_BYTES, "big") for field in fields),
         )
 
-    def _answer(self, now: float) -> int | None:
-        """Every second message answers somebody, of the hall that was answered longest ago.
+    def _peer_to_answer(self, now: float) -> int | None:
+        """Return, for every second message, a recent sender of the zone answered longest ago.
 
-        What was held for long tells little, and in a large tier a drawn router is hardly ever one that has
-        just spoken.
+        A message that was held for long measures little, and among many routers a random peer has hardly
+        ever just sent one.
         """
-        self._turn = not self._turn
-        if not self._turn:
+        self._is_answer_next = not self._is_answer_next
+        if not self._is_answer_next:
             return None
-        lately = []
-        for sender, (_, at) in reversed(self._heard.items()):
-            if now - at > ANSWERED_WITHIN:
+        recent = []
+        for sender, (_, received_at) in reversed(self._unanswered.items()):
+            if now - received_at > RECENT_MESSAGE_SECONDS:
                 break
-            lately.append(sender)
-        return min(lately, key=lambda r: self._answered_at.get(self._hall_of[r], 0.0), default=None)
+            recent.append(sender)
+        return min(recent, key=lambda r: self._answered_at.get(self._router_zones[r], 0.0), default=None)
--- a/tests/peers/fuzz/bodies.py
+++ b/tests/peers/fuzz/bodies.py
@@ -108,17 +108,17 @@
 
 def latency_body(draws: random.Random, routers: int, halls: int) -> bytes:
     """Reports in their form, whatever they say."""
-    starts, words = draws.choice((4, latency.MOST_START)), []
+    starts, words = draws.choice((4, latency.MAX_INCARNATION)), []
     for _ in range(draws.choice((1, 3, 20, 700))):
         values = draws.choice((1, 2, 3)) << 16 | draws.randrange(1 << 16)
-        age = draws.choice((0.0, 0.0, draws.random() * 100, latency.MOST_AGE * latency.AGE_UNIT))
+        age = draws.choice((0.0, 0.0, draws.random() * 100, latency.MAX_AGE_UNITS * latency.AGE_UNIT_SECONDS))
         words.append(
-            latency.Report(
+            latency.LinkReport(
                 draws.randrange(routers), _edge(draws, starts), draws.randrange(halls),
-                _edge(draws, draws.choice((9, latency.MOST_SEQUENCE))), values, age,
+                _edge(draws, draws.choice((9, latency.MAX_SEQUENCE))), values, age,
             )
         )  # fmt: skip
-    return latency.encode(words, draws.choice((latency.MOST_BODY, MOST)))[0]
+    return latency.encode(words, draws.choice((latency.MAX_BODY_BYTES, MOST)))[0]
 
 
 def regions_body(draws: random.Random, routers: int, count: int, digest: bytes) -> bytes:
--- a/tests/peers/fuzz/gossip.py
+++ b/tests/peers/fuzz/gossip.py
@@ -11,9 +11,9 @@
 from ironrail.peers.steering.regions import Regions
 from ironrail.peers.steering.room import MOST_WAITING, RegionsRoom
 from ironrail.peers.steering.table import WITNESSES
-from ironrail.peers.zone_latency.protocol import LatencyRoom
-from ironrail.peers.zone_latency.link_tracker import Link
-from ironrail.peers.zone_latency.gossip_scheduler import MOST_RUMOURS
+from ironrail.peers.zone_latency.protocol import ZoneLatencyProtocol
+from ironrail.peers.zone_latency.link_tracker import MeasuredLinkState
+from ironrail.peers.zone_latency.gossip_scheduler import MAX_PENDING_REPORTS
 from tests.peers.fuzz.base import Attack, idle, must, size_of
 from tests.peers.fuzz.bodies import latency_body, regions_body, spoil
 
@@ -96,9 +96,9 @@
 class Latency(Gossip):
     """The map."""
 
-    def make(self) -> LatencyRoom:
+    def make(self) -> ZoneLatencyProtocol:
         draws = random.Random(self.draws.random())
-        return LatencyRoom(self.now, self.me, self.start, self.names, self.hall_of, draws)
+        return ZoneLatencyProtocol(self.now, self.me, self.start, self.names, self.hall_of, draws)
 
     def body(self) -> bytes:
         return latency_body(self.draws, self.routers, self.halls)
@@ -108,27 +108,27 @@
         for _ in range(self.draws.choice((1, 9))):
             self.now += self.draws.choice((0.0, 0.11))
             if self.draws.random() < 0.3:
-                self.room.lost(self.now, hall)
+                self.room.record_loss(self.now, hall)
             else:
-                self.room.observe(
+                self.room.record_round_trip(
                     self.now, hall, self.draws.choice((0.01, 0.0, -1.0, 1e9, math.inf, math.nan))
                 )
 
     def own(self) -> list[object]:
-        return [(held.start, held.sequence, held.values) if held else None
-                for held in (self.room.table.held(self.me, to) for to in range(self.halls))]  # fmt: skip
+        return [(stored.incarnation, stored.sequence, stored.packed_values) if stored else None
+                for stored in (self.room.table.stored(self.me, to) for to in range(self.halls))]  # fmt: skip
 
     def end(self) -> None:
         super().end()
-        table, spread = self.room.table, self.room._spread
-        must(all(len(link) <= table.witnesses for link in table.links.values()), "witnesses without end")
-        must(len(table.links) <= self.halls**2 and len(table.starts) <= self.routers, "links without end")
-        must(sum(map(len, spread._rumours.values())) <= MOST_RUMOURS, "rumours without end")
+        table, gossip = self.room.table, self.room._gossip
+        must(all(len(link) <= table.max_reporters for link in table.links.values()), "witnesses without end")
+        must(len(table.links) <= self.halls**2 and len(table.incarnations) <= self.routers, "links without end")
+        must(sum(map(len, gossip._pending.values())) <= MAX_PENDING_REPORTS, "rumours without end")
         for to in range(self.halls):
             said = self.room.estimate(self.now, self.me % self.halls, to)
-            must(said.low > 0.0 and said.typical > 0.0 and 0.0 <= said.lost <= 1.0, "no such figures")
-            must(isinstance(said.state, Link) and said.age >= 0.0, "no such state")
-        self.room.facts()
+            must(said.fastest > 0.0 and said.median > 0.0 and 0.0 <= said.loss_ratio <= 1.0, "no such figures")
+            must(isinstance(said.state, MeasuredLinkState) and said.age >= 0.0, "no such state")
+        self.room.take_snapshot()
 
 
 class OfRegions(Gossip):
--- a/tests/peers/steering/test_capacity.py
+++ b/tests/peers/steering/test_capacity.py
@@ -10,8 +10,8 @@
 from ironrail.peers.steering.table import Cell
 from ironrail.peers.steering.told import NoRowsError, tell
 from ironrail.peers.steering.turns import DELAY, Turn
-from ironrail.peers.zone_latency.link_tracker import Link
-from ironrail.peers.zone_latency.report_table import NOTHING, Estimate
+from ironrail.peers.zone_latency.link_tracker import MeasuredLinkState
+from ironrail.peers.zone_latency.report_table import UNKNOWN_LINK, LinkEstimate
 
 HALL_OF = ["a", "a", "b", "c"]
 
@@ -64,10 +64,10 @@
 def test_a_hall_is_cut_off_where_more_than_half_of_the_known_links_are_cut() -> None:
     cut = {(0, 1), (1, 0), (0, 2)}
 
-    def estimate(now: float, hall: int, to: int) -> Estimate:
+    def estimate(now: float, hall: int, to: int) -> LinkEstimate:
         if 3 in (hall, to):
-            return NOTHING
-        return Estimate(Link.CUT if (hall, to) in cut else Link.WELL, 0.0, 0.0, 0.0, 1.0, 3)
+            return UNKNOWN_LINK
+        return LinkEstimate(MeasuredLinkState.CUT if (hall, to) in cut else MeasuredLinkState.WELL, 0.0, 0.0, 0.0, 1.0, 3)
 
     names = ["a", "b", "c", "d"]
     assert [cut_off(estimate, names, lambda: 0.0, n) for n in names] == [True, False, False, False]
--- a/tests/peers/test_fuzz.py
+++ b/tests/peers/test_fuzz.py
@@ -22,8 +22,8 @@
 from ironrail.peers.steering import reports as regions
 from ironrail.peers.steering.regions import Regions
 from ironrail.peers.steering.room import LEFT_WAITING, MOST_WAITING, RegionsRoom
-from ironrail.peers.zone_latency.reports import MOST_BODY, Report, encode
-from ironrail.peers.zone_latency.protocol import LatencyRoom
+from ironrail.peers.zone_latency.reports import MAX_BODY_BYTES, LinkReport, encode
+from ironrail.peers.zone_latency.protocol import ZoneLatencyProtocol
 from tests.peers import scenario
 from tests.peers.consensus.watching import FACTS, FLOOR, policy
 from tests.peers.fuzz.accord import Accord, _state
@@ -161,15 +161,15 @@
     assert policies.propose(b"version=2\n[rates]\n" + rows).status == 409  # whole: only not now
 
 
-def reports(count: int) -> Iterator[Report]:
-    return (Report(1, 9, 1, n, 1 << 16, 0.0) for n in range(count))
+def reports(count: int) -> Iterator[LinkReport]:
+    return (LinkReport(1, 9, 1, n, 1 << 16, 0.0) for n in range(count))
 
 
 def test_a_body_longer_than_any_router_says_is_not_read() -> None:
-    one = LatencyRoom(0.0, 0, 1, ["a", "b"], [0, 1], random.Random(1))
+    one = ZoneLatencyProtocol(0.0, 0, 1, ["a", "b"], [0, 1], random.Random(1))
     one.on_message(0.0, Received(1, 9, encode(reports(200), 3696)[0]))
     assert one.unusable == 1 and len(one.table) == 0
-    one.on_message(0.0, Received(1, 9, encode(reports(200), MOST_BODY)[0]))
+    one.on_message(0.0, Received(1, 9, encode(reports(200), MAX_BODY_BYTES)[0]))
     assert one.unusable == 1 and len(one.table) == 1
     other = RegionsRoom(0.0, 0, 1, known := Regions({}), ["a"], [0, 0], [], random.Random(1))
     words = [regions.Report(1, 9, 0, n, bytes(4), 0.0) for n in range(200)]
@@ -195,7 +195,7 @@
 
 
 def test_a_router_alone_does_not_wake_without_end() -> None:
-    room = LatencyRoom(5.0, 0, 1, ["a"], [0], random.Random(1))
+    room = ZoneLatencyProtocol(5.0, 0, 1, ["a"], [0], random.Random(1))
     room.on_timer(5.0)
     assert room.next_timer_at() > 5.0
 
--- a/tests/peers/zone_latency/fleet.py
+++ b/tests/peers/zone_latency/fleet.py
@@ -1,4 +1,4 @@
-"""Rooms and a lossy network between them, in steps of virtual time."""
+"""Zone latency protocols of several routers, and a lossy network between them, in virtual time."""
 
 from __future__ import annotations
 
@@ -6,74 +6,85 @@
 import random
 
 from ironrail.peers.messages import Received
-from ironrail.peers.zone_latency.protocol import LatencyRoom
+from ironrail.peers.zone_latency.protocol import ZoneLatencyProtocol
 
-STEP = 0.05  # seconds
-NAMES = ["a", "b", "c", "d"]
+STEP_SECONDS = 0.05
+ZONES = ["a", "b", "c", "d"]
 
 
 class Fleet:
-    """Each router takes a round trip to some hall every tenth of a second; a loss is known a second on."""
+    """Routers that each measure a round trip to a random zone every 0.1 s; a loss is known after 1 s."""
 
-    def __init__(self, routers: int, halls: int = 3, loss: float = 0.0, seed: int = 1) -> None:
-        self.draws, self.loss, self.now = random.Random(seed), loss, 0.0
-        self.halls = halls
-        self.hall_of = [r % halls for r in range(routers)]
-        self.starts = [1] * routers
-        self.rooms = [self.make(r) for r in range(routers)]
-        self.times: dict[tuple[int, int], float] = {}  # one way: how many times slower; infinite if cut
-        self.dead: set[int] = set()
-        self._later: list[tuple[float, int, int, int, Received | None]] = []
+    def __init__(self, routers: int, zones: int = 3, loss: float = 0.0, seed: int = 1) -> None:
+        self.rng, self.loss, self.now = random.Random(seed), loss, 0.0
+        self.num_zones = zones
+        self.router_zones = [r % zones for r in range(routers)]
+        self.incarnations = [1] * routers
+        self.protocols = [self.make(r) for r in range(routers)]
+        # latency of a link in one direction as a multiple of the normal one; infinite if cut
+        self.latency_factors: dict[tuple[int, int], float] = {}
+        self.stopped: set[int] = set()
+        self._in_flight: list[tuple[float, int, int, int, Received | None]] = []
 
-    def make(self, router: int) -> LatencyRoom:
-        draws = random.Random(f"{router} {self.draws.random()}")
-        return LatencyRoom(self.now, router, self.starts[router], NAMES[: self.halls], self.hall_of, draws)
+    def make(self, router: int) -> ZoneLatencyProtocol:
+        rng = random.Random(f"{router} {self.rng.random()}")
+        return ZoneLatencyProtocol(
+            self.now, router, self.incarnations[router], ZONES[: self.num_zones], self.router_zones, rng
+        )
 
     def restart(self, router: int) -> None:
-        self.starts[router] += 1
-        self.rooms[router] = self.make(router)
+        self.incarnations[router] += 1
+        self.protocols[router] = self.make(router)
 
-    def break_link(self, a: int, b: int, times: float, both: bool = True) -> None:
-        self.times[a, b] = times
-        if both:
-            self.times[b, a] = times
+    def break_link(self, a: int, b: int, factor: float, both_ways: bool = True) -> None:
+        self.latency_factors[a, b] = factor
+        if both_ways:
+            self.latency_factors[b, a] = factor
 
     def run(self, seconds: float) -> None:
-        for _ in range(round(seconds / STEP)):
-            self.now += STEP
-            self._arrive()
-            for r, room in enumerate(self.rooms):
-                if r in self.dead:
+        for _ in range(round(seconds / STEP_SECONDS)):
+            self.now += STEP_SECONDS
+            self._deliver()
+            for r, protocol in enumerate(self.protocols):
+                if r in self.stopped:
                     continue
-                if round(self.now / STEP + r) % 2 == 0:
-                    self._sample(r, self.draws.randrange(self.halls))
-                room.on_timer(self.now)
-                for say in room.take_outgoing():
-                    way = self.times.get((self.hall_of[r], self.hall_of[say.to]), 1.0)
-                    if way < math.inf and self.draws.random() >= self.loss:
-                        heard = Received(r, self.starts[r], say.body)
-                        self._later.append((self.now + STEP, say.to, r, 0, heard))
+                if round(self.now / STEP_SECONDS + r) % 2 == 0:
+                    self._sample(r, self.rng.randrange(self.num_zones))
+                protocol.on_timer(self.now)
+                for outgoing in protocol.take_outgoing():
+                    factor = self.latency_factors.get(
+                        (self.router_zones[r], self.router_zones[outgoing.to]), 1.0
+                    )
+                    if factor < math.inf and self.rng.random() >= self.loss:
+                        received = Received(r, self.incarnations[r], outgoing.body)
+                        self._in_flight.append((self.now + STEP_SECONDS, outgoing.to, r, 0, received))
 
-    def _sample(self, router: int, to: int) -> None:
-        hall = self.hall_of[router]
-        times = (self.times.get((hall, to), 1.0) + self.times.get((to, hall), 1.0)) / 2
-        if times == math.inf or self.draws.random() < 1.0 - (1.0 - self.loss) ** 2:
-            self._later.append((self.now + 1.0, router, router, to, None))
+    def _sample(self, router: int, to_zone: int) -> None:
+        zone = self.router_zones[router]
+        factor = (
+            self.latency_factors.get((zone, to_zone), 1.0) + self.latency_factors.get((to_zone, zone), 1.0)
+        ) / 2
+        if factor == math.inf or self.rng.random() < 1.0 - (1.0 - self.loss) ** 2:
+            self._in_flight.append((self.now + 1.0, router, router, to_zone, None))
         else:
-            near = 0.0003 if to == hall else 0.01
-            self.rooms[router].observe(self.now, to, near * times * self.draws.uniform(0.9, 1.2))
+            round_trip = 0.0003 if to_zone == zone else 0.01
+            self.protocols[router].record_round_trip(
+                self.now, to_zone, round_trip * factor * self.rng.uniform(0.9, 1.2)
+            )
 
-    def _arrive(self) -> None:
-        due = [later for later in self._later if later[0] <= self.now]
-        self._later = [later for later in self._later if later[0] > self.now]
-        for _, to, _, hall, heard in due:
-            if heard is None:
-                self.rooms[to].lost(self.now, hall)
+    def _deliver(self) -> None:
+        due = [item for item in self._in_flight if item[0] <= self.now]
+        self._in_flight = [item for item in self._in_flight if item[0] > self.now]
+        for _, to, _, zone, received in due:
+            if received is None:
+                self.protocols[to].record_loss(self.now, zone)
             else:
-                self.rooms[to].on_message(self.now, heard)
+                self.protocols[to].on_message(self.now, received)
 
     def states(self, a: int, b: int) -> list[int]:
-        """What each router's map says of a link."""
+        """Return the state of a link as each running router estimates it."""
         return [
-            room.estimate(self.now, a, b).state for r, room in enumerate(self.rooms) if r not in self.dead
+            protocol.estimate(self.now, a, b).state
+            for r, protocol in enumerate(self.protocols)
+            if r not in self.stopped
         ]
--- a/tests/peers/zone_latency/test_report_table.py
+++ b/tests/peers/zone_latency/test_report_table.py
@@ -1,4 +1,4 @@
-"""The laws of the map: order, repeats and loss don't matter, and no evidence counts twice."""
+"""Merging of reports: order, repetition and loss don't matter, and no reporter counts twice."""
 
 import itertools
 import random
@@ -7,17 +7,37 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from ironrail.peers.zone_latency.reports import MOST_BODY, Report, ReportError, decode, encode, pack, unpack
-from ironrail.peers.zone_latency.link_tracker import Link
-from ironrail.peers.zone_latency.report_table import EXPIRED, NOTHING, STALE, WITNESSES, Change, Table, rank
+from ironrail.peers.zone_latency.link_tracker import MeasuredLinkState
+from ironrail.peers.zone_latency.report_table import (
+    EXPIRED_REFRESHES,
+    MAX_REPORTERS,
+    STALE_REFRESHES,
+    UNKNOWN_LINK,
+    LinkReportChange,
+    LinkReportTable,
+    rank,
+)
+from ironrail.peers.zone_latency.reports import (
+    MAX_BODY_BYTES,
+    LinkReport,
+    ReportError,
+    decode,
+    encode,
+    pack_values,
+    unpack_values,
+)
 
-HALL_OF = [0] * 8 + [1]
+ROUTER_ZONES = [0] * 8 + [1]
 VALUES = st.builds(
-    pack, st.sampled_from(Link).filter(bool), st.integers(0, 63), st.integers(0, 63), st.just(0.2)
+    pack_values,
+    st.sampled_from(MeasuredLinkState).filter(bool),
+    st.integers(0, 63),
+    st.integers(0, 63),
+    st.just(0.2),
 )
 REPORTS = st.lists(
     st.builds(
-        Report,
+        LinkReport,
         st.integers(0, 8),
         st.integers(0, 2),
         st.integers(0, 1),
@@ -27,165 +47,196 @@
     ),
     max_size=30,
 )
-Words = dict[tuple[int, int], dict[int, tuple[int, int, int, float]]]
+StoredReports = dict[tuple[int, int], dict[int, tuple[int, int, int, float]]]
 
 
-def words(table: Table) -> tuple[Words, dict[int, int]]:
-    found = {
-        place: {w: (h.start, h.sequence, h.values, h.born) for w, h in link.items()}
-        for place, link in table.links.items()
+def contents(table: LinkReportTable) -> tuple[StoredReports, dict[int, int]]:
+    stored_reports = {
+        ends: {r: (s.incarnation, s.sequence, s.packed_values, s.evidence_at) for r, s in link.items()}
+        for ends, link in table.links.items()
         if link
     }
-    return found, table.starts
+    return stored_reports, table.incarnations
 
 
-def made(*parts: list[Report]) -> Table:
-    table = Table(HALL_OF, 2)
+def table_of(*parts: list[LinkReport]) -> LinkReportTable:
+    table = LinkReportTable(ROUTER_ZONES, 2)
     for report in itertools.chain(*parts):
         table.merge(200.0, report)
     return table
 
 
-def told(table: Table) -> list[Report]:
-    """All of a map, as another would hear it; starts travel only with words."""
+def reports_of(table: LinkReportTable) -> list[LinkReport]:
+    """Return all reports of a table as another router gets them; incarnations travel only with them."""
     return [
-        Report(w, h.start, to, h.sequence, h.values, 200.0 - h.born)
-        for (_, to), link in table.links.items()
-        for w, h in link.items()
+        LinkReport(r, s.incarnation, to_zone, s.sequence, s.packed_values, 200.0 - s.evidence_at)
+        for (_, to_zone), link in table.links.items()
+        for r, s in link.items()
     ]
 
 
 @given(REPORTS, st.randoms(use_true_random=False))
-def test_order_and_repeats_do_not_matter(reports: list[Report], draws: random.Random) -> None:
-    again = reports + draws.choices(reports, k=10) if reports else []
-    draws.shuffle(again)
-    assert words(made(reports)) == words(made(again))
+def test_order_and_repetition_do_not_matter(reports: list[LinkReport], draws: random.Random) -> None:
+    shuffled = reports + draws.choices(reports, k=10) if reports else []
+    draws.shuffle(shuffled)
+    assert contents(table_of(reports)) == contents(table_of(shuffled))
 
 
 @given(REPORTS, REPORTS, REPORTS)
-def test_maps_join_in_any_grouping(a: list[Report], b: list[Report], c: list[Report]) -> None:
-    left = made(told(made(told(made(a)), told(made(b)))), told(made(c)))
-    right = made(told(made(a)), told(made(told(made(c)), told(made(b)))))
-    assert words(left)[0] == words(right)[0] == words(made(a, b, c))[0]
+def test_tables_merge_in_any_grouping(
+    a: list[LinkReport], b: list[LinkReport], c: list[LinkReport]
+) -> None:
+    left = table_of(
+        reports_of(table_of(reports_of(table_of(a)), reports_of(table_of(b)))), reports_of(table_of(c))
+    )
+    right = table_of(
+        reports_of(table_of(a)), reports_of(table_of(reports_of(table_of(c)), reports_of(table_of(b))))
+    )
+    assert contents(left)[0] == contents(right)[0] == contents(table_of(a, b, c))[0]
 
 
 @given(REPORTS)
-def test_bounded_and_no_witness_counts_twice(reports: list[Report]) -> None:
-    table = made(reports, reports)
-    for (hall, to), link in table.links.items():
-        assert len(link) <= WITNESSES
-        assert table.estimate(200.0, hall, to).witnesses <= len(link)
-    told_by = {(HALL_OF[r.witness], r.to, r.witness) for r in reports}
-    assert len(table) <= len(told_by)
-
-
-def report(witness: int, code: int, state: Link = Link.WELL, age: float = 0.0, **more: int) -> Report:
-    start, sequence = more.get("start", 1), more.get("sequence", 1)
-    return Report(witness, start, 1, sequence, pack(state, code, code, 0.0), age)
+def test_the_table_is_bounded_and_no_reporter_counts_twice(reports: list[LinkReport]) -> None:
+    table = table_of(reports, reports)
+    for (from_zone, to_zone), link in table.links.items():
+        assert len(link) <= MAX_REPORTERS
+        assert table.estimate(200.0, from_zone, to_zone).num_reporters <= len(link)
+    reported = {(ROUTER_ZONES[r.reporter], r.to_zone, r.reporter) for r in reports}
+    assert len(table) <= len(reported)
+
+
+def report(
+    reporter: int,
+    bucket: int,
+    state: MeasuredLinkState = MeasuredLinkState.WELL,
+    age: float = 0.0,
+    **others: int,
+) -> LinkReport:
+    incarnation, sequence = others.get("incarnation", 1), others.get("sequence", 1)
+    return LinkReport(reporter, incarnation, 1, sequence, pack_values(state, bucket, bucket, 0.0), age)
 
 
 @given(st.lists(st.integers(0, 62), min_size=2, max_size=4), st.integers(0, 63), st.sampled_from([1, 2, 3]))
-def test_one_liar_moves_a_figure_only_among_what_others_say(honest: list[int], lie: int, state: int) -> None:
-    table = Table(HALL_OF, 2)
-    for witness, code in enumerate(honest):
-        table.merge(0.0, report(witness, code))
-    table.merge(0.0, report(7, lie, Link(state)))
-    got = table.estimate(0.0, 0, 1)
-    bounds = sorted(seconds for code in honest for seconds in (table_seconds(code),))
-    assert bounds[0] <= got.typical <= bounds[-1]
-    assert got.state is Link.WELL
-
-
-def table_seconds(code: int) -> float:
-    alone = Table(HALL_OF, 2)
-    alone.merge(0.0, report(0, code))
-    return alone.estimate(0.0, 0, 1).typical
-
-
-def test_with_two_witnesses_a_liar_hides_but_does_not_invent() -> None:
-    table = Table(HALL_OF, 2)
+def test_one_wrong_reporter_moves_a_figure_only_within_the_range_of_the_others(
+    correct: list[int], wrong: int, state: int
+) -> None:
+    table = LinkReportTable(ROUTER_ZONES, 2)
+    for reporter, bucket in enumerate(correct):
+        table.merge(0.0, report(reporter, bucket))
+    table.merge(0.0, report(7, wrong, MeasuredLinkState(state)))
+    estimate = table.estimate(0.0, 0, 1)
+    bounds = sorted(seconds for bucket in correct for seconds in (estimated_seconds(bucket),))
+    assert bounds[0] <= estimate.median <= bounds[-1]
+    assert estimate.state is MeasuredLinkState.WELL
+
+
+def estimated_seconds(bucket: int) -> float:
+    table = LinkReportTable(ROUTER_ZONES, 2)
+    table.merge(0.0, report(0, bucket))
+    return table.estimate(0.0, 0, 1).median
+
+
+def test_with_two_reporters_a_wrong_one_hides_a_fault_but_does_not_invent_one() -> None:
+    table = LinkReportTable(ROUTER_ZONES, 2)
     table.merge(0.0, report(0, 20))
-    table.merge(0.0, report(1, 60, Link.CUT))
-    assert table.estimate(0.0, 0, 1).state is Link.WELL
-    assert table.estimate(0.0, 0, 1).typical == table_seconds(20)
-    table.merge(0.0, report(0, 20, Link.CUT, sequence=2))
-    assert table.estimate(0.0, 0, 1).state is Link.CUT
-
-
-def test_a_witness_replaces_its_word_and_its_old_process_never_returns() -> None:
-    table = Table(HALL_OF, 2)
-    assert table.merge(0.0, report(0, 20, sequence=9)) is Change.RENEWED
-    assert table.merge(0.0, report(0, 21, Link.CUT, sequence=10)) is Change.STATE
-    assert table.merge(0.0, report(0, 20, sequence=9)) is Change.NONE
-    assert table.merge(0.0, report(0, 20, start=2)) is Change.STATE  # sequences begin anew
-    assert table.merge(0.0, report(0, 60, Link.CUT, sequence=99)) is Change.NONE
-    got = table.estimate(0.0, 0, 1)
-    assert (got.state, got.witnesses, got.typical) == (Link.WELL, 1, table_seconds(20))
-
-
-def test_words_of_a_replaced_process_are_not_read_even_of_links_the_new_one_is_silent_on() -> None:
-    table = Table(HALL_OF, 2)
-    table.merge(0.0, report(0, 20, Link.CUT))
-    table.merge(0.0, report(0, 20, start=2)._replace(to=0))
-    assert table.estimate(0.0, 0, 1) == NOTHING
+    table.merge(0.0, report(1, 60, MeasuredLinkState.CUT))
+    assert table.estimate(0.0, 0, 1).state is MeasuredLinkState.WELL
+    assert table.estimate(0.0, 0, 1).median == estimated_seconds(20)
+    table.merge(0.0, report(0, 20, MeasuredLinkState.CUT, sequence=2))
+    assert table.estimate(0.0, 0, 1).state is MeasuredLinkState.CUT
+
+
+def test_a_newer_report_replaces_the_old_one_and_a_replaced_process_never_returns() -> None:
+    table = LinkReportTable(ROUTER_ZONES, 2)
+    assert table.merge(0.0, report(0, 20, sequence=9)) is LinkReportChange.REFRESHED
+    assert table.merge(0.0, report(0, 21, MeasuredLinkState.CUT, sequence=10)) is LinkReportChange.STATE
+    assert table.merge(0.0, report(0, 20, sequence=9)) is LinkReportChange.NONE
+    # sequence numbers start again
+    assert table.merge(0.0, report(0, 20, incarnation=2)) is LinkReportChange.STATE
+    assert table.merge(0.0, report(0, 60, MeasuredLinkState.CUT, sequence=99)) is LinkReportChange.NONE
+    estimate = table.estimate(0.0, 0, 1)
+    assert (estimate.state, estimate.num_reporters, estimate.median) == (
+        MeasuredLinkState.WELL,
+        1,
+        estimated_seconds(20),
+    )
+
+
+def test_reports_of_a_replaced_process_are_not_used_even_on_links_without_a_new_report() -> None:
+    table = LinkReportTable(ROUTER_ZONES, 2)
+    table.merge(0.0, report(0, 20, MeasuredLinkState.CUT))
+    table.merge(0.0, report(0, 20, incarnation=2)._replace(to_zone=0))
+    assert table.estimate(0.0, 0, 1) == UNKNOWN_LINK
     assert table.report(0.0, 0, 1) is None
 
 
-def test_nothing_known_is_not_near() -> None:
-    got = Table(HALL_OF, 2).estimate(0.0, 0, 1)
-    assert got.state is Link.UNKNOWN and got.witnesses == 0
-    assert min(got.low, got.typical, got.age) == float("inf") and got.lost == 1.0
+def test_an_unknown_link_is_not_near() -> None:
+    estimate = LinkReportTable(ROUTER_ZONES, 2).estimate(0.0, 0, 1)
+    assert estimate.state is MeasuredLinkState.UNKNOWN and estimate.num_reporters == 0
+    assert (
+        min(estimate.fastest, estimate.median, estimate.age) == float("inf") and estimate.loss_ratio == 1.0
+    )
 
 
-def test_ages_travel_and_old_evidence_goes_for_good() -> None:
-    table = Table(HALL_OF, 2)
+def test_ages_travel_with_reports_and_expired_reports_do_not_return() -> None:
+    table = LinkReportTable(ROUTER_ZONES, 2)
     table.merge(100.0, report(0, 20, age=30.0))
     assert table.estimate(110.0, 0, 1).age == pytest.approx(40.0)
-    passed_on = table.report(110.03, 0, 1)
-    assert passed_on is not None
-    (heard,) = decode(encode([passed_on])[0], len(HALL_OF), 2)
-    assert 39.95 <= heard.age <= 40.03  # a hop takes off at most a step of 0.05 s, and never adds
-    assert table.merge(110.1, heard) is Change.NONE  # younger by its way: the map keeps the older
+    forwarded = table.report(110.03, 0, 1)
+    assert forwarded is not None
+    (received,) = decode(encode([forwarded])[0], len(ROUTER_ZONES), 2)
+    assert 39.95 <= received.age <= 40.03  # a hop subtracts at most one unit of 0.05 s, and never adds
+    # younger by the time on the way: the table keeps the older evidence
+    assert table.merge(110.1, received) is LinkReportChange.NONE
     assert table.estimate(110.1, 0, 1).age == pytest.approx(40.1)
-    late = 100.0 + EXPIRED * table.renewal
-    assert table.estimate(late, 0, 1) == NOTHING
-    assert table.merge(late, report(0, 20, age=EXPIRED * table.renewal + 1)) is Change.NONE
-    table.sweep(late + EXPIRED * table.renewal)
+    late = 100.0 + EXPIRED_REFRESHES * table.refresh_interval
+    assert table.estimate(late, 0, 1) == UNKNOWN_LINK
+    assert (
+        table.merge(late, report(0, 20, age=EXPIRED_REFRESHES * table.refresh_interval + 1))
+        is LinkReportChange.NONE
+    )
+    table.remove_expired(late + EXPIRED_REFRESHES * table.refresh_interval)
     assert len(table) == 0
 
 
-def test_witnesses_that_fell_silent_make_room() -> None:
-    table = Table(HALL_OF, 2)
-    for witness in range(8):
-        table.merge(0.0, report(witness, 20))
-    first = sorted(range(8), key=lambda w: rank(w, 1))[:WITNESSES]
+def test_stale_reporters_are_replaced_by_others() -> None:
+    table = LinkReportTable(ROUTER_ZONES, 2)
+    for reporter in range(8):
+        table.merge(0.0, report(reporter, 20))
+    first = sorted(range(8), key=lambda r: rank(r, 1))[:MAX_REPORTERS]
     assert set(table.links[0, 1]) == set(first)
-    late = STALE * table.renewal + 1.0
-    other = next(w for w in range(8) if w not in first)
+    late = STALE_REFRESHES * table.refresh_interval + 1.0
+    other = next(r for r in range(8) if r not in first)
     table.merge(late, report(other, 30, sequence=2))
-    assert table.estimate(late, 0, 1).typical == table_seconds(30)
+    assert table.estimate(late, 0, 1).median == estimated_seconds(30)
 
 
 @given(REPORTS)
-def test_messages_say_what_was_told(reports: list[Report]) -> None:
-    body, taken = encode(reports)
-    assert len(body) <= MOST_BODY
-    heard = decode(body, len(HALL_OF), 2)
-    assert sorted(heard) == sorted(r._replace(age=int(r.age / 0.05) * 0.05) for r in reports[:taken])
+def test_decoded_reports_equal_the_encoded_ones(reports: list[LinkReport]) -> None:
+    body, num_encoded = encode(reports)
+    assert len(body) <= MAX_BODY_BYTES
+    received = decode(body, len(ROUTER_ZONES), 2)
+    assert sorted(received) == sorted(
+        r._replace(age=int(r.age / 0.05) * 0.05) for r in reports[:num_encoded]
+    )
 
 
 @given(st.binary(max_size=40))
-def test_what_is_no_message_is_refused_whole(body: bytes) -> None:
+def test_a_malformed_message_is_rejected_as_a_whole(body: bytes) -> None:
     try:
-        found = decode(body, len(HALL_OF), 2)
+        reports = decode(body, len(ROUTER_ZONES), 2)
     except ReportError:
         return
-    for r in found:
-        assert r.witness < 9 and r.to < 2 and unpack(r.values)[0] > Link.UNKNOWN
+    for r in reports:
+        assert (
+            r.reporter < 9
+            and r.to_zone < 2
+            and unpack_values(r.packed_values)[0] > MeasuredLinkState.UNKNOWN
+        )
 
 
-def test_a_message_that_breaks_off_is_refused() -> None:
-    body, _ = encode([report(0, 20), report(0, 20)._replace(to=0)])
+def test_a_truncated_message_is_rejected() -> None:
+    body, _ = encode([report(0, 20), report(0, 20)._replace(to_zone=0)])
     for end in range(1, len(body)):
         with pytest.raises(ReportError):
-            decode(body[:end], len(HALL_OF), 2)
+            decode(body[:end], len(ROUTER_ZONES), 2)
--- a/tests/test_readers.py
+++ b/tests/test_readers.py
@@ -13,7 +13,7 @@
 
 from ironrail.diagnostics.reasons import ClientCloseReason
 from ironrail.net.peers import readers as driver
-from ironrail.net.peers.client_measurements import One
+from ironrail.net.peers.client_measurements import MeasuredClient
 from tests.peers import World, scenario
 from tests.readers_router import AWAY, HERE, ROW, Read
 
@@ -25,10 +25,10 @@
     for n in range(8):
         await world.served(client, str(n))
         (one,) = (c.reader for c in world.connections())
-        assert isinstance(one, One) and one.region == "north"
-        one.looked = 0.0
+        assert isinstance(one, MeasuredClient) and one.region == "north"
+        one.measured_at = 0.0
         world.readers._evidence.measure(world.node._client_listener)
-    assert isinstance(one, One) and 0.0 < one.rtt < 0.1  # of loopback, by the kernel
+    assert isinstance(one, MeasuredClient) and 0.0 < one.rtt < 0.1  # of loopback, by the kernel
     room, now = world.readers.room, world.node._system.now()
     for tick in range(1, 7):
         room.on_timer(now + tick)
@@ -62,7 +62,7 @@
     await world.served(stranger, "3")
     assert seen[2][0] == "" and seen[2][3:] == (True, False)
     (one,) = (c.reader for c in world.connections())
-    assert isinstance(one, One)
+    assert isinstance(one, MeasuredClient)
     one.rtt = 2.0  # as long as is wanted
     await world.served(stranger, "4")
     assert seen[3][3:] == (False, False)
--- a/tests/test_stored_forms.py
+++ b/tests/test_stored_forms.py
@@ -46,8 +46,8 @@
     "where": m.StateQuery(9),
 }
 REPORTS = [
-    latency_reports.Report(1, 1_796_020_200, 2, 300, 0x012345, 1.25),
-    latency_reports.Report(1, 1_796_020_200, 0, 7, 0x020102, 0.0),
+    latency_reports.LinkReport(1, 1_796_020_200, 2, 300, 0x012345, 1.25),
+    latency_reports.LinkReport(1, 1_796_020_200, 0, 7, 0x020102, 0.0),
 ]
 LINES = [
     AccessRecord(
--- a/tests/test_zone_latency.py
+++ b/tests/test_zone_latency.py
@@ -1,4 +1,4 @@
-"""The driver of the map: evidence from connections and datagrams on loopback, its page, and the event."""
+"""The zone latency component: evidence from connections and datagrams on loopback, its page, its event."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from ironrail.connections.upstream.pool_settings import PoolSettings
 from ironrail.net.peers.node_identity import NodeIdentity
 from ironrail.net.peers.transport import Peering, Tier
-from ironrail.net.peers.zone_latency import HallsMap
+from ironrail.net.peers.zone_latency import ZoneLatencyComponent
 from ironrail.net.protocol.meta_codec import Command, parse_fields
 from ironrail.net.system import REAL
 from ironrail.net.upstream.cache_connection import CacheConnection
@@ -23,81 +23,95 @@
 from ironrail.rehearsal.standins.listening import LOCAL, SocketListening
 from tests.peers import Peer, scenario
 
-HALLS = ("north", "south")
+ZONES = ("north", "south")
 
 
-def here(me: int) -> NodeIdentity:
-    return NodeIdentity(me, me + 1, REAL, HALLS, random.Random(me))
+def node_identity(own_index: int) -> NodeIdentity:
+    return NodeIdentity(own_index, own_index + 1, REAL, ZONES, random.Random(own_index))
 
 
 @scenario
-async def test_two_routers_know_how_far_they_are_and_tell_the_module_and_the_door(tmp_path: Path) -> None:
+async def test_two_routers_measure_their_link_for_the_policy_and_the_admin_endpoint(tmp_path: Path) -> None:
     (tmp_path / "key").write_bytes(b"a key of all routers")
-    conf = PeerSettings({1: str(tmp_path / "key")}, 1, HALLS, zone_latency_map=True)
-    taken = [socket.socket(socket.AF_INET, socket.SOCK_DGRAM) for _ in HALLS]
-    for one in taken:
+    settings = PeerSettings({1: str(tmp_path / "key")}, 1, ZONES, zone_latency_map=True)
+    sockets = [socket.socket(socket.AF_INET, socket.SOCK_DGRAM) for _ in ZONES]
+    for one in sockets:
         one.bind((LOCAL, 0))
-    addresses = tuple(one.getsockname() for one in taken)
-    for one in taken:
+    addresses = tuple(one.getsockname() for one in sockets)
+    for one in sockets:
         one.close()
-    told: dict[str, ZoneLink] = {}
-    known = asyncio.Event()
+    links: dict[str, ZoneLink] = {}
+    is_known = asyncio.Event()
 
-    def tell(event: ZoneLinksChanged) -> None:
-        told.update(event.links)
+    def on_links_changed(event: ZoneLinksChanged) -> None:
+        links.update(event.links)
         if event.links["south"].state is LinkState.GOOD:
-            known.set()
-
-    ends = []
-    for me in range(2):
-        part = HallsMap(here(me), tell if me == 0 else lambda event: None)
-        end = Peering(me, Tier(addresses[me], addresses, None), conf, me + 1, REAL, part.settled)
-        end.add(part.room)
-        for step in range(6):  # connects to caches of its own hall a moment ago: something to tell at all
-            part._map.observe(REAL.now() - 2.0 + step * 0.2, me, 0.001)
-        await end.open([1 - me])
-        ends.append((part, end))
+            is_known.set()
+
+    routers = []
+    for own_index in range(2):
+        component = ZoneLatencyComponent(
+            node_identity(own_index), on_links_changed if own_index == 0 else lambda event: None
+        )
+        peering = Peering(
+            own_index,
+            Tier(addresses[own_index], addresses, None),
+            settings,
+            own_index + 1,
+            REAL,
+            component.settled,
+        )
+        peering.add(component.room)
+        for step in range(6):  # connects to caches of its own zone, so that there is something to report
+            component._zone_latency.record_round_trip(REAL.now() - 2.0 + step * 0.2, own_index, 0.001)
+        await peering.open([1 - own_index])
+        routers.append((component, peering))
     try:
         async with asyncio.timeout(10):
-            await known.wait()
+            await is_known.wait()
     finally:
-        for _, end in ends:
-            end.close()
-    assert told["north"].state is LinkState.GOOD
-    assert 0.0 < told["south"].median < 0.05
-    page = orjson.loads(ends[0][0].pages()["/-/halls"]().body)
+        for _, peering in routers:
+            peering.close()
+    assert links["north"].state is LinkState.GOOD
+    assert 0.0 < links["south"].median < 0.05
+    page = orjson.loads(routers[0][0].pages()["/-/halls"]().body)
     assert page["hall"] == "north" and page["version"] >= 1
     north, south = page["links"]
     assert (south["hall"], south["state"], south["witnesses"]) == ("south", "good", 1)
     assert north["typical"] == pytest.approx(0.001, rel=0.1) and 0.0 <= south["age"] < 10.0
 
 
-class Noted:
-    """What the connections to a server tell of the way there."""
+class RecordingObserver:
+    """A link observer that keeps the names of the calls."""
 
     def __init__(self) -> None:
-        self.seen: list[str] = []
+        self.calls: list[str] = []
 
     def connected(self, seconds: float) -> None:
         assert 0.0 < seconds < 0.25
-        self.seen.append("connected")
+        self.calls.append("connected")
 
     def unconnected(self) -> None:
-        self.seen.append("unconnected")
+        self.calls.append("unconnected")
 
     def heard(self) -> None:
-        self.seen.append("heard")
+        self.calls.append("heard")
 
     def silent(self, seconds: float) -> None:
         assert 0.05 < seconds < 1.0
-        self.seen.append("silent")
+        self.calls.append("silent")
 
 
-async def asked(port: int, noted: Noted, wait: float) -> AttemptStatus:
-    """One read there, given up after so many seconds."""
+async def attempt_status(port: int, observer: RecordingObserver, wait: float) -> AttemptStatus:
+    """Return the outcome of one read that is given up after `wait` seconds."""
     loop = asyncio.get_running_loop()
     pool = ConnectionPool(
-        "s", (LOCAL, port), CacheConnection, PoolSettings(1, 1, 9.0), connect_timeout=0.1, link_observer=noted
+        "s",
+        (LOCAL, port),
+        CacheConnection,
+        PoolSettings(1, 1, 9.0),
+        connect_timeout=0.1,
+        link_observer=observer,
     )
     ended: asyncio.Future[AttemptStatus] = loop.create_future()
     info = b"c=read,t=x,d=900"
@@ -114,23 +128,26 @@
 
 
 @scenario
-async def test_the_way_to_a_server_is_told_by_its_connects_its_replies_and_its_silence() -> None:
-    peer, noted = await Peer().start(), Noted()
+async def test_connects_replies_and_silence_of_a_server_are_observed() -> None:
+    peer, observer = await Peer().start(), RecordingObserver()
     answering = asyncio.create_task(peer.next())
     answering.add_done_callback(lambda done: done.result().reply(b"VA 1 O1 h1\r\nv\r\n"))
-    assert await asked(peer.port, noted, 5.0) is AttemptStatus.OK
-    assert await asked(peer.port, noted, 0.1) is AttemptStatus.TIMEOUT
-    assert noted.seen == ["connected", "heard", "connected", "silent"]
+    assert await attempt_status(peer.port, observer, 5.0) is AttemptStatus.OK
+    assert await attempt_status(peer.port, observer, 0.1) is AttemptStatus.TIMEOUT
+    assert observer.calls == ["connected", "heard", "connected", "silent"]
 
 
-@pytest.mark.parametrize(("shut", "seen"), [(True, "connected"), (False, "unconnected")])
+@pytest.mark.parametrize(("is_refused", "call"), [(True, "connected"), (False, "unconnected")])
 @scenario
-async def test_a_connect_that_is_refused_was_answered_and_one_that_hangs_was_not(
-    shut: bool, seen: str
+async def test_a_refused_connect_counts_as_answered_and_one_that_hangs_does_not(
+    is_refused: bool, call: str
 ) -> None:
-    listening, noted = SocketListening(0, lambda connection, late: connection.close()), Noted()
-    listening.close() if shut else listening.hang()
-    assert await asked(listening.port, noted, 5.0) is AttemptStatus.CONNECT_FAILED
-    assert noted.seen == [seen]
-    if not shut:
+    listening, observer = (
+        SocketListening(0, lambda connection, late: connection.close()),
+        RecordingObserver(),
+    )
+    listening.close() if is_refused else listening.hang()
+    assert await attempt_status(listening.port, observer, 5.0) is AttemptStatus.CONNECT_FAILED
+    assert observer.calls == [call]
+    if not is_refused:
         listening.close()
