--- a/benchmarks/halls_evidence.py
+++ b/benchmarks/zone_answer_times.py
@@ -1,4 +1,4 @@
-"""What times of caches' answers would tell of the way to their hall: `python benchmarks/halls_evidence.py`.
+"""What times of caches' answers would tell of the way to their hall: `python benchmarks/zone_answer_times.py`.
 
 One router, three halls (its own, 20 ms and 100 ms there and back), 20 answers a second of each, work as in
 the kit (110 ms, spread 0.8; a hint of it that is off by 0.3). Ten minutes of calm in which one far hall is
--- a/benchmarks/halls_figures.py
+++ b/benchmarks/zone_figures.py
@@ -1,4 +1,4 @@
-"""What `halls_worlds.py` counts of a run, and how it is told."""
+"""What `zone_scenarios.py` counts of a run, and how it is told."""
 
 from __future__ import annotations
 
--- a/benchmarks/halls_worlds.py
+++ b/benchmarks/zone_scenarios.py
@@ -1,6 +1,6 @@
 """Placement by the map of latency: the same worlds with the map off, on, and with the truth handed in.
 
-`python benchmarks/halls_worlds.py [--halls 3 6] [--seeds 4] [--faults calm cut slow] [--once 0.2]`
+`python benchmarks/zone_scenarios.py [--halls 3 6] [--seeds 4] [--faults calm cut slow] [--once 0.2]`
 
 From the root of the tree. Virtual time: halls 1 to 150 ms apart one way, drawn with the seed; all links of
 one are cut or ten times slower for half of the load. Half of the reads are wanted within 0.3 s, the others in
@@ -20,7 +20,7 @@
 from pathlib import Path
 from typing import Any
 
-from halls_figures import Figures, line, mean
+from zone_figures import Figures, line, mean
 
 from ironrail.operator_file import OperatorSettings, PeerSettings
 from ironrail.policy.events import LinkState, ZoneLink, ZoneLinksChanged
