--- a/benchmarks/peers_latency.py
+++ b/benchmarks/peers_latency.py
@@ -1,9 +1,9 @@
-"""Who knows of a sick link how soon: `python benchmarks/peers_latency.py PART [--routers N] [--halls N ...]`.
+"""How soon routers know of a faulty link: `python benchmarks/peers_latency.py PART [--routers N] [--halls N ...]`.
 
-Parts: `spread` (a link ten times slower or cut at 3 to 50 halls and losses of 0 to 30%, beside each router
-learning alone), `faults` (one way, partial cut, flapping, load of our own, a liar), `witnesses` (how many to
-keep), `samples` (which sample of a window to judge by), `space` (direct matrix or Vivaldi). Virtual time: the
-same figures each run; minutes of one core.
+Parts: `spread` (a link ten times slower or cut, with 3 to 50 zones and losses of 0 to 30%, beside each
+router on its own), `faults` (a cut one way, a partial cut, flapping, local load, a wrong reporter),
+`witnesses` (how many reporters to keep), `samples` (which sample of a window to use), `space` (matrix of
+links or Vivaldi coordinates). In virtual time: the same figures each run; takes minutes of one core.
 """
 
 from __future__ import annotations
@@ -18,160 +18,210 @@
 from peers_latency_fleet import Fleet, matrix
 from peers_latency_space import space
 
-from ironrail.peers.zone_latency.histogram import code_of
-from ironrail.peers.zone_latency.link_tracker import Link, Sight
-from ironrail.peers.zone_latency.report_table import Table
+from ironrail.peers.zone_latency.histogram import bucket_of
+from ironrail.peers.zone_latency.link_tracker import LinkTracker, MeasuredLinkState
+from ironrail.peers.zone_latency.report_table import LinkReportTable
 
-STEP, PATIENCE = 0.05, 30.0  # seconds
-WARM = {3: 25.0, 6: 25.0, 12: 30.0, 50: 60.0}  # seconds before anything happens
-BREAK, SLOW = math.inf, 10.0
-RATE = 24.0  # round trips a second of each router
+STEP_SECONDS, TIMEOUT_SECONDS = 0.05, 30.0
+WARM_UP_SECONDS = {3: 25.0, 6: 25.0, 12: 30.0, 50: 60.0}  # before the first fault, by number of zones
+CUT_FACTOR, SLOW_FACTOR = math.inf, 10.0
+ROUND_TRIPS_PER_SECOND = 24.0  # of each router
 
 
 def row(*cells: object) -> None:
+    """Print one row of a table."""
     print(" | ".join(f"{c:.2f}" if isinstance(c, float) else str(c) for c in cells), flush=True)
 
 
-def follow(fleet: Fleet, a: int, b: int) -> dict[str, float]:
-    """Seconds from now until routers see it, and know it."""
+def measure_detection(fleet: Fleet, a: int, b: int) -> dict[str, float]:
+    """Return the seconds from now until routers have detected a fault, and have been informed of it."""
     began, found = fleet.now, dict[str, float]()
-    routers, standing = len(fleet.rooms), fleet.hall_of.count(a)
-    while fleet.now < began + PATIENCE and not {"know99", "alone99"} <= set(found):
-        fleet.run(fleet.now + STEP)
-        see, know = fleet.see(a, b), fleet.know(a, b)
-        marks = {"first": see > 0, "alone99": see >= 0.99 * standing}
-        marks |= {"know50": know >= 0.5 * routers, "know99": know >= 0.99 * routers}
-        for name in (name for name, reached in marks.items() if reached):
+    num_routers, num_in_zone = len(fleet.protocols), fleet.router_zones.count(a)
+    while fleet.now < began + TIMEOUT_SECONDS and not {"know99", "alone99"} <= set(found):
+        fleet.run(fleet.now + STEP_SECONDS)
+        detecting, informed = fleet.num_detecting(a, b), fleet.num_informed(a, b)
+        marks = {"first": detecting > 0, "alone99": detecting >= 0.99 * num_in_zone}
+        marks |= {"know50": informed >= 0.5 * num_routers, "know99": informed >= 0.99 * num_routers}
+        for name in (name for name, is_reached in marks.items() if is_reached):
             found.setdefault(name, fleet.now - began)
     return {name: found.get(name, math.inf) for name in ("first", "know50", "know99", "alone99")}
 
 
-def broken(fleet: Fleet, a: int, b: int, times: float) -> tuple[object, ...]:
+def measure_fault(fleet: Fleet, a: int, b: int, factor: float) -> tuple[object, ...]:
+    """Return the times of detection, bytes a second of each router, and the false alarms, of one fault."""
     before, began = fleet.bytes, fleet.now
-    fleet.break_link(a, b, times)
-    found = follow(fleet, a, b)
+    fleet.break_link(a, b, factor)
+    found = measure_detection(fleet, a, b)
     fleet.run(max(fleet.now, began + 5.0))
-    price = (fleet.bytes - before) / len(fleet.rooms) / (fleet.now - began)
-    wrong = fleet.wrong({(a, b), (b, a)})
+    bytes_per_second = (fleet.bytes - before) / len(fleet.protocols) / (fleet.now - began)
+    false_alarms = fleet.num_false_alarms({(a, b), (b, a)})
     fleet.break_link(a, b, 1.0)
-    return (*found.values(), found["know99"] - found["first"], round(price), wrong)
+    return (*found.values(), found["know99"] - found["first"], round(bytes_per_second), false_alarms)
 
 
 def spread(routers: int, sizes: list[int]) -> None:
+    """Print how soon routers are informed of a fault, by number of zones and loss."""
     row(
-        "halls",
+        "zones",
         "loss",
         "fault",
-        "first sees",
-        "half know",
-        "99% know",
-        "alone 99%",
+        "first detects",
+        "half informed",
+        "99% informed",
+        "99% on their own",
         "99% - first",
         "B/s",
-        "wrong",
+        "false alarms",
     )
-    for halls in sizes:
+    for zones in sizes:
         for loss in (0.0, 0.1, 0.3):
-            fleet = Fleet(routers, halls, loss, RATE, 1)
-            fleet.run(WARM[halls])
-            for a, b, times in ((0, 1, SLOW), (1, 2, BREAK)):
-                row(halls, loss, "cut" if times == BREAK else "x10", *broken(fleet, a, b, times))
+            fleet = Fleet(routers, zones, loss, ROUND_TRIPS_PER_SECOND, 1)
+            fleet.run(WARM_UP_SECONDS[zones])
+            for a, b, factor in ((0, 1, SLOW_FACTOR), (1, 2, CUT_FACTOR)):
+                row(
+                    zones, loss, "cut" if factor == CUT_FACTOR else "x10", *measure_fault(fleet, a, b, factor)
+                )
 
 
 def witnesses(routers: int, sizes: list[int]) -> None:
-    row("halls", "witnesses", "words", "links known", "99% - first", "B/s")
-    for halls in sizes:
-        for most in (3, 5, 7):
-            Table.__init__.__defaults__ = (most,)
-            fleet = Fleet(routers, halls, 0.1, RATE, 1)
-            fleet.run(WARM[halls])
+    """Print the effect of the number of reporters that are kept for each link."""
+    row("zones", "reporters", "reports", "links known", "99% - first", "B/s")
+    for zones in sizes:
+        for max_reporters in (3, 5, 7):
+            LinkReportTable.__init__.__defaults__ = (max_reporters,)
+            fleet = Fleet(routers, zones, 0.1, ROUND_TRIPS_PER_SECOND, 1)
+            fleet.run(WARM_UP_SECONDS[zones])
             known = sum(
-                fleet.rooms[0].estimate(fleet.now, x, y).state > 0 for x in range(halls) for y in range(halls)
+                fleet.protocols[0].estimate(fleet.now, x, y).state > 0
+                for x in range(zones)
+                for y in range(zones)
+            )
+            found = measure_fault(fleet, 0, 1, SLOW_FACTOR)
+            row(
+                zones,
+                max_reporters,
+                len(fleet.protocols[0].table),
+                f"{known} of {zones**2}",
+                found[4],
+                found[5],
             )
-            found = broken(fleet, 0, 1, SLOW)
-            row(halls, most, len(fleet.rooms[0].table), f"{known} of {halls**2}", found[4], found[5])
 
 
-def changes(fleet: Fleet, a: int, b: int, seconds: float, act: Callable[[float], None]) -> tuple[int, int]:
-    """Changes of the link's state in one router's map, and tables handed out by one router of its hall."""
-    state, turns, began = fleet.rooms[-1].estimate(fleet.now, a, b).state, 0, fleet.now
-    fleet.rooms[a].facts()
-    tables = 0
+def count_changes(
+    fleet: Fleet, a: int, b: int, seconds: float, act: Callable[[float], None]
+) -> tuple[int, int]:
+    """Return the changes of a link's state at one router, and the snapshots of one router of its zone."""
+    state, num_changes, began = fleet.protocols[-1].estimate(fleet.now, a, b).state, 0, fleet.now
+    fleet.protocols[a].take_snapshot()
+    num_snapshots = 0
     while fleet.now < began + seconds:
         act(fleet.now - began)
         fleet.run(fleet.now + 0.1)
-        new = fleet.rooms[-1].estimate(fleet.now, a, b).state
-        turns, state = turns + (new is not state), new
-        tables += fleet.rooms[a].facts() is not None
-    return turns, tables
+        new = fleet.protocols[-1].estimate(fleet.now, a, b).state
+        num_changes, state = num_changes + (new is not state), new
+        num_snapshots += fleet.protocols[a].take_snapshot() is not None
+    return num_changes, num_snapshots
 
 
 def faults(routers: int, sizes: list[int]) -> None:
-    for halls in sizes:
-        fleet = Fleet(routers, halls, 0.0, RATE, 2)
-        fleet.run(WARM[halls])
-        turns, tables = changes(fleet, 0, 1, 30.0, lambda _: None)
-        row(halls, "calm 30 s: changes of state, tables", turns, tables, "wrong links", fleet.wrong(set()))
-        fleet.break_link(0, 1, BREAK, both=False)
+    """Print what the table says during several kinds of faults."""
+    for zones in sizes:
+        fleet = Fleet(routers, zones, 0.0, ROUND_TRIPS_PER_SECOND, 2)
+        fleet.run(WARM_UP_SECONDS[zones])
+        num_changes, num_snapshots = count_changes(fleet, 0, 1, 30.0, lambda _: None)
+        row(
+            zones,
+            "no fault for 30 s: changes of state, snapshots",
+            num_changes,
+            num_snapshots,
+            "false alarms",
+            fleet.num_false_alarms(set()),
+        )
+        fleet.break_link(0, 1, CUT_FACTOR, both_ways=False)
         fleet.run(fleet.now + 8.0)
-        both = fleet.rooms[2].estimate(fleet.now, 0, 1).state, fleet.rooms[2].estimate(fleet.now, 1, 0).state
-        row(halls, "one way cut 8 s: there, back, wrong", *map(str, both), fleet.wrong({(0, 1), (1, 0)}))
+        both = (
+            fleet.protocols[2].estimate(fleet.now, 0, 1).state,
+            fleet.protocols[2].estimate(fleet.now, 1, 0).state,
+        )
+        row(
+            zones,
+            "cut one way for 8 s: there, back, false alarms",
+            *map(str, both),
+            fleet.num_false_alarms({(0, 1), (1, 0)}),
+        )
         fleet.break_link(0, 1, 1.0)
         fleet.run(fleet.now + 10.0)
-        row(halls, "mended for 10 s: wrong links", fleet.wrong(set()))
-        fleet.break_link(0, 2, BREAK)
+        row(zones, "repaired for 10 s: false alarms", fleet.num_false_alarms(set()))
+        fleet.break_link(0, 2, CUT_FACTOR)
         fleet.run(fleet.now + 8.0)
-        there = [fleet.rooms[0].estimate(fleet.now, *pair).state for pair in ((0, 2), (0, 1), (1, 2))]
-        row(halls, "partial cut: A-C, A-B, B-C, wrong", *map(str, there), fleet.wrong({(0, 2), (2, 0)}))
+        states = [fleet.protocols[0].estimate(fleet.now, *pair).state for pair in ((0, 2), (0, 1), (1, 2))]
+        row(
+            zones,
+            "partial cut: A-C, A-B, B-C, false alarms",
+            *map(str, states),
+            fleet.num_false_alarms({(0, 2), (2, 0)}),
+        )
         fleet.break_link(0, 2, 1.0)
         fleet.run(fleet.now + 20.0)
 
         def flap(at: float, fleet: Fleet = fleet) -> None:
-            fleet.break_link(0, 1, BREAK if at % 4.0 < 2.0 else 1.0)
+            fleet.break_link(0, 1, CUT_FACTOR if at % 4.0 < 2.0 else 1.0)
 
-        turns, tables = changes(fleet, 0, 1, 60.0, flap)
-        row(halls, "flaps every 2 s for 60 s: changes of state, tables", turns, tables)
+        num_changes, num_snapshots = count_changes(fleet, 0, 1, 60.0, flap)
+        row(zones, "flaps every 2 s for 60 s: changes of state, snapshots", num_changes, num_snapshots)
         fleet.break_link(0, 1, 1.0)
         fleet.run(fleet.now + 70.0)
-        fleet.busy = dict.fromkeys(range(0, routers, 10), 0.3)
+        fleet.local_delays = dict.fromkeys(range(0, routers, 10), 0.3)
         fleet.run(fleet.now + 10.0)
-        own = sum(s.state > Link.WELL for r in fleet.busy for s in fleet.rooms[r].evidence.sights.values())
-        row(halls, "a tenth of routers 0.3 s late: own verdicts, links wrong", own, fleet.wrong(set()))
-        liar(routers, halls)
-
-
-def liar(routers: int, halls: int) -> None:
-    """A router that says of each link that it is cut and far: what the map says with and without it."""
+        own = sum(
+            t.state > MeasuredLinkState.WELL
+            for r in fleet.local_delays
+            for t in fleet.protocols[r].monitor.trackers.values()
+        )
+        row(
+            zones,
+            "a tenth of routers 0.3 s late: own false alarms, links with false alarms",
+            own,
+            fleet.num_false_alarms(set()),
+        )
+        wrong_reporter(routers, zones)
+
+
+def wrong_reporter(routers: int, zones: int) -> None:
+    """Print what changes if one router reports each link cut and far."""
     found = []
-    for lies in (False, True):
-        fleet = Fleet(routers, halls, 0.0, RATE, 3)
-        if lies:
-            for sight in range(halls):
-                fleet.rooms[0].evidence.sights[sight] = _Liar()
-        fleet.run(WARM[halls])
-        ends = [fleet.rooms[1].estimate(fleet.now, 0, to) for to in range(halls)]
-        found.append(ends)
-    moved = max(b.typical / a.typical for a, b in zip(*found, strict=True) if a.witnesses > 2)
-    states = sum(b.state > Link.WELL for b in found[1])
-    row(halls, "a liar: links it made sick, most that a typical moved (times)", states, moved)
+    for is_wrong in (False, True):
+        fleet = Fleet(routers, zones, 0.0, ROUND_TRIPS_PER_SECOND, 3)
+        if is_wrong:
+            for zone in range(zones):
+                fleet.protocols[0].monitor.trackers[zone] = _WrongTracker()
+        fleet.run(WARM_UP_SECONDS[zones])
+        estimates = [fleet.protocols[1].estimate(fleet.now, 0, to_zone) for to_zone in range(zones)]
+        found.append(estimates)
+    factor = max(b.median / a.median for a, b in zip(*found, strict=True) if a.num_reporters > 2)
+    num_faults = sum(b.state > MeasuredLinkState.WELL for b in found[1])
+    row(zones, "a wrong reporter: faults it invented, most that a median moved (times)", num_faults, factor)
 
 
-class _Liar(Sight):
-    """Evidence that all is cut and far, whatever comes."""
+class _WrongTracker(LinkTracker):
+    """Tracks a link as cut and far, whatever the samples."""
 
-    def close(self, now: float, own: float, deaf: bool, suspected: bool = False) -> None:
-        super().close(now, own, deaf, suspected)
-        self.state = Link.CUT
+    def close_window(
+        self, now: float, local_delay: float, is_isolated: bool, is_suspected: bool = False
+    ) -> None:
+        super().close_window(now, local_delay, is_isolated, is_suspected)
+        self.state = MeasuredLinkState.CUT
 
-    def told(self) -> tuple[int, int, float]:
-        return code_of(5.0), code_of(5.0), 1.0
+    def figures(self) -> tuple[int, int, float]:
+        return bucket_of(5.0), bucket_of(5.0), 1.0
 
 
 def samples(_: int, __: list[int]) -> None:
-    """Round trips of 10 ms of which a share waits behind work, eight a window of a tenth of a second."""
+    """Print errors by sample: round trips of 10 ms, a fraction of which waits, eight a window of 0.1 s."""
     row(
-        "share that waits", "sample", "error of the figure", "bad of 1,000 well windows", "windows to see x10"
-    )
+        "share that waits", "sample", "error of the figure", "bad of 1,000 good windows",
+        "windows to detect x10",
+    )  # fmt: skip
     picks: dict[str, Callable[[list[float]], float]] = {
         "first": lambda s: s[0],
         "mean": statistics.fmean,
@@ -181,18 +231,24 @@
     }
     for share in (0.1, 0.5, 0.8):
         for name, pick in picks.items():
-            draws = random.Random(name)
-
-            def window(times: float, share: float = share, draws: random.Random = draws) -> list[float]:
-                waits = [draws.expovariate(1 / 0.04) if draws.random() < share else 0.0 for _ in range(8)]
-                return [0.01 * times * draws.lognormvariate(0.0, 0.1) + wait for wait in waits]
-
-            well = [pick(window(1.0)) for _ in range(1000)]
-            usual = statistics.median(well)
-            bad = sum(value > 3 * usual for value in well)
-            slow = [pick(window(10.0)) > 3 * usual for _ in range(1000)]
-            seen = 3 / statistics.fmean(slow)
-            row(share, name, statistics.fmean(abs(v - 0.01) / 0.01 for v in well), bad, seen)
+            rng = random.Random(name)
+
+            def window(factor: float, share: float = share, rng: random.Random = rng) -> list[float]:
+                waits = [rng.expovariate(1 / 0.04) if rng.random() < share else 0.0 for _ in range(8)]
+                return [0.01 * factor * rng.lognormvariate(0.0, 0.1) + wait for wait in waits]
+
+            good = [pick(window(1.0)) for _ in range(1000)]
+            baseline = statistics.median(good)
+            num_bad = sum(value > 3 * baseline for value in good)
+            slow = [pick(window(10.0)) > 3 * baseline for _ in range(1000)]
+            windows_needed = 3 / statistics.fmean(slow)
+            row(
+                share,
+                name,
+                statistics.fmean(abs(v - 0.01) / 0.01 for v in good),
+                num_bad,
+                windows_needed,
+            )
 
 
 PARTS: dict[str, Callable[[int, list[int]], None]] = {
@@ -208,5 +264,5 @@
     parser.add_argument("part", choices=PARTS)
     parser.add_argument("--routers", type=int, default=200)
     parser.add_argument("--halls", type=int, nargs="+", default=[3, 6, 12, 50])
-    given = parser.parse_args()
-    sys.exit(PARTS[given.part](given.routers, given.halls))
+    arguments = parser.parse_args()
+    sys.exit(PARTS[arguments.part](arguments.routers, arguments.halls))
--- a/benchmarks/peers_latency_fleet.py
+++ b/benchmarks/peers_latency_fleet.py
@@ -1,8 +1,7 @@
-"""Routers of several halls in seeded virtual time, with what `peers_latency.py` does to the links.
+"""Routers of several zones in seeded virtual time, with the link faults that `peers_latency.py` needs.
 
-Evidence is what the daemon would have anyway: `rate` round trips a second of each router, to halls drawn
-evenly. A round trip takes the link's time, a tenth of spread, and every twentieth waits besides; what is lost
-is known after a second.
+Evidence is what the daemon has anyway: `rate` round trips a second of each router, to random zones. A round
+trip takes the link's time with a spread of 10%, and every twentieth also waits; a loss is known after 1 s.
 """
 
 from __future__ import annotations
@@ -15,113 +14,139 @@
 from collections.abc import Callable
 
 from ironrail.peers.messages import Received
-from ironrail.peers.zone_latency.protocol import LatencyRoom
-from ironrail.peers.zone_latency.link_tracker import Link
-from ironrail.peers.zone_latency.gossip_scheduler import OVERHEAD
-
-GIVEN_UP = 1.0  # seconds until a round trip counts as lost
-NEAR = 0.0003  # seconds of a round trip within a hall
-
-
-def matrix(halls: int, draws: random.Random, detours: float = 0.2) -> list[list[float]]:
-    """Round trips in seconds: halls in a plane of 40 ms, and a share of links that go a long way round."""
-    places = [(draws.random(), draws.random(), draws.uniform(0.0, 0.002)) for _ in range(halls)]
-    out = [[NEAR] * halls for _ in range(halls)]
-    for a, b in itertools.combinations(range(halls), 2):
-        (x, y, up), (x2, y2, up2) = places[a], places[b]
-        time = 0.001 + 0.04 * math.hypot(x - x2, y - y2) + up + up2
-        out[a][b] = out[b][a] = time * (draws.uniform(1.5, 4.0) if draws.random() < detours else 1.0)
+from ironrail.peers.zone_latency.gossip_scheduler import OVERHEAD_BYTES
+from ironrail.peers.zone_latency.link_tracker import MeasuredLinkState
+from ironrail.peers.zone_latency.protocol import ZoneLatencyProtocol
+
+LOSS_TIMEOUT_SECONDS = 1.0  # until a round trip counts as lost
+LOCAL_ROUND_TRIP_SECONDS = 0.0003  # within a zone
+
+
+def matrix(zones: int, rng: random.Random, detours: float = 0.2) -> list[list[float]]:
+    """Return round trips in seconds: zones in a plane of 40 ms, and a fraction of links with detours."""
+    places = [(rng.random(), rng.random(), rng.uniform(0.0, 0.002)) for _ in range(zones)]
+    out = [[LOCAL_ROUND_TRIP_SECONDS] * zones for _ in range(zones)]
+    for a, b in itertools.combinations(range(zones), 2):
+        (x, y, access), (x2, y2, access2) = places[a], places[b]
+        time = 0.001 + 0.04 * math.hypot(x - x2, y - y2) + access + access2
+        out[a][b] = out[b][a] = time * (rng.uniform(1.5, 4.0) if rng.random() < detours else 1.0)
     return out
 
 
 class Fleet:
-    """The rooms and the network between them."""
-
-    def __init__(self, routers: int, halls: int, loss: float, rate: float, seed: int) -> None:
-        self.draws = random.Random(f"{seed} {routers} {halls} {loss}")
+    """The protocols of all routers and the network between them."""
+
+    def __init__(self, routers: int, zones: int, loss: float, rate: float, seed: int) -> None:
+        """Initialize a fleet without faults.
+
+        Args:
+            routers: Number of routers.
+            zones: Number of zones.
+            loss: Fraction of datagrams that are lost.
+            rate: Round trips a second that each router measures.
+            seed: Of everything that is random.
+        """
+        self.rng = random.Random(f"{seed} {routers} {zones} {loss}")
         self.now, self.loss, self.rate = 0.0, loss, rate
-        self.hall_of = [r % halls for r in range(routers)]
-        self.names = [f"h{h}" for h in range(halls)]
-        self.base = matrix(halls, self.draws)
-        self.slower: dict[tuple[int, int], float] = {}  # one way: times; infinite if cut
-        self.busy: dict[int, float] = {}  # routers that all of it waits in, seconds
+        self.router_zones = [r % zones for r in range(routers)]
+        self.zones = [f"h{z}" for z in range(zones)]
+        self.round_trips = matrix(zones, self.rng)
+        # latency of a link in one direction as a multiple of the normal one; infinite if cut
+        self.latency_factors: dict[tuple[int, int], float] = {}
+        self.local_delays: dict[int, float] = {}  # seconds by which a router delays all of its samples
         self.bytes = self.messages = 0
-        self.rooms = [self.make(r, 1) for r in range(routers)]
+        self.protocols = [self.make(r, 1) for r in range(routers)]
         self._queue: list[tuple[float, int, Callable[[], None]]] = []
         self._count = itertools.count()
         for r in range(routers):
-            self.at(self.draws.random() * 0.2, functools.partial(self._wake, r))
-            self.at(self.draws.expovariate(rate), functools.partial(self._sample, r))
+            self.at(self.rng.random() * 0.2, functools.partial(self._wake, r))
+            self.at(self.rng.expovariate(rate), functools.partial(self._sample, r))
 
-    def make(self, router: int, start: int) -> LatencyRoom:
-        draws = random.Random(f"{router} {start} {self.draws.random()}")
-        return LatencyRoom(self.now, router, start, self.names, self.hall_of, draws)
+    def make(self, router: int, incarnation: int) -> ZoneLatencyProtocol:
+        """Return the protocol of a router."""
+        rng = random.Random(f"{router} {incarnation} {self.rng.random()}")
+        return ZoneLatencyProtocol(self.now, router, incarnation, self.zones, self.router_zones, rng)
 
     def at(self, time: float, call: Callable[[], None]) -> None:
+        """Schedule a call."""
         heapq.heappush(self._queue, (time, next(self._count), call))
 
     def run(self, until: float) -> None:
+        """Run until this time."""
         while self._queue and self._queue[0][0] <= until:
             self.now, _, call = heapq.heappop(self._queue)
             call()
         self.now = until
 
-    def way(self, a: int, b: int) -> float:
-        """Seconds one way, infinite if nothing comes through."""
-        return self.base[a][b] / 2 * self.slower.get((a, b), 1.0)
+    def one_way(self, a: int, b: int) -> float:
+        """Return the seconds one way, infinite if the link is cut."""
+        return self.round_trips[a][b] / 2 * self.latency_factors.get((a, b), 1.0)
 
     def _wake(self, router: int) -> None:
-        room = self.rooms[router]
-        room.on_timer(self.now)
-        for say in room.take_outgoing():
-            self.bytes += len(say.body) + OVERHEAD
+        protocol = self.protocols[router]
+        protocol.on_timer(self.now)
+        for outgoing in protocol.take_outgoing():
+            self.bytes += len(outgoing.body) + OVERHEAD_BYTES
             self.messages += 1
-            way = self.way(self.hall_of[router], self.hall_of[say.to])
-            if way < math.inf and self.draws.random() >= self.loss:
-                call = functools.partial(self._hear, say.to, Received(router, 1, say.body))
-                self.at(self.now + way * self.draws.uniform(1.0, 1.3), call)
-        self.at(max(self.now + 0.001, room.next_timer_at()), lambda: self._wake(router))
+            one_way = self.one_way(self.router_zones[router], self.router_zones[outgoing.to])
+            if one_way < math.inf and self.rng.random() >= self.loss:
+                call = functools.partial(self._receive, outgoing.to, Received(router, 1, outgoing.body))
+                self.at(self.now + one_way * self.rng.uniform(1.0, 1.3), call)
+        self.at(max(self.now + 0.001, protocol.next_timer_at()), lambda: self._wake(router))
 
-    def _hear(self, router: int, heard: Received) -> None:
-        self.rooms[router].on_message(self.now, heard)
+    def _receive(self, router: int, received: Received) -> None:
+        self.protocols[router].on_message(self.now, received)
 
     def _sample(self, router: int) -> None:
-        hall, to = self.hall_of[router], self.draws.randrange(len(self.names))
-        trip = self.way(hall, to) + self.way(to, hall)
-        lost = trip == math.inf or self.draws.random() < 1.0 - (1.0 - self.loss) ** 2
-        trip *= self.draws.lognormvariate(0.0, 0.1)
-        if self.draws.random() < 0.05:
-            trip += self.draws.expovariate(1 / 0.01)
-        trip += self.busy.get(router, 0.0) * self.draws.uniform(0.8, 1.2)
-        if lost:
-            self.at(self.now + GIVEN_UP, lambda: self.rooms[router].lost(self.now, to))
+        zone, to_zone = self.router_zones[router], self.rng.randrange(len(self.zones))
+        round_trip = self.one_way(zone, to_zone) + self.one_way(to_zone, zone)
+        is_lost = round_trip == math.inf or self.rng.random() < 1.0 - (1.0 - self.loss) ** 2
+        round_trip *= self.rng.lognormvariate(0.0, 0.1)
+        if self.rng.random() < 0.05:
+            round_trip += self.rng.expovariate(1 / 0.01)
+        round_trip += self.local_delays.get(router, 0.0) * self.rng.uniform(0.8, 1.2)
+        if is_lost:
+            self.at(
+                self.now + LOSS_TIMEOUT_SECONDS,
+                lambda: self.protocols[router].record_loss(self.now, to_zone),
+            )
         else:
-            self.at(self.now + trip, lambda: self.rooms[router].observe(self.now, to, trip))
-        self.at(self.now + self.draws.expovariate(self.rate), lambda: self._sample(router))
-
-    def break_link(self, a: int, b: int, times: float, both: bool = True) -> None:
-        self.slower[a, b] = times
-        if both:
-            self.slower[b, a] = times
-
-    def know(self, hall: int, to: int) -> int:
-        """Routers whose map says that the link is slow or cut."""
-        return sum(room.estimate(self.now, hall, to).state > Link.WELL for room in self.rooms)
+            self.at(
+                self.now + round_trip,
+                lambda: self.protocols[router].record_round_trip(self.now, to_zone, round_trip),
+            )
+        self.at(self.now + self.rng.expovariate(self.rate), lambda: self._sample(router))
+
+    def break_link(self, a: int, b: int, factor: float, both_ways: bool = True) -> None:
+        """Multiply the latency of a link; infinite to cut it, 1 to repair it."""
+        self.latency_factors[a, b] = factor
+        if both_ways:
+            self.latency_factors[b, a] = factor
+
+    def num_informed(self, from_zone: int, to_zone: int) -> int:
+        """Return the number of routers whose table says that the link is slow or cut."""
+        return sum(
+            protocol.estimate(self.now, from_zone, to_zone).state > MeasuredLinkState.WELL
+            for protocol in self.protocols
+        )
 
-    def see(self, hall: int, to: int) -> int:
-        """Routers in the hall that would say so by what they saw themselves."""
+    def num_detecting(self, zone: int, to_zone: int) -> int:
+        """Return the number of routers in a zone that have measured that the link is slow or cut."""
         return sum(
-            room.evidence.state(to) > Link.WELL
-            for r, room in enumerate(self.rooms)
-            if self.hall_of[r] == hall
+            protocol.monitor.state(to_zone) > MeasuredLinkState.WELL
+            for r, protocol in enumerate(self.protocols)
+            if self.router_zones[r] == zone
         )
 
-    def wrong(self, true: set[tuple[int, int]]) -> int:
-        """Links that some router's map calls slow or cut, and aren't."""
-        halls = range(len(self.names))
+    def num_false_alarms(self, faulty: set[tuple[int, int]]) -> int:
+        """Return the number of links that some router's table calls slow or cut without a fault."""
+        zones = range(len(self.zones))
         return sum(
-            any(room.estimate(self.now, a, b).state > Link.WELL for room in self.rooms[::20])
-            for a in halls
-            for b in halls
-            if (a, b) not in true
+            any(
+                protocol.estimate(self.now, a, b).state > MeasuredLinkState.WELL
+                for protocol in self.protocols[::20]
+            )
+            for a in zones
+            for b in zones
+            if (a, b) not in faulty
         )
--- a/benchmarks/zone_answer_times.py
+++ b/benchmarks/zone_answer_times.py
@@ -1,8 +1,9 @@
-"""What times of caches' answers would tell of the way to their hall: `python benchmarks/zone_answer_times.py`.
+"""What the response times of caches show of the link to their zone: `python benchmarks/zone_answer_times.py`.
 
-One router, three halls (its own, 20 ms and 100 ms there and back), 20 answers a second of each, work as in
-the kit (110 ms, spread 0.8; a hint of it that is off by 0.3). Ten minutes of calm in which one far hall is
-crowded for 10 s (its work takes four times as long), then its link ten times slower for 10 s. Pure, seeded.
+One router and three zones (its own, and two with round trips of 20 ms and 100 ms), 20 answers a second from
+each. The caches' work is as in the rehearsal kit (110 ms, spread 0.8), and answers carry a hint of it with
+an error of 0.3. In ten minutes without a fault, the caches of one zone are overloaded for 10 s (their work
+takes four times as long); then the link to that zone is ten times slower for 10 s. Seeded, without I/O.
 """
 
 from __future__ import annotations
@@ -11,57 +12,65 @@
 import random
 from collections.abc import Callable
 
-from ironrail.peers.zone_latency.link_monitor import Evidence
-from ironrail.peers.zone_latency.link_tracker import Link
+from ironrail.peers.zone_latency.link_monitor import LinkMonitor
+from ironrail.peers.zone_latency.link_tracker import MeasuredLinkState
 
-TRIPS = (0.0006, 0.02, 0.1)
-EACH, WORK, SPREAD, HINT = 20.0, 0.11, 0.8, 0.3
-CROWDED, SLOWER, END = (300.0, 310.0), (600.0, 610.0), 610.0
-Made = Callable[[float, float, float], float]  # from way, work and hint
+ROUND_TRIPS_SECONDS = (0.0006, 0.02, 0.1)  # by zone
+ANSWERS_PER_SECOND, WORK_SECONDS, WORK_SPREAD, HINT_ERROR = 20.0, 0.11, 0.8, 0.3
+OVERLOADED, SLOW_SINCE, END_SECONDS = (300.0, 310.0), (600.0, 610.0), 610.0  # seconds
+Sample = Callable[[float, float, float], float]  # from round trip, work and hint
 
 
-def lognormal(draws: random.Random, mean: float, spread: float) -> float:
+def lognormal(rng: random.Random, mean: float, spread: float) -> float:
+    """Return a log-normal sample of this mean; `spread` is the standard deviation over the mean."""
     sigma = math.sqrt(math.log(1 + spread * spread))
-    return mean * math.exp(draws.gauss(-sigma * sigma / 2, sigma))
+    return mean * math.exp(rng.gauss(-sigma * sigma / 2, sigma))
 
 
-def play(made: Made, hit: int, seed: int = 1) -> tuple[list[str], float, float]:
-    """Typical times told in calm, seconds that it was called ill then, and from the fault to slow."""
-    draws, evidence = random.Random(seed), Evidence(0)
-    now, ill, found, told = 0.0, 0.0, math.inf, ["", "", ""]
-    while now < END:
-        step = draws.expovariate(EACH * len(TRIPS))
+def play(sample: Sample, faulty_zone: int, seed: int = 1) -> tuple[list[str], float, float]:
+    """Return the baselines without a fault, seconds of false alarm, and seconds from fault to detection."""
+    rng, monitor = random.Random(seed), LinkMonitor(0)
+    now, alarm_seconds, detected_after, baselines = 0.0, 0.0, math.inf, ["", "", ""]
+    while now < END_SECONDS:
+        step = rng.expovariate(ANSWERS_PER_SECOND * len(ROUND_TRIPS_SECONDS))
         now += step
-        hall = draws.randrange(len(TRIPS))
-        crowd = 4.0 if hall == hit and CROWDED[0] <= now < CROWDED[1] else 1.0
-        way = TRIPS[hall] * (10.0 if hall == hit and now >= SLOWER[0] else 1.0)
-        work = lognormal(draws, WORK, SPREAD)
-        evidence.observe(
-            now, hall, max(50e-6, made(way, work * crowd, work * draws.lognormvariate(0.0, HINT)))
+        zone = rng.randrange(len(ROUND_TRIPS_SECONDS))
+        overload = 4.0 if zone == faulty_zone and OVERLOADED[0] <= now < OVERLOADED[1] else 1.0
+        round_trip = ROUND_TRIPS_SECONDS[zone] * (
+            10.0 if zone == faulty_zone and now >= SLOW_SINCE[0] else 1.0
         )
-        evidence.close_due(now)
-        state = evidence.state(hit)
-        if now < SLOWER[0]:
-            ill += step * (state is not Link.WELL and now > 5.0)
-            if now > 250.0 and not told[0]:
-                told = [f"{evidence.sights[h].usual:.4f}" for h in range(len(TRIPS))]
-        elif state is not Link.WELL:
-            found = min(found, now - SLOWER[0])
-    return told, ill, found
+        work = lognormal(rng, WORK_SECONDS, WORK_SPREAD)
+        monitor.record_round_trip(
+            now,
+            zone,
+            max(50e-6, sample(round_trip, work * overload, work * rng.lognormvariate(0.0, HINT_ERROR))),
+        )
+        monitor.close_due_windows(now)
+        state = monitor.state(faulty_zone)
+        if now < SLOW_SINCE[0]:
+            alarm_seconds += step * (state is not MeasuredLinkState.WELL and now > 5.0)
+            if now > 250.0 and not baselines[0]:
+                baselines = [
+                    f"{monitor.trackers[z].baseline:.4f}" for z in range(len(ROUND_TRIPS_SECONDS))
+                ]
+        elif state is not MeasuredLinkState.WELL:
+            detected_after = min(detected_after, now - SLOW_SINCE[0])
+    return baselines, alarm_seconds, detected_after
 
 
 def main() -> None:
-    ways: dict[str, Made] = {
-        "the way alone": lambda way, work, hint: way,
-        "the answer as it came": lambda way, work, hint: way + work,
-        "less the hint of its work": lambda way, work, hint: way + work - hint,
+    """Print the result of each kind of sample for each of the far zones."""
+    samples: dict[str, Sample] = {
+        "the round trip alone": lambda round_trip, work, hint: round_trip,
+        "the whole response time": lambda round_trip, work, hint: round_trip + work,
+        "less the hint of its work": lambda round_trip, work, hint: round_trip + work - hint,
     }
-    for name, made in ways.items():
-        for hit in (1, 2):
-            told, ill, found = play(made, hit)
+    for name, sample in samples.items():
+        for faulty_zone in (1, 2):
+            baselines, alarm_seconds, detected_after = play(sample, faulty_zone)
             print(
-                f"{name:26s} true {TRIPS} told {told};",
-                f"hall {hit}: ill {ill:5.1f} s in calm, slow after {found:.2f} s",
+                f"{name:26s} true {ROUND_TRIPS_SECONDS} baseline {baselines};",
+                f"zone {faulty_zone}: {alarm_seconds:5.1f} s of false alarm, slow after {detected_after:.2f} s",
             )
 
 
--- a/benchmarks/zone_figures.py
+++ b/benchmarks/zone_figures.py
@@ -1,4 +1,4 @@
-"""What `zone_scenarios.py` counts of a run, and how it is told."""
+"""Figures of one run of `zone_scenarios.py`, and how they are printed."""
 
 from __future__ import annotations
 
@@ -11,44 +11,58 @@
 
 @dataclass(frozen=True, slots=True)
 class Figures:
-    """What came of one run."""
+    """Figures of one run.
 
-    worth: float  # share served in time
-    late: float  # seconds, the 99th percentile of reads that were served, of the worse class
-    hits: float  # share of reads at caches
-    fetches: int  # at the archive
-    crossing: int  # attempts at caches of other halls
+    Attributes:
+        in_time_ratio: Fraction served in time, weighted by worth.
+        p99_seconds: 99th percentile of the latency of served reads, of the slower class.
+        hit_ratio: Of reads at caches.
+        origin_fetches: Reads at the origin.
+        cross_zone_attempts: Attempts at caches of other zones.
+    """
+
+    in_time_ratio: float
+    p99_seconds: float
+    hit_ratio: float
+    origin_fetches: int
+    cross_zone_attempts: int
 
     @classmethod
     def of(cls, result: Result) -> Figures:
-        there = [
+        """Return the figures of a run."""
+        attempts = [
             a
             for one in result.record.tries.values()
             if one.planned.at >= 0
             for a in one.attempts
             if not a.archive
         ]
-        hits, misses = (sum(a.ended is e for a in there) for e in (Ended.SERVED, Ended.MISS))
-        halls = result.scenario
+        hits, misses = (sum(a.ended is e for a in attempts) for e in (Ended.SERVED, Ended.MISS))
+        scenario = result.scenario
 
-        def hall(name: str) -> str:
-            return hall_of(halls, int(name.rpartition("-")[2]) - 1)
+        def zone_of(name: str) -> str:
+            return hall_of(scenario, int(name.rpartition("-")[2]) - 1)
 
         return cls(
             result.service.whole.share,
             max(result.service.latencies[kind][0.99] for kind in ("grid-read", "quick-read")),
             hits / max(1, hits + misses),
             sum(at >= 0 for at in result.record.archive_fetches),
-            sum(hall(a.router) != hall(a.server) for a in there),
+            sum(zone_of(a.router) != zone_of(a.server) for a in attempts),
         )
 
 
 def line(name: str, figures: Figures) -> str:
+    """Return a line of the printed table."""
     f = figures
-    return f"{name:24s} {f.worth:.4f} {f.late:6.3f} s  {f.hits:.4f} {f.fetches:6.0f} {f.crossing:7.0f}"
+    return (
+        f"{name:24s} {f.in_time_ratio:.4f} {f.p99_seconds:6.3f} s  {f.hit_ratio:.4f}"
+        f" {f.origin_fetches:6.0f} {f.cross_zone_attempts:7.0f}"
+    )
 
 
 def mean(all_of: list[Figures]) -> Figures:
+    """Return the mean of each figure."""
     n = len(all_of)
     sums = [sum(getattr(f, field) for f in all_of) / n for field in Figures.__slots__]
     return Figures(*sums)
--- a/benchmarks/zone_scenarios.py
+++ b/benchmarks/zone_scenarios.py
@@ -1,11 +1,12 @@
-"""Placement by the map of latency: the same worlds with the map off, on, and with the truth handed in.
+"""Server selection by zone latency: the same scenarios without it, with it, and with the true latencies.
 
 `python benchmarks/zone_scenarios.py [--halls 3 6] [--seeds 4] [--faults calm cut slow] [--once 0.2]`
 
-From the root of the tree. Virtual time: halls 1 to 150 ms apart one way, drawn with the seed; all links of
-one are cut or ten times slower for half of the load. Half of the reads are wanted within 0.3 s, the others in
-0.8 s, and the archive bears about three times what it is asked for in calm worlds. `--once`: share of reads
-that are never to be repeated, as those of a client that pays for each. Prints each world and the means.
+Run from the repository root; in virtual time. Zones are 1 to 150 ms apart one way, drawn from the seed; all
+links of one zone are cut or ten times slower for half of the load. Half of the reads have a latency objective
+of 0.3 s, the others of 0.8 s, and the origin's capacity is about three times its load without a fault.
+`--once` is the fraction of reads that are never retried, as those of a client that pays for each. Prints each
+run and the means.
 """
 
 from __future__ import annotations
@@ -33,18 +34,19 @@
 from ironrail.rehearsal.standins.lanes import Way
 from ironrail.rehearsal.virtual.play import play_virtual
 
-LENGTH, AT, LASTS = 24.0, 6.0, 12.0  # seconds of load, and of the fault in it
-WARM_UP = 12.0  # seconds, in which caches fill and the map learns what is usual
-ROUTERS, CACHES, RATE = 2, 2, 36.0  # of a hall
-NEAR, FAR = 0.001, 0.150  # seconds one way
-TIMES = 10.0
-OWN = 0.0006  # seconds there and back within a hall, as the virtual network has it
+LENGTH_SECONDS, FAULT_AT_SECONDS, FAULT_SECONDS = 24.0, 6.0, 12.0  # the load, and the fault in it
+WARM_UP_SECONDS = 12.0  # in which caches fill and baselines are measured
+NUM_ROUTERS, NUM_CACHES, REQUESTS_PER_SECOND = 2, 2, 36.0  # of a zone
+MIN_ONE_WAY_SECONDS, MAX_ONE_WAY_SECONDS = 0.001, 0.150  # between zones
+SLOW_FACTOR = 10.0
+LOCAL_ROUND_TRIP_SECONDS = 0.0006  # within a zone, as the virtual network has it
 MODES = ("off", "on", "truth")
 
 Matrix = dict[tuple[str, str], float]  # seconds one way, both orders
 
 
-def scenario(halls: int, once: float) -> Scenario:
+def scenario(num_zones: int, once: float) -> Scenario:
+    """Return the scenario; `once` is the fraction of reads that are never retried."""
     paid = {
         "name": "paid-read",
         "share": once,
@@ -56,13 +58,13 @@
     return Scenario.model_validate(
         {
             "summary": "halls",
-            "length": f"{LENGTH} s",
-            "warm_up": f"{WARM_UP} s",
-            "load": {"rate": RATE * halls},
-            "halls": {"names": [f"hall-{n + 1}" for n in range(halls)], "between": "0 ms"},
-            "routers": {"count": ROUTERS * halls},
-            "caches": {"count": CACHES * halls, "cores": 4},
-            "archive": {"concurrency": 3 * halls},
+            "length": f"{LENGTH_SECONDS} s",
+            "warm_up": f"{WARM_UP_SECONDS} s",
+            "load": {"rate": REQUESTS_PER_SECOND * num_zones},
+            "halls": {"names": [f"hall-{n + 1}" for n in range(num_zones)], "between": "0 ms"},
+            "routers": {"count": NUM_ROUTERS * num_zones},
+            "caches": {"count": NUM_CACHES * num_zones, "cores": 4},
+            "archive": {"concurrency": 3 * num_zones},
             "class": [
                 {"name": "grid-read", "share": 0.48 - once / 2},
                 *([paid] if once else []),
@@ -89,99 +91,130 @@
     )
 
 
-def drawn(names: list[str], seed: int) -> Matrix:
-    """Distances by logarithm: as many pairs between 1 and 12 ms as between 12 and 150."""
-    draws, matrix = random.Random(f"halls {seed}"), {}
-    for n, one in enumerate(names):
-        for other in names[:n]:
-            apart = math.exp(draws.uniform(math.log(NEAR), math.log(FAR)))
-            matrix[one, other] = matrix[other, one] = apart
+def random_matrix(zones: list[str], seed: int) -> Matrix:
+    """Return latencies that are log-uniform: as many pairs between 1 and 12 ms as between 12 and 150."""
+    rng, matrix = random.Random(f"halls {seed}"), {}
+    for n, one in enumerate(zones):
+        for other in zones[:n]:
+            latency = math.exp(rng.uniform(math.log(MIN_ONE_WAY_SECONDS), math.log(MAX_ONE_WAY_SECONDS)))
+            matrix[one, other] = matrix[other, one] = latency
     return matrix
 
 
-class World(LinkedRehearsal):
-    """Halls that are apart from the start on, and what each router is told of them."""
+class ZonesRehearsal(LinkedRehearsal):
+    """A rehearsal with latency between zones from the start, which routers may be given as it is."""
 
     def __init__(self, *args: Any, matrix: Matrix, truth: bool, **others: Any) -> None:
+        """Initialize the rehearsal.
+
+        Args:
+            *args: Of the base class.
+            matrix: Latency between zones.
+            truth: Whether routers are given the true latencies.
+            **others: Of the base class.
+        """
         super().__init__(*args, **others)
         self._matrix, self._truth = matrix, truth
 
     def _build(self, folder: Path) -> None:
         super()._build(folder)
         names = [*router_names(self._scenario), *cache_names(self._scenario)]
-        halls = {name: hall_of(self._scenario, int(name.rpartition("-")[2]) - 1) for name in names}
+        zones = {name: hall_of(self._scenario, int(name.rpartition("-")[2]) - 1) for name in names}
         for source, target, door in self._doors():
-            apart = self._matrix.get((halls.get(source, ""), halls.get(target, "")))
-            if apart is not None:
+            latency = self._matrix.get((zones.get(source, ""), zones.get(target, "")))
+            if latency is not None:
                 door.connects_wait = True
-                door.begin_delay("apart", Way.BOTH, partial(float, apart))
-        for number, ((one, other), apart) in enumerate(self._matrix.items()):
-            fault = link_fault("delay", f"{one} > {other}", 0.0, 1.0, apart)
+                door.begin_delay("apart", Way.BOTH, partial(float, latency))
+        for number, ((one, other), latency) in enumerate(self._matrix.items()):
+            fault = link_fault("delay", f"{one} > {other}", 0.0, 1.0, latency)
             self._linked.links.exchange.begin(1000 + number, fault, path_of(fault.on, self._places))
 
     async def _carry_out(self) -> None:
         if self._truth:
-            self._spawn(self._tell())
+            self._spawn(self._publish_truth())
         await super()._carry_out()
 
-    async def _tell(self) -> None:
-        """Each router is told how things are, as they change."""
-        self._tell_all(())
+    async def _publish_truth(self) -> None:
+        """Give each router the true state of its links, as faults begin and end."""
+        self._publish_links(())
         for step in self._steps:
             await asyncio.sleep(max(0.0, step.at - self._world.now()))
-            self._tell_all((step.fault,) if step.begins else ())
+            self._publish_links((step.fault,) if step.begins else ())
 
-    def _tell_all(self, faults: tuple[LinkFault, ...]) -> None:
+    def _publish_links(self, faults: tuple[LinkFault, ...]) -> None:
         for number, name in enumerate(router_names(self._scenario)):
-            own = hall_of(self._scenario, number)
-            links = {own: ZoneLink(LinkState.GOOD, OWN, OWN, 0.0, 0.0)}
+            own_zone = hall_of(self._scenario, number)
+            links = {
+                own_zone: ZoneLink(
+                    LinkState.GOOD, LOCAL_ROUND_TRIP_SECONDS, LOCAL_ROUND_TRIP_SECONDS, 0.0, 0.0
+                )
+            }
             for other in self._scenario.halls.names:
-                if other == own:
+                if other == own_zone:
                     continue
-                trip, state = 2 * self._matrix[own, other] + OWN, LinkState.GOOD
+                round_trip, state = (
+                    2 * self._matrix[own_zone, other] + LOCAL_ROUND_TRIP_SECONDS,
+                    LinkState.GOOD,
+                )
                 for fault in faults:
-                    if path_of(fault.on, self._places).covers(name, self._there(other)):
-                        cut = fault.kind == "cut"
-                        trip = math.inf if cut else trip + 2 * fault.hardness
-                        state = LinkState.CUT if cut else LinkState.SLOW
-                links[other] = ZoneLink(state, trip, trip, 0.0, 0.0)
+                    if path_of(fault.on, self._places).covers(name, self._router_in(other)):
+                        is_cut = fault.kind == "cut"
+                        round_trip = math.inf if is_cut else round_trip + 2 * fault.hardness
+                        state = LinkState.CUT if is_cut else LinkState.SLOW
+                links[other] = ZoneLink(state, round_trip, round_trip, 0.0, 0.0)
             node = self._routers[name].node  # type: ignore[attr-defined]
             node._dispatcher.guide(ZoneLinksChanged(links))
 
-    def _there(self, hall: str) -> str:
+    def _router_in(self, zone: str) -> str:
         return next(
-            n for i, n in enumerate(router_names(self._scenario)) if hall_of(self._scenario, i) == hall
+            n for i, n in enumerate(router_names(self._scenario)) if hall_of(self._scenario, i) == zone
         )
 
 
 def play(job: tuple[int, int, str, str, float]) -> Figures:
-    """One world in one mode."""
-    halls, seed, fault, mode, once = job
-    made = scenario(halls, once)
-    matrix = drawn(made.halls.names, seed)
-    hit = made.halls.names[seed % halls]
-    apart = {other: matrix[hit, other] for other in made.halls.names if other != hit}
+    """Run one scenario in one mode; `job` is zones, seed, fault, mode and fraction never retried."""
+    num_zones, seed, fault, mode, once = job
+    played_scenario = scenario(num_zones, once)
+    matrix = random_matrix(played_scenario.halls.names, seed)
+    faulty_zone = played_scenario.halls.names[seed % num_zones]
+    latencies = {
+        other: matrix[faulty_zone, other] for other in played_scenario.halls.names if other != faulty_zone
+    }
     plan = {
         "calm": [],
-        "cut": [link_fault("cut", f"{hit} <> {other}", AT, LASTS) for other in apart],
+        "cut": [
+            link_fault("cut", f"{faulty_zone} <> {other}", FAULT_AT_SECONDS, FAULT_SECONDS)
+            for other in latencies
+        ],
         "slow": [
-            link_fault("delay", f"{hit} <> {other}", AT, LASTS, (TIMES - 1) * far)
-            for other, far in apart.items()
+            link_fault(
+                "delay",
+                f"{faulty_zone} <> {other}",
+                FAULT_AT_SECONDS,
+                FAULT_SECONDS,
+                (SLOW_FACTOR - 1) * latency,
+            )
+            for other, latency in latencies.items()
         ],
     }[fault]
     with tempfile.TemporaryDirectory() as folder:
         key = Path(folder) / "key"
         key.write_text("a key of all the routers")
-        standing = tuple(hall_of(made, n) for n in range(made.routers.count))
-        peers = PeerSettings({1: str(key)}, 1, standing, zone_latency_map=True)
+        router_zones = tuple(
+            hall_of(played_scenario, n) for n in range(played_scenario.routers.count)
+        )
+        peers = PeerSettings({1: str(key)}, 1, router_zones, zone_latency_map=True)
         operator = OperatorSettings(peers=peers if mode == "on" else None)
-        rehearsal = partial(World, plan=plan, matrix=matrix, truth=mode == "truth")
-        played = play_virtual(made, seed, operator=operator, ground_of=VirtualLinks, rehearsal_of=rehearsal)
+        rehearsal = partial(ZonesRehearsal, plan=plan, matrix=matrix, truth=mode == "truth")
+        played = play_virtual(
+            played_scenario, seed, operator=operator, ground_of=VirtualLinks, rehearsal_of=rehearsal
+        )
     assert not played.faults and not played.result.broken, (job, played.faults, played.result.broken[:2])
     return Figures.of(played.result)
 
 
 def main() -> None:
+    """Run all scenarios in all modes, and print their figures."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--halls", type=int, nargs="+", default=[3, 6])
     parser.add_argument("--seeds", type=int, default=4)
@@ -192,22 +225,22 @@
     once = arguments.once
     seeds = range(arguments.seeds)
     jobs = [
-        (h, s, f, m, once) for h in arguments.halls for f in arguments.faults for s in seeds for m in MODES
+        (z, s, f, m, once) for z in arguments.halls for f in arguments.faults for s in seeds for m in MODES
     ]
     print(f"{'':24s} worth  p99       hits   fetches crossing")
     with multiprocessing.Pool(arguments.jobs, maxtasksperchild=4) as pool:
         done = dict(zip(jobs, pool.map(play, jobs, chunksize=1), strict=True))
-    for halls in arguments.halls:
+    for num_zones in arguments.halls:
         for fault in arguments.faults:
             for seed in seeds:
                 for mode in MODES:
-                    print(line(f"{halls} {fault} seed {seed} {mode}", done[halls, seed, fault, mode, once]))
-            means = {m: mean([done[halls, s, fault, m, once] for s in seeds]) for m in MODES}
+                    print(line(f"{num_zones} {fault} seed {seed} {mode}", done[num_zones, seed, fault, mode, once]))
+            means = {m: mean([done[num_zones, s, fault, m, once] for s in seeds]) for m in MODES}
             for mode in MODES:
-                print(line(f"{halls} {fault} mean {mode}", means[mode]))
-            gained = {m: means[m].worth - means["off"].worth for m in MODES}
+                print(line(f"{num_zones} {fault} mean {mode}", means[mode]))
+            gains = {m: means[m].in_time_ratio - means["off"].in_time_ratio for m in MODES}
             print(
-                f"{halls} {fault}: gained {gained['on']:+.4f}, by the truth {gained['truth']:+.4f}\n",
+                f"{num_zones} {fault}: gained {gains['on']:+.4f}, by the truth {gains['truth']:+.4f}\n",
                 flush=True,
             )
 
