--- a/benchmarks/zone_scenarios.py
+++ b/benchmarks/zone_scenarios.py
@@ -103,7 +103,7 @@
 
 
 class ZonesRehearsal(LinkedRehearsal):
-    """A rehearsal with latency between zones from the start, which routers may be told."""
+    """A rehearsal with latency between zones from the start; routers may be told the truth."""
 
     def __init__(self, *args: Any, matrix: Matrix, truth: bool, **others: Any) -> None:
         """Initialize the rehearsal.
--- a/ironrail/net/peers/zone_latency.py
+++ b/ironrail/net/peers/zone_latency.py
@@ -39,7 +39,7 @@
         self._protocol, self._zone, self._now = protocol, zone, now
 
     def connected(self, seconds: float) -> None:
-        """Record that a connect succeeded or was refused: the server's kernel answers alone."""
+        """Record a connect that was accepted or refused: the server's kernel answers it."""
         self._protocol.record_round_trip(self._now(), self._zone, seconds)
 
     def unconnected(self) -> None:
--- a/ironrail/peers/zone_latency/report_table.py
+++ b/ironrail/peers/zone_latency/report_table.py
@@ -237,7 +237,7 @@
         )
 
     def remove_expired(self, now: float) -> None:
-        """Remove expired reports. They don't return, as other routers hold them at the same age."""
+        """Remove expired reports; other routers hold them at the same age, so none returns."""
         for ends in list(self.links):
             link = self.links[ends]
             for reporter in [
--- a/ironrail/peers/zone_latency/round_trip.py
+++ b/ironrail/peers/zone_latency/round_trip.py
@@ -19,7 +19,7 @@
 FIELD_BYTES = 3  # 14 minutes of these units
 TRAILER_BYTES = 3 * FIELD_BYTES  # own number, acknowledged number, and its hold time
 MAX_HOLD_SECONDS = 5.0  # beyond it, half of the round trip is of an older state of the link
-RECENT_MESSAGE_SECONDS = 0.5  # later messages are answered first, before random peers
+RECENT_MESSAGE_SECONDS = 0.5  # messages received within it are answered first
 MAX_UNACKNOWLEDGED = 32  # sent to each router; two routers alone send 16 a second to each other
 _FIELD_BOUND = 1 << 8 * FIELD_BYTES
 
--- a/tests/peers/zone_latency/fleet.py
+++ b/tests/peers/zone_latency/fleet.py
@@ -13,7 +13,7 @@
 
 
 class Fleet:
-    """Routers that measure a round trip to a random zone every 0.1 s; a loss is known after 1 s."""
+    """Routers measuring a round trip to a random zone every 0.1 s; a loss is known after 1 s."""
 
     def __init__(self, routers: int, zones: int = 3, loss: float = 0.0, seed: int = 1) -> None:
         self.rng, self.loss, self.now = random.Random(seed), loss, 0.0
