--- a/benchmarks/peers_latency.py
+++ b/benchmarks/peers_latency.py
@@ -65,7 +65,7 @@
 def spread(routers: int, sizes: list[int]) -> None:
     """Print how soon routers are informed of a fault, by number of zones and loss."""
     row(
-        "zones",
+        "halls",
         "loss",
         "fault",
         "first detects",
@@ -74,7 +74,7 @@
         "99% on their own",
         "99% - first",
         "B/s",
-        "false alarms",
+        "wrong",
     )
     for zones in sizes:
         for loss in (0.0, 0.1, 0.3):
@@ -88,7 +88,7 @@
 
 def witnesses(routers: int, sizes: list[int]) -> None:
     """Print the effect of the number of reporters that are kept for each link."""
-    row("zones", "reporters", "reports", "links known", "99% - first", "B/s")
+    row("halls", "witnesses", "words", "links known", "99% - first", "B/s")
     for zones in sizes:
         for max_reporters in (3, 5, 7):
             LinkReportTable.__init__.__defaults__ = (max_reporters,)
@@ -245,13 +245,7 @@
             num_bad = sum(value > 3 * baseline for value in good)
             slow = [pick(window(10.0)) > 3 * baseline for _ in range(1000)]
             windows_needed = 3 / statistics.fmean(slow)
-            row(
-                share,
-                name,
-                statistics.fmean(abs(v - 0.01) / 0.01 for v in good),
-                num_bad,
-                windows_needed,
-            )
+            row(share, name, statistics.fmean(abs(v - 0.01) / 0.01 for v in good), num_bad, windows_needed)
 
 
 PARTS: dict[str, Callable[[int, list[int]], None]] = {
--- a/benchmarks/peers_latency_fleet.py
+++ b/benchmarks/peers_latency_fleet.py
@@ -108,8 +108,7 @@
         round_trip += self.local_delays.get(router, 0.0) * self.rng.uniform(0.8, 1.2)
         if is_lost:
             self.at(
-                self.now + LOSS_TIMEOUT_SECONDS,
-                lambda: self.protocols[router].record_loss(self.now, to_zone),
+                self.now + LOSS_TIMEOUT_SECONDS, lambda: self.protocols[router].record_loss(self.now, to_zone)
             )
         else:
             self.at(
--- a/benchmarks/peers_latency_space.py
+++ b/benchmarks/peers_latency_space.py
@@ -71,7 +71,7 @@
         matrix: Returns round trips for a number of zones and a fraction of links with detours.
     """
     row(
-        "zones", "links with detours", "method", "median error", "95% error", "bytes",
+        "halls", "links with detours", "way", "median error", "95% error", "bytes",
         "x10 link: predicted / true after 5 s", "after 60 s", "others off by > 50%, of 100",
     )  # fmt: skip
     for zones, detours in itertools.product(sizes, (0.0, 0.2)):
--- a/benchmarks/zone_answer_times.py
+++ b/benchmarks/zone_answer_times.py
@@ -53,9 +53,7 @@
         if now < SLOW_SINCE[0]:
             alarm_seconds += step * (state is not MeasuredLinkState.WELL and now > 5.0)
             if now > 250.0 and not baselines[0]:
-                baselines = [
-                    f"{monitor.trackers[z].baseline:.4f}" for z in range(len(ROUND_TRIPS_SECONDS))
-                ]
+                baselines = [f"{monitor.trackers[z].baseline:.4f}" for z in range(len(ROUND_TRIPS_SECONDS))]
         elif state is not MeasuredLinkState.WELL:
             detected_after = min(detected_after, now - SLOW_SINCE[0])
     return baselines, alarm_seconds, detected_after
@@ -73,7 +71,7 @@
             baselines, alarm_seconds, detected_after = play(sample, faulty_zone)
             print(
                 f"{name:26s} true {ROUND_TRIPS_SECONDS} baseline {baselines};",
-                f"zone {faulty_zone}: {alarm_seconds:5.1f} s of false alarm, slow after {detected_after:.2f} s",
+                f"zone {faulty_zone}: {alarm_seconds:5.1f} s false alarm, slow after {detected_after:.2f} s",
             )
 
 
--- a/benchmarks/zone_scenarios.py
+++ b/benchmarks/zone_scenarios.py
@@ -201,9 +201,7 @@
     with tempfile.TemporaryDirectory() as folder:
         key = Path(folder) / "key"
         key.write_text("a key of all the routers")
-        router_zones = tuple(
-            hall_of(played_scenario, n) for n in range(played_scenario.routers.count)
-        )
+        router_zones = tuple(hall_of(played_scenario, n) for n in range(played_scenario.routers.count))
         peers = PeerSettings({1: str(key)}, 1, router_zones, zone_latency_map=True)
         operator = OperatorSettings(peers=peers if mode == "on" else None)
         rehearsal = partial(ZonesRehearsal, plan=plan, matrix=matrix, truth=mode == "truth")
@@ -235,7 +233,12 @@
         for fault in arguments.faults:
             for seed in seeds:
                 for mode in MODES:
-                    print(line(f"{num_zones} {fault} seed {seed} {mode}", done[num_zones, seed, fault, mode, once]))
+                    print(
+                        line(
+                            f"{num_zones} {fault} seed {seed} {mode}",
+                            done[num_zones, seed, fault, mode, once],
+                        )
+                    )
             means = {m: mean([done[num_zones, s, fault, m, once] for s in seeds]) for m in MODES}
             for mode in MODES:
                 print(line(f"{num_zones} {fault} mean {mode}", means[mode]))
--- a/ironrail/net/peers/client_measurements.py
+++ b/ironrail/net/peers/client_measurements.py
@@ -56,9 +56,7 @@
         regions: Maps addresses to regions.
     """
 
-    def __init__(
-        self, system: System, regions: Regions, protocol: RegionsRoom, settings: Settings
-    ) -> None:
+    def __init__(self, system: System, regions: Regions, protocol: RegionsRoom, settings: Settings) -> None:
         """Initialize without any client.
 
         Args:
@@ -87,13 +85,8 @@
 
         The duration of a request that was not served is not used: a refusal is quick.
         """
-        was_served, left_early = (
-            ended is RequestOutcome.SERVED,
-            ended is RequestOutcome.CLIENT_DISCONNECTED,
-        )
-        is_in_time = (
-            was_served and seconds + client.rtt <= self._classes[request_class].latency_objective
-        )
+        was_served, left_early = (ended is RequestOutcome.SERVED, ended is RequestOutcome.CLIENT_DISCONNECTED)
+        is_in_time = was_served and seconds + client.rtt <= self._classes[request_class].latency_objective
         service_time = seconds if was_served or left_early else math.inf
         self._protocol.served(
             self._system.now(), client.region, request_class, service_time, is_in_time, left_early
--- a/ironrail/net/peers/readers.py
+++ b/ironrail/net/peers/readers.py
@@ -180,7 +180,11 @@
         looked = [self._to_move.popleft() for _ in range(min(LOOKED_AT, len(self._to_move)))]
         for number, connection in enumerate(looked):
             one, at = connection.reader, connection.session
-            if isinstance(one, MeasuredClient) and one.region in self._rows and connection not in self._leaving:
+            if (
+                isinstance(one, MeasuredClient)
+                and one.region in self._rows
+                and connection not in self._leaving
+            ):
                 owed = not at.is_idle or not at.has_been_used or at.responses_unread_since is not None
                 resting.append(
                     Resting(number, one.region, one.address, owed, now - at.last_received_at, one.opened_at)
--- a/ironrail/net/peers/zone_latency.py
+++ b/ironrail/net/peers/zone_latency.py
@@ -98,9 +98,7 @@
         old_states, self._snapshot = {link.zone: link.state for link in self._snapshot.links}, snapshot
         states = {link.zone: link.state for link in snapshot.links}
         if states != old_states:
-            log.info(
-                "halls", extra={"hall": snapshot.zone, "links": {z: s.name for z, s in states.items()}}
-            )
+            log.info("halls", extra={"hall": snapshot.zone, "links": {z: s.name for z, s in states.items()}})
         now = self._system.now()
         self._on_links_changed(
             ZoneLinksChanged(
--- a/ironrail/peers/steering/capacity.py
+++ b/ironrail/peers/steering/capacity.py
@@ -90,7 +90,10 @@
 
 
 def cut_off(
-    estimate: Callable[[float, int, int], LinkEstimate], halls: Sequence[str], now: Callable[[], float], hall: str
+    estimate: Callable[[float, int, int], LinkEstimate],
+    halls: Sequence[str],
+    now: Callable[[], float],
+    hall: str,
 ) -> bool:
     """Whether more than half of the links between this hall and others, of those known, are cut.
 
--- a/ironrail/peers/zone_latency/gossip_scheduler.py
+++ b/ironrail/peers/zone_latency/gossip_scheduler.py
@@ -43,8 +43,7 @@
         self._table = table
         state_forwards = FORWARDS_PER_LOG2_ROUTERS * math.log2(max(2, len(table.router_zones)))
         self._max_forwards = {
-            change: math.ceil(state_forwards * fraction)
-            for change, fraction in FORWARDING_FRACTIONS.items()
+            change: math.ceil(state_forwards * fraction) for change, fraction in FORWARDING_FRACTIONS.items()
         }
         # how often each (reporter, to zone) was forwarded, in sending order: new ones go first
         self._pending = {change: OrderedDict[tuple[int, int], int]() for change in FORWARDING_FRACTIONS}
--- a/ironrail/peers/zone_latency/link_tracker.py
+++ b/ironrail/peers/zone_latency/link_tracker.py
@@ -199,17 +199,13 @@
         elif self._delay_detector.fault_score >= threshold:
             indicated = MeasuredLinkState.SLOW
         else:
-            indicated = (
-                MeasuredLinkState.WELL if self.baseline < math.inf else MeasuredLinkState.UNKNOWN
-            )
+            indicated = MeasuredLinkState.WELL if self.baseline < math.inf else MeasuredLinkState.UNKNOWN
         if indicated > self.state:
             if indicated > MeasuredLinkState.WELL:
                 self._faults_at.append(now)
             self._set_state(now, indicated)
         elif indicated < self.state and now - self._state_changed_at >= self.dwell(now):
-            detector = (
-                self._loss_detector if self.state is MeasuredLinkState.CUT else self._delay_detector
-            )
+            detector = self._loss_detector if self.state is MeasuredLinkState.CUT else self._delay_detector
             if detector.recovery_score >= DECISION_THRESHOLD:
                 self._set_state(now, indicated)
 
--- a/ironrail/peers/zone_latency/protocol.py
+++ b/ironrail/peers/zone_latency/protocol.py
@@ -75,9 +75,7 @@
         """
         if len(set(zones)) < len(zones) or not 0 < len(zones) <= MOST_HALLS:
             raise HallsError(f"{len(zones)} zones, expected 1 to {MOST_HALLS} distinct ones", "halls")
-        if not 0 <= own_index < len(router_zones) or not all(
-            0 <= zone < len(zones) for zone in router_zones
-        ):
+        if not 0 <= own_index < len(router_zones) or not all(0 <= zone < len(zones) for zone in router_zones):
             raise HallsError("a router has no zone", "peers")
         self._own_index, self._incarnation, self._rng = own_index, incarnation, rng
         self._own_zone, self._num_routers, self._num_zones = (
@@ -148,9 +146,7 @@
                     self._report(now, zone)
         if now >= self._snapshot_at:
             self._snapshot_at = now + SNAPSHOT_INTERVAL_SECONDS
-            links = [
-                self.table.estimate(now, self._own_zone, to_zone) for to_zone in range(self._num_zones)
-            ]
+            links = [self.table.estimate(now, self._own_zone, to_zone) for to_zone in range(self._num_zones)]
             self._new_snapshot = self._publisher.update(now, links) or self._new_snapshot
         if self._num_routers > 1 and now >= self._gossip.next_message_at():
             body = self._gossip.compose_message(now)
--- a/tests/peers/fuzz/gossip.py
+++ b/tests/peers/fuzz/gossip.py
@@ -11,9 +11,9 @@
 from ironrail.peers.steering.regions import Regions
 from ironrail.peers.steering.room import MOST_WAITING, RegionsRoom
 from ironrail.peers.steering.table import WITNESSES
-from ironrail.peers.zone_latency.protocol import ZoneLatencyProtocol
-from ironrail.peers.zone_latency.link_tracker import MeasuredLinkState
 from ironrail.peers.zone_latency.gossip_scheduler import MAX_PENDING_REPORTS
+from ironrail.peers.zone_latency.link_tracker import MeasuredLinkState
+from ironrail.peers.zone_latency.protocol import ZoneLatencyProtocol
 from tests.peers.fuzz.base import Attack, idle, must, size_of
 from tests.peers.fuzz.bodies import latency_body, regions_body, spoil
 
@@ -122,11 +122,15 @@
         super().end()
         table, gossip = self.room.table, self.room._gossip
         must(all(len(link) <= table.max_reporters for link in table.links.values()), "witnesses without end")
-        must(len(table.links) <= self.halls**2 and len(table.incarnations) <= self.routers, "links without end")
+        must(
+            len(table.links) <= self.halls**2 and len(table.incarnations) <= self.routers, "links without end"
+        )
         must(sum(map(len, gossip._pending.values())) <= MAX_PENDING_REPORTS, "rumours without end")
         for to in range(self.halls):
             said = self.room.estimate(self.now, self.me % self.halls, to)
-            must(said.fastest > 0.0 and said.median > 0.0 and 0.0 <= said.loss_ratio <= 1.0, "no such figures")
+            must(
+                said.fastest > 0.0 and said.median > 0.0 and 0.0 <= said.loss_ratio <= 1.0, "no such figures"
+            )
             must(isinstance(said.state, MeasuredLinkState) and said.age >= 0.0, "no such state")
         self.room.take_snapshot()
 
--- a/tests/peers/steering/test_capacity.py
+++ b/tests/peers/steering/test_capacity.py
@@ -67,7 +67,9 @@
     def estimate(now: float, hall: int, to: int) -> LinkEstimate:
         if 3 in (hall, to):
             return UNKNOWN_LINK
-        return LinkEstimate(MeasuredLinkState.CUT if (hall, to) in cut else MeasuredLinkState.WELL, 0.0, 0.0, 0.0, 1.0, 3)
+        return LinkEstimate(
+            MeasuredLinkState.CUT if (hall, to) in cut else MeasuredLinkState.WELL, 0.0, 0.0, 0.0, 1.0, 3
+        )
 
     names = ["a", "b", "c", "d"]
     assert [cut_off(estimate, names, lambda: 0.0, n) for n in names] == [True, False, False, False]
--- a/tests/peers/test_fuzz.py
+++ b/tests/peers/test_fuzz.py
@@ -22,8 +22,8 @@
 from ironrail.peers.steering import reports as regions
 from ironrail.peers.steering.regions import Regions
 from ironrail.peers.steering.room import LEFT_WAITING, MOST_WAITING, RegionsRoom
-from ironrail.peers.zone_latency.reports import MAX_BODY_BYTES, LinkReport, encode
 from ironrail.peers.zone_latency.protocol import ZoneLatencyProtocol
+from ironrail.peers.zone_latency.reports import MAX_BODY_BYTES, LinkReport, encode
 from tests.peers import scenario
 from tests.peers.consensus.watching import FACTS, FLOOR, policy
 from tests.peers.fuzz.accord import Accord, _state
--- a/tests/peers/zone_latency/test_link_monitor.py
+++ b/tests/peers/zone_latency/test_link_monitor.py
@@ -4,18 +4,9 @@
 
 import pytest
 
-from ironrail.peers.zone_latency.histogram import (
-    NUM_BUCKETS,
-    DecayingHistogram,
-    bucket_of,
-    bucket_seconds,
-)
+from ironrail.peers.zone_latency.histogram import NUM_BUCKETS, DecayingHistogram, bucket_of, bucket_seconds
 from ironrail.peers.zone_latency.link_monitor import LinkMonitor
-from ironrail.peers.zone_latency.link_tracker import (
-    MAX_DWELL_SECONDS,
-    MIN_DWELL_SECONDS,
-    MeasuredLinkState,
-)
+from ironrail.peers.zone_latency.link_tracker import MAX_DWELL_SECONDS, MIN_DWELL_SECONDS, MeasuredLinkState
 
 OWN, FAR, OTHER = 0, 1, 2
 
--- a/tests/peers/zone_latency/test_protocol.py
+++ b/tests/peers/zone_latency/test_protocol.py
@@ -193,6 +193,11 @@
 
 
 def test_invalid_zones_are_rejected() -> None:
-    for zones, router_zones in ((["a", "a"], [0]), (["a"], [1]), ([str(n) for n in range(65)], [0]), ([], [])):
+    for zones, router_zones in (
+        (["a", "a"], [0]),
+        (["a"], [1]),
+        ([str(n) for n in range(65)], [0]),
+        ([], []),
+    ):
         with pytest.raises(InputError):
             ZoneLatencyProtocol(0.0, 0, 1, zones, router_zones, random.Random(1))
--- a/tests/peers/zone_latency/test_report_table.py
+++ b/tests/peers/zone_latency/test_report_table.py
@@ -83,9 +83,7 @@
 
 
 @given(REPORTS, REPORTS, REPORTS)
-def test_tables_merge_in_any_grouping(
-    a: list[LinkReport], b: list[LinkReport], c: list[LinkReport]
-) -> None:
+def test_tables_merge_in_any_grouping(a: list[LinkReport], b: list[LinkReport], c: list[LinkReport]) -> None:
     left = table_of(
         reports_of(table_of(reports_of(table_of(a)), reports_of(table_of(b)))), reports_of(table_of(c))
     )
@@ -173,9 +171,7 @@
 def test_an_unknown_link_is_not_near() -> None:
     estimate = LinkReportTable(ROUTER_ZONES, 2).estimate(0.0, 0, 1)
     assert estimate.state is MeasuredLinkState.UNKNOWN and estimate.num_reporters == 0
-    assert (
-        min(estimate.fastest, estimate.median, estimate.age) == float("inf") and estimate.loss_ratio == 1.0
-    )
+    assert min(estimate.fastest, estimate.median, estimate.age) == float("inf") and estimate.loss_ratio == 1.0
 
 
 def test_ages_travel_with_reports_and_expired_reports_do_not_return() -> None:
@@ -216,9 +212,7 @@
     body, num_encoded = encode(reports)
     assert len(body) <= MAX_BODY_BYTES
     received = decode(body, len(ROUTER_ZONES), 2)
-    assert sorted(received) == sorted(
-        r._replace(age=int(r.age / 0.05) * 0.05) for r in reports[:num_encoded]
-    )
+    assert sorted(received) == sorted(r._replace(age=int(r.age / 0.05) * 0.05) for r in reports[:num_encoded])
 
 
 @given(st.binary(max_size=40))
@@ -229,9 +223,7 @@
         return
     for r in reports:
         assert (
-            r.reporter < 9
-            and r.to_zone < 2
-            and unpack_values(r.packed_values)[0] > MeasuredLinkState.UNKNOWN
+            r.reporter < 9 and r.to_zone < 2 and unpack_values(r.packed_values)[0] > MeasuredLinkState.UNKNOWN
         )
 
 
