--- a/ironrail/peers/zone_latency/protocol.py
+++ b/ironrail/peers/zone_latency/protocol.py
@@ -197,11 +197,10 @@
             elif stored.packed_values >> 16 != tracker.state:
                 is_due = True
             else:
-                is_due = now - self._reported_at[
-                    zone
-                ] >= MIN_REPORT_INTERVAL_FRACTION * self.table.refresh_interval and is_significant_change(
-                    stored.packed_values, values
-                )
+                is_due = (
+                    now - self._reported_at[zone]
+                    >= MIN_REPORT_INTERVAL_FRACTION * self.table.refresh_interval
+                ) and is_significant_change(stored.packed_values, values)
             if not is_due:
                 return
         self._report(now, zone)
--- a/tests/policy/test_zone_latency.py
+++ b/tests/policy/test_zone_latency.py
@@ -22,17 +22,19 @@
 NEAR = ZoneLink(GOOD, 0.001, 0.001, 0.0, 0.0)
 
 
-def link(state: LinkState, typical: float = math.inf) -> ZoneLink:
-    return ZoneLink(state, typical, typical, 0.0, 0.0)
+def link(state: LinkState, median: float = math.inf) -> ZoneLink:
+    return ZoneLink(state, median, median, 0.0, 0.0)
 
 
 def links_with(**others: ZoneLink) -> ZoneLinksChanged:
     return ZoneLinksChanged({"a": NEAR} | others)
 
 
-def fleet(event: ZoneLinksChanged, each: int = 2, **changes: Any) -> Driver:
+def driver_with_links(event: ZoneLinksChanged, servers_per_zone: int = 2, **changes: Any) -> Driver:
     d = Driver(settings(**changes))
-    d.update_endpoints(*(endpoint(f"{zone}{n}", zone=zone) for zone in ZONES for n in range(each)))
+    d.update_endpoints(
+        *(endpoint(f"{zone}{n}", zone=zone) for zone in ZONES for n in range(servers_per_zone))
+    )
     d.handle(event)
     return d
 
@@ -65,17 +67,17 @@
 def test_a_key_goes_to_the_first_server_in_time_or_else_the_first_that_is_not_cut_off(
     zone_links: dict[str, ZoneLink], number: int, time_left: float
 ) -> None:
-    d = fleet(ZoneLinksChanged(zone_links))
+    d = driver_with_links(ZoneLinksChanged(zone_links))
     order = servers_clockwise(d, f"k{number}")
-    left = min(time_left - d.conf.timer_resolution, d.conf.classes["read"].latency_objective)
-    there = [s for s in order if zone_links[s[0]].state is not CUT]
-    in_time = [s for s in there if zone_links[s[0]].median <= left]
+    seconds_left = min(time_left - d.conf.timer_resolution, d.conf.classes["read"].latency_objective)
+    reachable = [s for s in order if zone_links[s[0]].state is not CUT]
+    in_time = [s for s in reachable if zone_links[s[0]].median <= seconds_left]
     sent = d.receive("r", key=f"k{number}", time_left=time_left)
-    assert sent == (in_time or there or order)[0]
+    assert sent == (in_time or reachable or order)[0]
 
 
 def test_a_server_is_too_far_only_by_service_time_and_round_trip_together() -> None:
-    d = fleet(links_with(b=link(GOOD, 0.1), c=link(GOOD, 0.1)))
+    d = driver_with_links(links_with(b=link(GOOD, 0.1), c=link(GOOD, 0.1)))
     key = key_of(d, "b", "a")
     first, second = servers_clockwise(d, key)[:2]
     for n in range(10):
@@ -88,16 +90,19 @@
 
 
 def test_an_unknown_zone_is_as_far_as_the_farthest_known_one() -> None:
-    d = fleet(links_with(b=link(GOOD, 0.5), c=link(UNKNOWN)))
+    d = driver_with_links(links_with(b=link(GOOD, 0.5), c=link(UNKNOWN)))
     key = key_of(d, "c", "a")
     first, second = servers_clockwise(d, key)[:2]
     assert d.receive("enough", key=key, time_left=0.6) == first
     assert d.receive("too little", key=key, time_left=0.4) == second
 
 
-@pytest.mark.parametrize("typical", [0.001, 3.0])  # in time, and not
-def test_full_servers_beyond_a_cut_link_do_not_count_as_visited(typical: float) -> None:
-    d = fleet(ZoneLinksChanged({"a": link(GOOD, typical), "b": link(CUT), "c": link(GOOD, typical)}), each=4)
+@pytest.mark.parametrize("median", [0.001, 3.0])  # in time, and not
+def test_full_servers_beyond_a_cut_link_do_not_count_as_visited(median: float) -> None:
+    d = driver_with_links(
+        ZoneLinksChanged({"a": link(GOOD, median), "b": link(CUT), "c": link(GOOD, median)}),
+        servers_per_zone=4,
+    )
     key = key_of(d, "b", "b", "b")
     for server in d.router.servers.values():
         server.concurrency_limit = 0.0 if server.endpoint.zone == "b" else 4.0
@@ -105,7 +110,7 @@
 
 
 def test_slow_start_applies_where_all_other_zones_are_cut_off() -> None:
-    d = fleet(links_with(b=link(CUT), c=link(CUT)))
+    d = driver_with_links(links_with(b=link(CUT), c=link(CUT)))
     d.update_endpoints(
         *(endpoint(f"{z}{n}", zone=z, started_at=d.now if z == "a" else 0.0) for z in ZONES for n in range(2))
     )
@@ -115,19 +120,19 @@
 
 def test_the_hedge_delay_grows_with_the_round_trip_up_to_a_bound() -> None:
     delays = {}
-    for typical in (0.001, 0.2, 0.9):
-        d = fleet(links_with(b=link(GOOD, typical), c=link(GOOD, typical)))
+    for median in (0.001, 0.2, 0.9):
+        d = driver_with_links(links_with(b=link(GOOD, median), c=link(GOOD, median)))
         d.receive("r", key=key_of(d, "b"))
-        delays[typical] = next(a.delay for a in d.last_actions if isinstance(a, SetTimer))
+        delays[median] = next(a.delay for a in d.last_actions if isinstance(a, SetTimer))
     assert list(delays.values()) == pytest.approx([0.501, 0.7, 1.0])
-    slow = fleet(links_with(b=link(SLOW, 0.2)))
+    slow = driver_with_links(links_with(b=link(SLOW, 0.2)))
     slow.receive("r", key=key_of(slow, "b"))
     assert next(a.delay for a in slow.last_actions if isinstance(a, SetTimer)) == 0.5
 
 
 @pytest.mark.parametrize("state", [SLOW, GOOD])
 def test_no_hedged_request_goes_over_a_suspected_link(state: LinkState) -> None:
-    d = fleet(links_with(b=link(state, 0.01), c=NEAR))
+    d = driver_with_links(links_with(b=link(state, 0.01), c=NEAR))
     d.receive("r", key=key_of(d, "a", "b"))
     d.advance(0.6)
     assert len(d.servers_sent_to["r"]) == 2
@@ -137,7 +142,7 @@
 def test_the_round_trip_does_not_lower_a_concurrency_limit() -> None:
     limits = []
     for event in (links_with(b=link(GOOD, 0.3), c=NEAR), ZoneLinksChanged()):
-        d = fleet(event)
+        d = driver_with_links(event)
         key = key_of(d, "b")
         for n in range(30):
             d.now += 0.3
