--- a/ironrail/net/peers/runtime.py
+++ b/ironrail/net/peers/runtime.py
@@ -29,7 +29,7 @@
 if TYPE_CHECKING:
     from ironrail.net.downstream.client_listener import ClientListener
     from ironrail.net.peers.readers import Readers
-    from ironrail.net.peers.zone_latency import HallsMap
+    from ironrail.net.peers.zone_latency import ZoneLatencyComponent
 
 
 class PeerComponent(Protocol):
@@ -122,13 +122,13 @@
         self.components: list[PeerComponent] = []
         self.steering: Readers | None = None
         identity = NodeIdentity(own_index, incarnation, system, peers.zones, random.Random(config.seed))
-        self.zone_latency: HallsMap | None = None
+        self.zone_latency: ZoneLatencyComponent | None = None
         is_cut_off = None  # whether a zone is cut off from others, according to the latency map
         if peers.zone_latency_map:
             # imported late: saves memory where it is disabled
-            from ironrail.net.peers.zone_latency import HallsMap  # noqa: PLC0415
+            from ironrail.net.peers.zone_latency import ZoneLatencyComponent  # noqa: PLC0415
 
-            self.zone_latency = HallsMap(identity, publish)
+            self.zone_latency = ZoneLatencyComponent(identity, publish)
             self.components.append(self.zone_latency)
             is_cut_off = partial(cut_off, self.zone_latency.estimate, identity.zone_indices()[0], system.now)
         if operator.regions:
@@ -176,7 +176,7 @@
 
     def link_observer(self, zone: str) -> LinkObserver | None:
         """Return the observer of connections to servers in the zone, if there is one."""
-        return self.zone_latency.watch(zone) if self.zone_latency is not None else None
+        return self.zone_latency.link_observer(zone) if self.zone_latency is not None else None
 
     def before_decision(self, now: float) -> None:
         """Make sure that the policy is still effective; called before each decision."""
--- a/tests/peers/fuzz/gossip_targets.py
+++ b/tests/peers/fuzz/gossip_targets.py
@@ -11,9 +11,9 @@
 from ironrail.peers.steering.regions import Regions
 from ironrail.peers.steering.room import MOST_WAITING, RegionsRoom
 from ironrail.peers.steering.table import WITNESSES
-from ironrail.peers.zone_latency.room import LatencyRoom
-from ironrail.peers.zone_latency.sight import Link
-from ironrail.peers.zone_latency.spread import MOST_RUMOURS
+from ironrail.peers.zone_latency.gossip_scheduler import MAX_PENDING_REPORTS
+from ironrail.peers.zone_latency.link_tracker import MeasuredLinkState
+from ironrail.peers.zone_latency.protocol import ZoneLatencyProtocol
 from tests.peers.fuzz.harness import FuzzTarget, idle, must, size_of
 from tests.peers.fuzz.mutations import latency_body, mutate, regions_body
 
@@ -103,9 +103,9 @@
 class ZoneLatencyTarget(GossipTarget):
     """The zone latency map."""
 
-    def make(self) -> LatencyRoom:
+    def make(self) -> ZoneLatencyProtocol:
         rng = random.Random(self.rng.random())
-        return LatencyRoom(self.now, self.own_index, self.incarnation, self.zone_names, self.zone_of, rng)
+        return ZoneLatencyProtocol(self.now, self.own_index, self.incarnation, self.zone_names, self.zone_of, rng)
 
     def body(self) -> bytes:
         return latency_body(self.rng, self.num_routers, self.num_zones)
@@ -115,35 +115,35 @@
         for _ in range(self.rng.choice((1, 9))):
             self.now += self.rng.choice((0.0, 0.11))
             if self.rng.random() < 0.3:
-                self.protocol.lost(self.now, zone)
+                self.protocol.record_loss(self.now, zone)
             else:
-                self.protocol.observe(
+                self.protocol.record_round_trip(
                     self.now, zone, self.rng.choice((0.01, 0.0, -1.0, 1e9, math.inf, math.nan))
                 )
 
     def own_reports(self) -> list[object]:
         return [
-            (held.start, held.sequence, held.values) if held else None
-            for held in (self.protocol.table.held(self.own_index, to) for to in range(self.num_zones))
+            (held.incarnation, held.sequence, held.packed_values) if held else None
+            for held in (self.protocol.table.stored(self.own_index, to) for to in range(self.num_zones))
         ]
 
     def end(self) -> None:
         super().end()
-        table, spread = self.protocol.table, self.protocol._spread
-        must(all(len(link) <= table.witnesses for link in table.links.values()), "reporters without end")
+        table, spread = self.protocol.table, self.protocol._gossip
+        must(all(len(link) <= table.max_reporters for link in table.links.values()), "reporters without end")
         must(
-            len(table.links) <= self.num_zones**2 and len(table.starts) <= self.num_routers,
+            len(table.links) <= self.num_zones**2 and len(table.incarnations) <= self.num_routers,
             "links without end",
         )
-        must(sum(map(len, spread._rumours.values())) <= MOST_RUMOURS, "gossip entries without end")
+        must(sum(map(len, spread._pending.values())) <= MAX_PENDING_REPORTS, "gossip entries without end")
         for to in range(self.num_zones):
             estimate = self.protocol.estimate(self.now, self.own_index % self.num_zones, to)
             must(
-                estimate.low > 0.0 and estimate.typical > 0.0 and 0.0 <= estimate.lost <= 1.0,
+                estimate.fastest > 0.0 and estimate.median > 0.0 and 0.0 <= estimate.loss_ratio <= 1.0,
                 "an invalid estimate",
             )
-            must(isinstance(estimate.state, Link) and estimate.age >= 0.0, "an invalid state")
-        self.protocol.facts()
+            must(isinstance(estimate.state, MeasuredLinkState) and estimate.age >= 0.0, "an invalid state")
+        self.protocol.take_snapshot()
 
 
 class SteeringTarget(GossipTarget):
--- a/tests/peers/fuzz/mutations.py
+++ b/tests/peers/fuzz/mutations.py
@@ -115,17 +115,17 @@
 
 def latency_body(rng: random.Random, num_routers: int, num_zones: int) -> bytes:
     """Return well-formed latency reports with random values."""
-    incarnation_bound, records = rng.choice((4, latency.MOST_START)), []
+    incarnation_bound, records = rng.choice((4, latency.MAX_INCARNATION)), []
     for _ in range(rng.choice((1, 3, 20, 700))):
         values = rng.choice((1, 2, 3)) << 16 | rng.randrange(1 << 16)
-        age = rng.choice((0.0, 0.0, rng.random() * 100, latency.MOST_AGE * latency.AGE_UNIT))
+        age = rng.choice((0.0, 0.0, rng.random() * 100, latency.MAX_AGE_UNITS * latency.AGE_UNIT_SECONDS))
         records.append(
-            latency.Report(
+            latency.LinkReport(
                 rng.randrange(num_routers), _edge(rng, incarnation_bound), rng.randrange(num_zones),
-                _edge(rng, rng.choice((9, latency.MOST_SEQUENCE))), values, age,
+                _edge(rng, rng.choice((9, latency.MAX_SEQUENCE))), values, age,
             )
         )  # fmt: skip
-    return latency.encode(records, rng.choice((latency.MOST_BODY, MAX_BODY_BYTES)))[0]
+    return latency.encode(records, rng.choice((latency.MAX_BODY_BYTES, MAX_BODY_BYTES)))[0]
 
 
 def regions_body(rng: random.Random, num_routers: int, num_regions: int, digest: bytes) -> bytes:
--- a/tests/peers/test_fuzz.py
+++ b/tests/peers/test_fuzz.py
@@ -22,8 +22,8 @@
 from ironrail.peers.steering import reports as regions
 from ironrail.peers.steering.regions import Regions
 from ironrail.peers.steering.room import LEFT_WAITING, MOST_WAITING, RegionsRoom
-from ironrail.peers.zone_latency.reports import MOST_BODY, Report, encode
-from ironrail.peers.zone_latency.room import LatencyRoom
+from ironrail.peers.zone_latency.protocol import ZoneLatencyProtocol
+from ironrail.peers.zone_latency.reports import MAX_BODY_BYTES, LinkReport, encode
 from tests.peers import scenario
 from tests.peers.consensus.watching import FACTS, FLOOR, policy
 from tests.peers.fuzz.consensus_target import ConsensusTarget, random_state
@@ -169,15 +169,15 @@
     assert policies.propose(b"version=2\n[rates]\n" + rows).status == 409
 
 
-def reports(count: int) -> Iterator[Report]:
-    return (Report(1, 9, 1, n, 1 << 16, 0.0) for n in range(count))
+def reports(count: int) -> Iterator[LinkReport]:
+    return (LinkReport(1, 9, 1, n, 1 << 16, 0.0) for n in range(count))
 
 
 def test_a_body_longer_than_any_router_sends_is_not_decoded() -> None:
-    latency = LatencyRoom(0.0, 0, 1, ["a", "b"], [0, 1], random.Random(1))
+    latency = ZoneLatencyProtocol(0.0, 0, 1, ["a", "b"], [0, 1], random.Random(1))
     latency.on_message(0.0, Received(1, 9, encode(reports(200), 3696)[0]))
     assert latency.unusable == 1 and len(latency.table) == 0
-    latency.on_message(0.0, Received(1, 9, encode(reports(200), MOST_BODY)[0]))
+    latency.on_message(0.0, Received(1, 9, encode(reports(200), MAX_BODY_BYTES)[0]))
     assert latency.unusable == 1 and len(latency.table) == 1
     steering = RegionsRoom(0.0, 0, 1, known := Regions({}), ["a"], [0, 0], [], random.Random(1))
     records = [regions.Report(1, 9, 0, n, bytes(4), 0.0) for n in range(200)]
@@ -205,7 +205,7 @@
 
 
 def test_the_timer_of_a_router_without_peers_is_not_always_due() -> None:
-    protocol = LatencyRoom(5.0, 0, 1, ["a"], [0], random.Random(1))
+    protocol = ZoneLatencyProtocol(5.0, 0, 1, ["a"], [0], random.Random(1))
     protocol.on_timer(5.0)
     assert protocol.next_timer_at() > 5.0
 
