--- a/benchmarks/peers_regions.py
+++ b/benchmarks/peers_regions.py
@@ -17,8 +17,8 @@
 from statistics import mean
 
 from ironrail.peers.steering.proposal import USUAL, Rows
-from tests.peers.steering.ours import Ours
-from tests.peers.steering.world import WORLDS, Choice, draw, fixed, nearest, run, truth
+from tests.peers.steering.simulated_routers import Ours
+from tests.peers.steering.simulation import WORLDS, Choice, draw, fixed, nearest, run, truth
 
 HOW = ("fixed", "nearest", "ours", "exploring", "truth")
 
--- a/ironrail/net/peers/readers.py
+++ b/ironrail/net/peers/client_steering.py
@@ -21,14 +21,14 @@
 from ironrail.peers.consensus import policy as p
 from ironrail.peers.steering.capacity import Server, Servers, halls_now
 from ironrail.peers.steering.capacity import takes as takes_more
-from ironrail.peers.steering.carried import Carrier, Resting, place
-from ironrail.peers.steering.expected import Cells, Hall, Worth
+from ironrail.peers.steering.migration import Carrier, Resting, place
+from ironrail.peers.steering.cost_model import Cells, Hall, Worth
 from ironrail.peers.steering.proposal import DWELLS, USUAL, Past, Proposal, Rows
 from ironrail.peers.steering.regions import Regions
-from ironrail.peers.steering.room import RegionsRoom
-from ironrail.peers.steering.table import STALE
-from ironrail.peers.steering.told import NoRowsError, TooLargeError, tell
-from ironrail.peers.steering.turns import Turn
+from ironrail.peers.steering.protocol import RegionsRoom
+from ironrail.peers.steering.report_table import STALE
+from ironrail.peers.steering.status import NoRowsError, TooLargeError, tell
+from ironrail.peers.steering.proposal_schedule import Turn
 from ironrail.policy.endpoints import EndpointListKind, EndpointState
 from ironrail.policy.events import EndpointListUpdate
 from ironrail.policy.settings import Settings
--- a/ironrail/net/peers/link_evidence.py
+++ b/ironrail/net/peers/link_evidence.py
@@ -10,7 +10,7 @@
 from ironrail.access_log.record import RequestOutcome
 from ironrail.net.system import System
 from ironrail.peers.steering.regions import Regions
-from ironrail.peers.steering.room import RegionsRoom
+from ironrail.peers.steering.protocol import RegionsRoom
 from ironrail.policy.settings import Settings
 
 if TYPE_CHECKING:
--- a/ironrail/net/peers/runtime.py
+++ b/ironrail/net/peers/runtime.py
@@ -25,7 +25,7 @@
 
 if TYPE_CHECKING:
     from ironrail.net.downstream.client_listener import ClientListener
-    from ironrail.net.peers.readers import Readers
+    from ironrail.net.peers.client_steering import Readers
     from ironrail.net.peers.zone_latency import HallsMap
 
 
@@ -98,7 +98,7 @@
             self.parts.append(self.halls)
             cut = partial(cut_off, self.halls.estimate, here.numbered()[0], system.now)
         if operator.regions:
-            from ironrail.net.peers.readers import Readers  # noqa: PLC0415 - only where they are wanted
+            from ironrail.net.peers.client_steering import Readers  # noqa: PLC0415 - only where they are wanted
 
             self.readers = Readers(here, operator, config.settings, self.policies, cut)
             self.parts.append(self.readers)
--- a/ironrail/peers/steering/capacity.py
+++ b/ironrail/peers/steering/capacity.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable, Collection, Iterable, Mapping, Sequence
 from typing import NamedTuple
 
-from ironrail.peers.steering.expected import Cells, Hall, Standing
+from ironrail.peers.steering.cost_model import Cells, Hall, Standing
 from ironrail.peers.steering.proposal import USUAL
 from ironrail.peers.zone_latency.sight import Link
 from ironrail.peers.zone_latency.table import Estimate
--- a/ironrail/peers/steering/expected.py
+++ b/ironrail/peers/steering/cost_model.py
@@ -12,7 +12,7 @@
 from enum import IntEnum
 from typing import NamedTuple
 
-from ironrail.peers.steering.table import Cell
+from ironrail.peers.steering.report_table import Cell
 
 FRESH = 300.0  # seconds by which a region's own figures of service may be older than the hall's youngest
 TAIL = 0.125  # of the way from median to tail where the mean lies: 0.10 to 0.16 in lognormals, sigma 0.5 to 1
--- a/ironrail/peers/steering/model.py
+++ b/ironrail/peers/steering/local_statistics.py
@@ -6,7 +6,7 @@
 from collections.abc import Iterable
 
 from ironrail.peers.steering.reports import Summary
-from ironrail.peers.steering.sketch import NOTHING, Fading, code_of, part_code, rate_code, seconds_of
+from ironrail.peers.steering.histogram import NOTHING, Fading, code_of, part_code, rate_code, seconds_of
 
 RTT_HALF_LIFE = 600.0  # seconds: ways between places change seldom
 SERVICE_HALF_LIFE = 60.0  # seconds: what service takes changes with load
--- a/ironrail/peers/steering/steer.py
+++ b/ironrail/peers/steering/planner.py
@@ -11,7 +11,7 @@
 import math
 from collections.abc import Mapping
 
-from ironrail.peers.steering.expected import NO_WAY, Expected, Hall, Standing
+from ironrail.peers.steering.cost_model import NO_WAY, Expected, Hall, Standing
 from ironrail.peers.steering.proposal import (
     STEP,
     UNITS,
--- a/ironrail/peers/steering/room.py
+++ b/ironrail/peers/steering/protocol.py
@@ -13,8 +13,8 @@
 
 from ironrail.errors import InputError
 from ironrail.peers.messages import MOST_HALLS, MOST_ROUTERS, Outgoing, Priority, Received, Topic
-from ironrail.peers.steering.expected import EQUAL, NOWHERE, Expected, Hall, Worth
-from ironrail.peers.steering.model import Own, time_left
+from ironrail.peers.steering.cost_model import EQUAL, NOWHERE, Expected, Hall, Worth
+from ironrail.peers.steering.local_statistics import Own, time_left
 from ironrail.peers.steering.proposal import USUAL, Bounds, Past, Proposal, Rows
 from ironrail.peers.steering.regions import Regions
 from ironrail.peers.steering.reports import (
@@ -27,8 +27,8 @@
     encode,
     unpack,
 )
-from ironrail.peers.steering.steer import Steering
-from ironrail.peers.steering.table import NEW, Cell, Table
+from ironrail.peers.steering.planner import Steering
+from ironrail.peers.steering.report_table import NEW, Cell, Table
 
 PACE = 400.0  # bytes/s that go out, of the 2 kB/s that a router has for its peers
 ENVELOPE = 56  # bytes of a datagram beside the body
--- a/ironrail/peers/steering/table.py
+++ b/ironrail/peers/steering/report_table.py
@@ -15,7 +15,7 @@
 from typing import TypeVar
 
 from ironrail.peers.steering.reports import MOST_VALUES, Report, Summary, unpack
-from ironrail.peers.steering.sketch import FIFTEENTHS, NOTHING, PARTS, RATES, SECONDS
+from ironrail.peers.steering.histogram import FIFTEENTHS, NOTHING, PARTS, RATES, SECONDS
 
 WITNESSES = 3  # kept of a cell: one liar is outvoted
 LEAST_RENEWAL = 120.0  # seconds after which unchanged evidence is told anew
--- a/ironrail/peers/steering/reports.py
+++ b/ironrail/peers/steering/reports.py
@@ -11,7 +11,7 @@
 from typing import NamedTuple
 
 from ironrail.errors import InputError
-from ironrail.peers.steering.sketch import part_of
+from ironrail.peers.steering.histogram import part_of
 
 MOST_BODY = 200  # bytes: with the wire's own within the 256 that a datagram may have
 MOST_CLASSES = 6  # that are told apart; those beyond are not told of
--- a/ironrail/peers/steering/told.py
+++ b/ironrail/peers/steering/status.py
@@ -7,7 +7,7 @@
 from typing import Any, Self
 
 from ironrail.errors import RejectedError
-from ironrail.peers.steering.expected import Cells, Hall
+from ironrail.peers.steering.cost_model import Cells, Hall
 from ironrail.peers.steering.proposal import Rows
 
 
--- a/tests/peers/fuzz/gossip.py
+++ b/tests/peers/fuzz/gossip.py
@@ -7,10 +7,10 @@
 from typing import Any
 
 from ironrail.peers.messages import Received
-from ironrail.peers.steering.expected import Hall, Standing
+from ironrail.peers.steering.cost_model import Hall, Standing
 from ironrail.peers.steering.regions import Regions
-from ironrail.peers.steering.room import MOST_WAITING, RegionsRoom
-from ironrail.peers.steering.table import WITNESSES
+from ironrail.peers.steering.protocol import MOST_WAITING, RegionsRoom
+from ironrail.peers.steering.report_table import WITNESSES
 from ironrail.peers.zone_latency.room import LatencyRoom
 from ironrail.peers.zone_latency.sight import Link
 from ironrail.peers.zone_latency.spread import MOST_RUMOURS
--- a/tests/peers/steering/ours.py
+++ b/tests/peers/steering/simulated_routers.py
@@ -7,13 +7,13 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from ironrail.peers.steering.expected import Hall, Standing
+from ironrail.peers.steering.cost_model import Hall, Standing
 from ironrail.peers.steering.proposal import USUAL, Bounds, Proposal, Rows
 from ironrail.peers.steering.regions import Regions
 from ironrail.peers.steering.reports import Report
-from ironrail.peers.steering.room import RegionsRoom
-from ironrail.peers.steering.sketch import rate_code
-from tests.peers.steering.world import PERIOD, WANTED, World
+from ironrail.peers.steering.protocol import RegionsRoom
+from ironrail.peers.steering.histogram import rate_code
+from tests.peers.steering.simulation import PERIOD, WANTED, World
 
 ROUTERS = 3  # of a hall
 
--- a/tests/peers/steering/world.py
+++ b/tests/peers/steering/simulation.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from ironrail.peers.steering.expected import Standing
+from ironrail.peers.steering.cost_model import Standing
 from ironrail.peers.steering.proposal import Rows
 
 PERIOD = 60.0  # seconds between two proposals
--- a/tests/peers/steering/test_capacity.py
+++ b/tests/peers/steering/test_capacity.py
@@ -5,11 +5,11 @@
 import pytest
 
 from ironrail.peers.steering.capacity import Server, Servers, cut_off, halls_now, takes
-from ironrail.peers.steering.carried import AGAIN, Carrier, Resting, place
-from ironrail.peers.steering.expected import Hall, Standing
-from ironrail.peers.steering.table import Cell
-from ironrail.peers.steering.told import NoRowsError, tell
-from ironrail.peers.steering.turns import DELAY, Turn
+from ironrail.peers.steering.migration import AGAIN, Carrier, Resting, place
+from ironrail.peers.steering.cost_model import Hall, Standing
+from ironrail.peers.steering.report_table import Cell
+from ironrail.peers.steering.status import NoRowsError, tell
+from ironrail.peers.steering.proposal_schedule import DELAY, Turn
 from ironrail.peers.zone_latency.sight import Link
 from ironrail.peers.zone_latency.table import NOTHING, Estimate
 
--- a/tests/peers/steering/test_carried.py
+++ b/tests/peers/steering/test_migration.py
@@ -3,7 +3,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from ironrail.peers.steering.carried import BURST, PACE, Carrier, Resting, place
+from ironrail.peers.steering.migration import BURST, PACE, Carrier, Resting, place
 
 ROWS = {"north": {"here": 0.25, "there": 0.75}}
 CLIENTS = [f"10.0.{n // 250}.{n % 250}" for n in range(2000)]
--- a/tests/peers/steering/test_steer.py
+++ b/tests/peers/steering/test_planner.py
@@ -7,8 +7,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from ironrail.peers.steering.expected import EQUAL, Cells, Expected, Hall, Standing, Worth
-from ironrail.peers.steering.model import time_left
+from ironrail.peers.steering.cost_model import EQUAL, Cells, Expected, Hall, Standing, Worth
+from ironrail.peers.steering.local_statistics import time_left
 from ironrail.peers.steering.proposal import (
     DWELL,
     UNITS,
@@ -21,8 +21,8 @@
     Steps,
     size_of,
 )
-from ironrail.peers.steering.steer import Steering
-from ironrail.peers.steering.table import Cell
+from ironrail.peers.steering.planner import Steering
+from ironrail.peers.steering.report_table import Cell
 
 HALLS, REGIONS = ["a", "b", "c", "d"], ["", "e", "f", "g", "h"]
 OPEN, COLD, CLOSED = Standing
--- a/tests/peers/steering/test_room.py
+++ b/tests/peers/steering/test_protocol.py
@@ -6,10 +6,10 @@
 import pytest
 
 from ironrail.peers.messages import Outgoing, PeerProtocol, Received
-from ironrail.peers.steering.expected import Hall
+from ironrail.peers.steering.cost_model import Hall
 from ironrail.peers.steering.regions import Regions
 from ironrail.peers.steering.reports import MOST_BODY, Report, Summary, encode
-from ironrail.peers.steering.room import ENVELOPE, MOST_WAITING, PACE, RegionsRoom, RoomError
+from ironrail.peers.steering.protocol import ENVELOPE, MOST_WAITING, PACE, RegionsRoom, RoomError
 
 HALLS = ["a", "b", "c", "d"]
 HALL_OF = [n % 4 for n in range(20)]
--- a/tests/peers/steering/test_table.py
+++ b/tests/peers/steering/test_report_table.py
@@ -7,8 +7,8 @@
 from hypothesis import strategies as st
 
 from ironrail.peers.steering.reports import MOST_BODY, Report, ReportError, Summary, decode, encode, unpack
-from ironrail.peers.steering.sketch import Fading, code_of, part_code, part_of, rate_code, rate_of, seconds_of
-from ironrail.peers.steering.table import Table
+from ironrail.peers.steering.histogram import Fading, code_of, part_code, part_of, rate_code, rate_of, seconds_of
+from ironrail.peers.steering.report_table import Table
 
 HALL_OF = [0] * 6 + [1] * 2
 CODE, SMALL = st.integers(0, 63), st.integers(0, 15)
--- a/tests/peers/steering/test_worlds.py
+++ b/tests/peers/steering/test_simulation.py
@@ -6,8 +6,8 @@
 
 from ironrail.peers.steering.proposal import USUAL
 from ironrail.peers.steering.reports import Report, unpack
-from tests.peers.steering.ours import Ours
-from tests.peers.steering.world import WORLDS, Choice, draw, fixed, nearest, run, truth
+from tests.peers.steering.simulated_routers import Ours
+from tests.peers.steering.simulation import WORLDS, Choice, draw, fixed, nearest, run, truth
 
 SEEDS = (0, 1)
 
--- a/tests/peers/test_fuzz.py
+++ b/tests/peers/test_fuzz.py
@@ -21,7 +21,7 @@
 from ironrail.peers.messages import Received
 from ironrail.peers.steering import reports as regions
 from ironrail.peers.steering.regions import Regions
-from ironrail.peers.steering.room import LEFT_WAITING, MOST_WAITING, RegionsRoom
+from ironrail.peers.steering.protocol import LEFT_WAITING, MOST_WAITING, RegionsRoom
 from ironrail.peers.zone_latency.reports import MOST_BODY, Report, encode
 from ironrail.peers.zone_latency.room import LatencyRoom
 from tests.peers import scenario
--- a/tests/rehearsal/links/readers_stage.py
+++ b/tests/rehearsal/links/readers_stage.py
@@ -9,7 +9,7 @@
 from pathlib import Path
 from typing import Any
 
-from ironrail.peers.steering.carried import place
+from ironrail.peers.steering.migration import place
 from ironrail.rehearsal.account.record import Outcome, Try
 from ironrail.rehearsal.links.grounds import VirtualLinks
 from ironrail.rehearsal.links.rig import LinkedRehearsal
--- a/tests/readers_router.py
+++ b/tests/steering_router.py
@@ -11,12 +11,12 @@
 import pytest
 
 from ironrail.net.downstream.client_connection import ClientConnection
-from ironrail.net.peers import readers as driver
+from ironrail.net.peers import client_steering as driver
 from ironrail.operator_file import OperatorSettings, PeerSettings
 from ironrail.peers.consensus import policy as p
 from ironrail.peers.consensus.consensus_node import DecidedBy
-from ironrail.peers.steering.carried import place
-from ironrail.peers.steering.expected import Hall
+from ironrail.peers.steering.migration import place
+from ironrail.peers.steering.cost_model import Hall
 from tests.net.lifecycle.test_handover import AdministeredWorld
 from tests.peers import LOCAL, Client
 
--- a/tests/test_readers.py
+++ b/tests/test_client_steering.py
@@ -12,10 +12,10 @@
 import pytest
 
 from ironrail.diagnostics.reasons import ClientCloseReason
-from ironrail.net.peers import readers as driver
+from ironrail.net.peers import client_steering as driver
 from ironrail.net.peers.link_evidence import One
 from tests.peers import World, scenario
-from tests.readers_router import AWAY, HERE, ROW, Read
+from tests.steering_router import AWAY, HERE, ROW, Read
 
 
 @scenario
