--- a/benchmarks/peers_regions.py
+++ b/benchmarks/peers_regions.py
@@ -1,11 +1,12 @@
-"""Rows of steering in small worlds, against fixed fronts, the nearest hall and the truth known.
+"""Steering in small simulations, compared with fixed front ends, the nearest zone and the optimum.
 
     PYTHONPATH=. python benchmarks/peers_regions.py --draws 50
 
-Each draw has 12 regions and 6 halls in a plane, an hour of 60 periods, and what happens in its middle third
-(from the first quarter on: the new hall). A row: share answered in 400 ms and 99th percentile in that third
-(of the new hall: the second half), then of the whole hour; for ours also changes an hour, requests moved as a
-share of all, and shares taken back, which are those raised and later lowered at one hall.
+Each draw has 12 regions and 6 zones in a plane and runs for an hour of 60 periods. The event is in
+the middle third, except for the new zone, which opens at the first quarter. A row of the output:
+the fraction within 400 ms and the 99th percentile in that third (new zone: in the second half),
+then the fraction in the whole hour. For steering also: the changes in an hour, the moved requests
+as a fraction of all, and the number of shares that were raised and later lowered in the same zone.
 """
 
 from __future__ import annotations
@@ -16,44 +17,44 @@
 from dataclasses import replace
 from statistics import mean
 
-from ironrail.peers.steering.proposal import USUAL, Rows
-from tests.peers.steering.simulated_routers import Ours
-from tests.peers.steering.simulation import WORLDS, Choice, draw, fixed, nearest, run, truth
+from ironrail.peers.steering.proposal import DEFAULT_LIMITS, SteeringRows
+from tests.peers.steering.simulated_routers import SimulatedRouters
+from tests.peers.steering.simulation import EVENTS, Strategy, draw, fixed, nearest, optimal, run
 
-HOW = ("fixed", "nearest", "ours", "exploring", "truth")
+STRATEGIES = ("fixed", "nearest", "ours", "exploring", "truth")
 
 
-def taken_back(changes: Iterable[Rows]) -> int:
-    """Shares that were raised and later lowered at one hall, as rows follow one another."""
-    rows: Rows = {}
-    raised, back = set(), 0
+def count_reversals(changes: Iterable[SteeringRows]) -> int:
+    """Count the shares that successive rows raise and later lower in the same zone."""
+    rows: SteeringRows = {}
+    raised, reversals = set(), 0
     for new in changes:
         for region, row in new.items():
             before = rows.get(region, row)
-            for hall in {*row, *before}:
-                step = row.get(hall, 0.0) - before.get(hall, 0.0)
-                back += step < 0 and (region, hall) in raised
+            for zone in {*row, *before}:
+                step = row.get(zone, 0.0) - before.get(zone, 0.0)
+                reversals += step < 0 and (region, zone) in raised
                 if step > 0:
-                    raised.add((region, hall))
+                    raised.add((region, zone))
         rows = new
-    return back
+    return reversals
 
 
-def one(job: tuple[str, str, int]) -> list[float]:
-    """Figures of one draw."""
+def simulate(job: tuple[str, str, int]) -> list[float]:
+    """Return the figures of one draw."""
     name, how, seed = job
-    world = draw(seed)
-    explore = replace(USUAL, explore=1 / 64 if how == "exploring" else 0.0)
-    choose: Choice = {"fixed": fixed, "nearest": nearest, "truth": truth}.get(how) or Ours(
-        world, seed, explore
+    simulation = draw(seed)
+    limits = replace(DEFAULT_LIMITS, exploration_ratio=1 / 64 if how == "exploring" else 0.0)
+    strategy: Strategy = {"fixed": fixed, "nearest": nearest, "truth": optimal}.get(how) or SimulatedRouters(
+        simulation, seed, limits
     )
-    found = run(world, WORLDS[name], choose)
-    hard = found[30:] if name == "new hall" else found[20:40]
-    figures = [mean(a for a, _ in part) for part in (hard, found)] + [mean(b for _, b in hard)]
-    if isinstance(choose, Ours):
-        changes = [p for p in choose.proposals if p.rows is not None]
-        figures += [len(changes), sum(p.moved for p in changes) / sum(world.demand.values())]
-        figures.append(taken_back(change.rows or {} for change in changes))
+    found = run(simulation, EVENTS[name], strategy)
+    affected = found[30:] if name == "new hall" else found[20:40]
+    figures = [mean(a for a, _ in part) for part in (affected, found)] + [mean(b for _, b in affected)]
+    if isinstance(strategy, SimulatedRouters):
+        changes = [p for p in strategy.proposals if p.rows is not None]
+        figures += [len(changes), sum(p.moved_rate for p in changes) / sum(simulation.demand.values())]
+        figures.append(count_reversals(change.rows or {} for change in changes))
     return figures
 
 
@@ -67,15 +68,22 @@
         "|---|---|---|---|---|---|---|---|"
     )
     with ProcessPoolExecutor(args.at_once) as pool:
-        for name in WORLDS:
-            for how in HOW:
+        for name in EVENTS:
+            for how in STRATEGIES:
                 if how == "exploring" and name != "new hall":
                     continue
-                found = list(pool.map(one, [(name, how, seed) for seed in range(args.draws)]))
-                hard, hour, tail, *rest = (mean(column) for column in zip(*found, strict=True))
+                found = list(pool.map(simulate, [(name, how, seed) for seed in range(args.draws)]))
+                affected, hour, tail, *rest = (mean(column) for column in zip(*found, strict=True))
                 worst = max(row[2] for row in found)
                 more = [f"{x:.2f}" for x in rest] or ["", "", ""]
-                cells = (name, how, f"{hard:.4f}", f"{tail:.3f} (worst {worst:.2f})", f"{hour:.4f}", *more)
+                cells = (
+                    name,
+                    how,
+                    f"{affected:.4f}",
+                    f"{tail:.3f} (worst {worst:.2f})",
+                    f"{hour:.4f}",
+                    *more,
+                )
                 print("|", " | ".join(cells), "|", flush=True)
 
 
--- a/ironrail/net/peers/client_steering.py
+++ b/ironrail/net/peers/client_steering.py
@@ -1,4 +1,4 @@
-"""Regions of readers: what this router sees of them goes in, rows of steering come out; decides nothing."""
+"""Drives the steering protocol: feeds in measurements, proposes rows, migrates connections."""
 
 from __future__ import annotations
 
@@ -19,16 +19,22 @@
 from ironrail.net.peers.link_evidence import Evidence, One
 from ironrail.operator_file import OperatorSettings
 from ironrail.peers.consensus import policy as p
-from ironrail.peers.steering.capacity import Server, Servers, halls_now
-from ironrail.peers.steering.capacity import takes as takes_more
-from ironrail.peers.steering.migration import Carrier, Resting, place
-from ironrail.peers.steering.cost_model import Cells, Hall, Worth
-from ironrail.peers.steering.proposal import DWELLS, USUAL, Past, Proposal, Rows
+from ironrail.peers.steering.capacity import ServerInfo, ServerInventory, zone_states
+from ironrail.peers.steering.capacity import accepting_zones as find_accepting_zones
+from ironrail.peers.steering.cost_model import CellEstimates, RequestWeights, ZoneState
+from ironrail.peers.steering.migration import MigrationCandidate, MigrationSelector, assign_zone
+from ironrail.peers.steering.proposal import (
+    DEFAULT_LIMITS,
+    DWELL_PERIODS,
+    ChangeHistory,
+    SteeringProposal,
+    SteeringRows,
+)
+from ironrail.peers.steering.proposal_schedule import ProposalSchedule
+from ironrail.peers.steering.protocol import SteeringProtocol
 from ironrail.peers.steering.regions import Regions
-from ironrail.peers.steering.protocol import RegionsRoom
-from ironrail.peers.steering.report_table import STALE
-from ironrail.peers.steering.status import NoRowsError, TooLargeError, tell
-from ironrail.peers.steering.proposal_schedule import Turn
+from ironrail.peers.steering.report_table import STALE_RENEWALS
+from ironrail.peers.steering.status import NoRowsError, TooLargeError, steering_status
 from ironrail.policy.endpoints import EndpointListKind, EndpointState
 from ironrail.policy.events import EndpointListUpdate
 from ironrail.policy.settings import Settings
@@ -39,18 +45,27 @@
     from ironrail.net.peers.node_identity import NodeIdentity
     from ironrail.net.peers.policies import Policies
 
-TICK = 1.0  # seconds between looks at connections and at what is in force
-LOOKED_AT = 64  # connections a tick, at the most, that might be let go: 0.6 ms where none of them has to
-LEAVING = 30.0  # seconds in which one that is to leave has to ask once more: later it has ended by itself
-CELLS_FOR = 5.0  # seconds for which what is known is not reckoned anew: it changes in 15 at the soonest
-EACH_CELL = 0.05  # seconds more for each cell: one takes 45 us, so this is a thousandth of a core
-MOST_CELLS = 300  # known, up to which rows are proposed here: 45 ms, in which the router does nothing else
+TICK_SECONDS = 1.0  # between checks of connections and of the policy in force
+MAX_CONNECTIONS_PER_TICK = 64  # checked for migration: 0.6 ms if none has to move
+# A migrating connection closes after its next response. The migration is canceled if no request
+# comes within this time: by then the connection usually has ended anyway.
+MIGRATION_TIMEOUT_SECONDS = 30.0
+MIN_CELL_REFRESH_SECONDS = 5.0  # between computations of estimates, which change after 15 s
+REFRESH_SECONDS_PER_CELL = 0.05  # added for each cell: one takes 45 us, so this is 0.1 % of a core
+MAX_CELLS = 300  # for which rows are planned: it takes 45 ms, in which the router does nothing else
 
 log = logging.getLogger(__name__)
 
 
-class Readers:
-    """One router's part in what is known of regions, and in what is done about it."""
+class ClientSteering:
+    """Steers the clients of one router, as a `PeerComponent`.
+
+    Attributes:
+        regions: The region definitions.
+        protocol: The steering protocol.
+        proposal: Result of the latest planning.
+        migrated: Number of connections that were closed for a migration since the start.
+    """
 
     def __init__(
         self,
@@ -58,162 +73,209 @@
         operator: OperatorSettings,
         settings: Settings,
         policies: Policies | None,
-        cut: Callable[[str], bool] | None,
+        is_cut_off: Callable[[str], bool] | None,
     ) -> None:
-        """`cut`: whether a hall is cut off, where a map tells."""
+        """Begin without a policy.
+
+        Args:
+            here: This router's place among its peers.
+            operator: The operator's settings.
+            settings: The router's settings.
+            policies: The policies decided by consensus, if there are voters.
+            is_cut_off: Whether a zone is cut off from the others; None without a zone latency map.
+        """
         assert operator.peers is not None
         self._system, self._policies = here.system, policies
-        self._settings, self._peers, self._halls_of = settings, operator.peers, here.halls
-        self._cut = cut or (lambda hall: False)
-        names, hall_of = here.numbered()
+        self._settings, self._peers, self._zone_of = settings, operator.peers, here.halls
+        self._is_cut_off = is_cut_off or (lambda zone: False)
+        names, zone_numbers = here.numbered()
         now, classes = here.system.now(), tuple(settings.classes)
         self.regions = Regions(operator.regions)
-        self.room = RegionsRoom(now, here.me, here.start, self.regions, names, hall_of, classes, here.draws)
-        self._evidence = Evidence(here.system, self.regions, self.room, settings)
-        self._worth = Worth({name: known.priority_weight for name, known in settings.classes.items()})
-        self._list, self._carrier = Servers(), Carrier(here.halls[here.me], now)
-        self._turn: Turn | None = None
+        self.protocol = SteeringProtocol(
+            now, here.me, here.start, self.regions, names, zone_numbers, classes, here.draws
+        )
+        self._evidence = Evidence(here.system, self.regions, self.protocol, settings)
+        self._weights = RequestWeights(
+            {name: known.priority_weight for name, known in settings.classes.items()}
+        )
+        self._servers, self._selector = ServerInventory(), MigrationSelector(here.halls[here.me], now)
+        self._schedule: ProposalSchedule | None = None
         voters = sorted(operator.peers.voters)
         if operator.peers.steering_interval and here.me in voters:
-            every = operator.peers.steering_interval
-            self._turn = Turn(now, voters.index(here.me), len(voters), every)
-            self.room.past = Past(DWELLS * every)
-        self._versions: tuple[int, ...] = ()  # in force, as last looked at
-        self._rows: Rows = {}
-        self._since = now
-        self._cells: Cells = {}
+            interval = operator.peers.steering_interval
+            self._schedule = ProposalSchedule(now, voters.index(here.me), len(voters), interval)
+            self.protocol.history = ChangeHistory(DWELL_PERIODS * interval)
+        self._versions: tuple[int, ...] = ()  # in force at the last check
+        self._rows: SteeringRows = {}
+        self._in_force_since = now
+        self._cells: CellEstimates = {}
         self._cells_at = -math.inf
-        self.proposal: Proposal | None = None  # what came of the latest look
+        self.proposal: SteeringProposal | None = None
         self._refused: IronrailError | None = None
-        self.let_go = 0  # connections, since the start
+        self.migrated = 0
         self._clients: ClientListener | None = None
-        self._to_move = deque["ClientConnection"]()
-        self._leaving: dict[ClientConnection, tuple[str, float]] = {}  # to which hall, since when
+        self._unchecked = deque["ClientConnection"]()
+        # Target zone and start of the migration.
+        self._migrating: dict[ClientConnection, tuple[str, float]] = {}
         self._timer: asyncio.TimerHandle | None = None
 
     def serve(self, clients: ClientListener) -> None:
-        """Those whose requests come to this router."""
+        """Begin to steer the clients of a listener."""
         self._clients = clients
         clients.context.identify_reader = self._evidence.one
-        self._timer = asyncio.get_running_loop().call_later(TICK, self._tick)
+        self._timer = asyncio.get_running_loop().call_later(TICK_SECONDS, self._tick)
 
     def close(self) -> None:
+        """Cancel the timer."""
         if self._timer is not None:
             self._timer.cancel()
 
     def settled(self) -> None:
-        """After each event: nothing that could not wait for the next tick."""
+        """Do nothing after an event: all work can wait for the next tick."""
 
-    def servers(self, news: EndpointListUpdate) -> None:
-        """The list of servers, or news of it."""
-        if news.kind in (EndpointListKind.DELTA, EndpointListKind.FULL, EndpointListKind.CACHED):
+    def update_servers(self, update: EndpointListUpdate) -> None:
+        """Apply the list of servers or a change of it."""
+        if update.kind in (EndpointListKind.DELTA, EndpointListKind.FULL, EndpointListKind.CACHED):
             origin = self._settings.origin_kind
             found = [
-                (e.name, Server(e.zone, e.weight, e.started_at) if e.state is EndpointState.READY else None)
-                for e in news.endpoints
+                (
+                    e.name,
+                    ServerInfo(e.zone, e.weight, e.started_at) if e.state is EndpointState.READY else None,
+                )
+                for e in update.endpoints
                 if origin is None or e.kind != origin
             ]
-            self._list.take(news.kind is not EndpointListKind.DELTA, found)
+            self._servers.update(update.kind is not EndpointListKind.DELTA, found)
 
-    # What is in force, and what is done
+    # Policy in force, migrations and proposals
 
     def _tick(self) -> None:
-        self._timer = asyncio.get_running_loop().call_later(TICK, self._tick)  # whatever becomes of this one
+        # Scheduled first, so that the timer survives an exception below.
+        self._timer = asyncio.get_running_loop().call_later(TICK_SECONDS, self._tick)
         now, clients = self._system.now(), self._clients
         assert clients is not None
         self._evidence.measure(clients)
-        self._follow(now)
+        self._update_rows(now)
         if self._rows and not clients.sessions.is_draining:
-            self._move(now, clients)
-        if self._turn is not None and self._turn.due(now):
-            self._steer(now)
+            self._migrate_connections(now, clients)
+        if self._schedule is not None and self._schedule.poll(now):
+            self._propose(now)
 
-    def _follow(self, now: float) -> None:
+    def _update_rows(self, now: float) -> None:
         if self._policies is None:
             return
         decided = self._policies.in_force()
         if decided.versions == self._versions:
             return
-        self._versions, self._since = decided.versions, now
-        # by the floor nobody is moved; between two policies only those whose row both have
+        self._versions, self._in_force_since = decided.versions, now
+        # The fallback policy moves no clients. Between two policies only rows that both have are in
+        # force.
         self._rows = decided.policy.steering if decided.policy is not None and decided.versions else {}
-        for connection in list(self._leaving):  # by rows that are not in force any more
-            self._stays(connection)
+        for connection in list(self._migrating):  # started by rows that are no longer in force
+            self._cancel_migration(connection)
         if len(decided.versions) == 1:
-            self.room.in_force(now, self._rows)
-        if self._turn is not None:
-            self._turn.changed(now)
+            self.protocol.record_rows_in_force(now, self._rows)
+        if self._schedule is not None:
+            self._schedule.restart(now)
 
-    def _known(self, now: float) -> tuple[Cells, dict[str, Hall]]:
-        if now - self._cells_at >= CELLS_FOR + EACH_CELL * len(self._cells):
-            self._cells, self._cells_at = self.room.cells(now), now
+    def _current_state(self, now: float) -> tuple[CellEstimates, dict[str, ZoneState]]:
+        if now - self._cells_at >= MIN_CELL_REFRESH_SECONDS + REFRESH_SECONDS_PER_CELL * len(self._cells):
+            self._cells, self._cells_at = self.protocol.cell_estimates(now), now
         policy = self._policies.in_force().policy if self._policies is not None else None
-        emptied = policy.emptied if policy is not None else ()
-        silent = STALE * self.room.table.renewal
-        return self._cells, halls_now(
+        emptied_zones = policy.emptied if policy is not None else ()
+        max_report_age = STALE_RENEWALS * self.protocol.table.renewal_seconds
+        return self._cells, zone_states(
             now,
-            self._halls_of,
-            self._list,
+            self._zone_of,
+            self._servers,
             self._cells,
             self._peers.requests_per_weight,
-            emptied,
+            emptied_zones,
             self._settings.slow_start_duration,
-            self._cut,
-            silent,
+            self._is_cut_off,
+            max_report_age,
         )
 
-    def _move(self, now: float, clients: ClientListener) -> None:
-        """Have resting connections end whose clients the rows give to another hall: behind their next answer.
+    def _migrate_connections(self, now: float, clients: ClientListener) -> None:
+        """Close idle connections of clients whose assigned zone is another one.
 
-        Then no client that waits for an answer before it asks again can have asked meanwhile.
+        They close after their next response. A client that waits for each response before it sends the next request can't have sent one
+        meanwhile, so none is lost.
         """
-        _, halls = self._known(now)
-        takes = takes_more(halls)
-        for connection, (to, since) in list(self._leaving.items()):
-            gone = connection.is_closing
-            self.let_go += gone and (connection.close_reason is ClientCloseReason.MIGRATED)
-            if gone or now - since >= LEAVING or not takes.get(to, False):
-                self._stays(connection)
-        if not self._to_move:
-            self._to_move.extend(clients.open_connections())
-        resting: list[Resting] = []
-        looked = [self._to_move.popleft() for _ in range(min(LOOKED_AT, len(self._to_move)))]
-        for number, connection in enumerate(looked):
-            one, at = connection.reader, connection.session
-            if isinstance(one, One) and one.region in self._rows and connection not in self._leaving:
-                owed = not at.is_idle or not at.has_been_used or at.responses_unread_since is not None
-                resting.append(
-                    Resting(number, one.region, one.client, owed, now - at.last_received_at, one.opened)
+        _, zones = self._current_state(now)
+        accepting_zones = find_accepting_zones(zones)
+        for connection, (target, since) in list(self._migrating.items()):
+            is_closed = connection.is_closing
+            self.migrated += is_closed and (connection.close_reason is ClientCloseReason.MIGRATED)
+            if (
+                is_closed
+                or now - since >= MIGRATION_TIMEOUT_SECONDS
+                or not accepting_zones.get(target, False)
+            ):
+                self._cancel_migration(connection)
+        if not self._unchecked:
+            self._unchecked.extend(clients.open_connections())
+        candidates: list[MigrationCandidate] = []
+        checked = [
+            self._unchecked.popleft() for _ in range(min(MAX_CONNECTIONS_PER_TICK, len(self._unchecked)))
+        ]
+        for number, connection in enumerate(checked):
+            client, session = connection.reader, connection.session
+            if isinstance(client, One) and client.region in self._rows and connection not in self._migrating:
+                is_busy = (
+                    not session.is_idle
+                    or not session.has_been_used
+                    or session.responses_unread_since is not None
+                )
+                candidates.append(
+                    MigrationCandidate(
+                        number,
+                        client.region,
+                        client.client,
+                        is_busy,
+                        now - session.last_received_at,
+                        client.opened,
+                    )
                 )
-        if not resting:
+        if not candidates:
             return
-        by_number = {one.number: one for one in resting}
-        for number in self._carrier.let_go(now, self._rows, resting, takes):
-            which, connection = by_number[number], looked[number]
+        by_number = {candidate.number: candidate for candidate in candidates}
+        for number in self._selector.select(now, self._rows, candidates, accepting_zones):
+            candidate, connection = by_number[number], checked[number]
             connection.session.start_migration()
-            self._leaving[connection] = place(self._rows[which.region], which.client) or "", now
+            self._migrating[connection] = (
+                assign_zone(self._rows[candidate.region], candidate.client) or "",
+                now,
+            )
 
-    def _stays(self, connection: ClientConnection) -> None:
+    def _cancel_migration(self, connection: ClientConnection) -> None:
         connection.session.cancel_migration()
-        del self._leaving[connection]
+        del self._migrating[connection]
 
-    def _steer(self, now: float) -> None:
-        """Propose rows, if there are better ones."""
+    def _propose(self, now: float) -> None:
+        """Propose better rows if there are any."""
         assert self._policies is not None
         decided = self._policies.in_force()
         if len(decided.versions) != 1 or decided.policy is None:
-            return  # a change is under way, or none can be
+            return  # another change is under way, or none is possible
         policy = decided.policy
         rest = msgspec.structs.replace(policy, steering={}, version=p.MOST_VERSION)
-        most = min(USUAL.most_bytes, p.MOST_DOCUMENT - len(p.encode(rest)) - 2)
-        bounds = replace(USUAL, explore=self._peers.exploration_ratio, most_bytes=most)
-        cells, halls = self._known(now)
-        if len(cells) > MOST_CELLS:
-            self._refused = TooLargeError(f"{len(cells)} regions at halls, {MOST_CELLS} may be", "steering")
+        max_rows_bytes = min(DEFAULT_LIMITS.max_rows_bytes, p.MOST_DOCUMENT - len(p.encode(rest)) - 2)
+        limits = replace(
+            DEFAULT_LIMITS, exploration_ratio=self._peers.exploration_ratio, max_rows_bytes=max_rows_bytes
+        )
+        cells, zones = self._current_state(now)
+        if len(cells) > MAX_CELLS:
+            self._refused = TooLargeError(
+                f"{len(cells)} pairs of region and zone are known, at most {MAX_CELLS} can be planned for",
+                "steering",
+            )
             return
-        # what was measured at a hall holds its ways to caches already
-        links = dict.fromkeys(halls, 0.0)
-        self.proposal = found = self.room.propose(now, policy.steering, halls, links, self._worth, bounds)
+        # The service times measured in a zone include the links to its caches.
+        links = dict.fromkeys(zones, 0.0)
+        self.proposal = found = self.protocol.propose(
+            now, policy.steering, zones, links, self._weights, limits
+        )
         self._refused = None
         if found.rows is None:
             return
@@ -223,34 +285,41 @@
             self._refused = e
             log.info("steering_refused", extra={"error": e.with_advice()})
             return
-        told = {"version": ticket.ref.version, "reason": found.reason.value, "moved": round(found.moved, 3)}
-        log.info("steering_proposed", extra=told)
+        fields = {
+            "version": ticket.ref.version,
+            "reason": found.reason.value,
+            "moved": round(found.moved_rate, 3),
+        }
+        log.info("steering_proposed", extra=fields)
 
-    # The operators' door
+    # Admin endpoint
 
     def pages(self) -> dict[str, Handler]:
+        """Return the pages of the admin endpoint."""
         return {"/-/regions": self._page}
 
     def _page(self) -> Response:
-        """Rows in force and what is known, as JSON; 503 where there are no rows."""
+        """Return the rows in force and the data behind them as JSON; status 503 without rows."""
         now = self._system.now()
-        self._follow(now)
-        cells, halls = self._known(now)
-        told = tell(
+        self._update_rows(now)
+        cells, zones = self._current_state(now)
+        document = steering_status(
             self._versions,
-            now - self._since,
+            now - self._in_force_since,
             self._rows,
             cells,
-            halls,
+            zones,
             tuple(self._settings.classes),
             now - self._cells_at,
         )
-        error = None if self._rows else NoRowsError.of(self._policies is not None, self._versions)
+        error = None if self._rows else NoRowsError.for_versions(self._policies is not None, self._versions)
         if error is not None:
-            told["error"] = {"type": type(error).__name__, "told": error.with_advice()}
+            document["error"] = {"type": type(error).__name__, "told": error.with_advice()}
         if self.proposal is not None:
-            told["looked"] = {"reason": self.proposal.reason.value, "moved": self.proposal.moved}
+            document["looked"] = {"reason": self.proposal.reason.value, "moved": self.proposal.moved_rate}
         if self._refused is not None:
-            told["refused"] = {"type": type(self._refused).__name__, "told": self._refused.with_advice()}
-        told["let_go"] = self.let_go
-        return Response(200 if error is None else 503, orjson.dumps(told, option=orjson.OPT_INDENT_2) + b"\n")
+            document["refused"] = {"type": type(self._refused).__name__, "told": self._refused.with_advice()}
+        document["let_go"] = self.migrated
+        return Response(
+            200 if error is None else 503, orjson.dumps(document, option=orjson.OPT_INDENT_2) + b"\n"
+        )
--- a/ironrail/net/peers/link_evidence.py
+++ b/ironrail/net/peers/link_evidence.py
@@ -9,8 +9,8 @@
 
 from ironrail.access_log.record import RequestOutcome
 from ironrail.net.system import System
+from ironrail.peers.steering.protocol import SteeringProtocol
 from ironrail.peers.steering.regions import Regions
-from ironrail.peers.steering.protocol import RegionsRoom
 from ironrail.policy.settings import Settings
 
 if TYPE_CHECKING:
@@ -28,7 +28,7 @@
 
     def __init__(self, evidence: Evidence, client: str, now: float) -> None:
         self._evidence, self.client, self.opened = evidence, client, now
-        self.region = evidence.regions.name(client)
+        self.region = evidence.regions.lookup_name(client)
         self.rtt, self.looked = 0.0, now  # seconds, 0 if not known yet
 
     def time_left(self, left: float) -> float:
@@ -41,7 +41,7 @@
 class Evidence:
     """Takes note of round trips and of requests that end."""
 
-    def __init__(self, system: System, regions: Regions, room: RegionsRoom, settings: Settings) -> None:
+    def __init__(self, system: System, regions: Regions, room: SteeringProtocol, settings: Settings) -> None:
         self._system, self.regions, self._room = system, regions, room
         self._classes = settings.classes
         self._waiting = deque["ClientConnection"]()
@@ -59,7 +59,7 @@
         served, early = ended is RequestOutcome.SERVED, ended is RequestOutcome.CLIENT_DISCONNECTED
         in_time = served and seconds + one.rtt <= self._classes[request_class].latency_objective
         took = seconds if served or early else math.inf
-        self._room.served(self._system.now(), one.region, request_class, took, in_time, early)
+        self._room.record_request(self._system.now(), one.region, request_class, took, in_time, early)
 
     def measure(self, clients: ClientListener) -> None:
         """Round trips of a few connections in turn, of those on which something came since the last look."""
@@ -74,7 +74,7 @@
             seconds = self._system.round_trip(connection.transport)
             if seconds is not None:
                 one.rtt, one.looked = seconds, now
-                self._room.client_rtt(now, one.region, seconds)
+                self._room.record_client_rtt(now, one.region, seconds)
             asked += 1
             if asked == ROUND_TRIPS:
                 break
--- a/ironrail/net/peers/runtime.py
+++ b/ironrail/net/peers/runtime.py
@@ -20,12 +20,12 @@
 from ironrail.net.upstream.connection import LinkObserver
 from ironrail.operator_file import OperatorError, OperatorSettings
 from ironrail.peers.messages import PeerProtocol
-from ironrail.peers.steering.capacity import cut_off
+from ironrail.peers.steering.capacity import is_zone_cut_off
 from ironrail.policy.events import EndpointListUpdate, PolicyOverridesChanged, ZoneLinksChanged
 
 if TYPE_CHECKING:
     from ironrail.net.downstream.client_listener import ClientListener
-    from ironrail.net.peers.client_steering import Readers
+    from ironrail.net.peers.client_steering import ClientSteering
     from ironrail.net.peers.zone_latency import HallsMap
 
 
@@ -33,7 +33,7 @@
     """Something a router does with others, besides accords: drives a room of its own."""
 
     @property
-    def room(self) -> PeerProtocol:
+    def protocol(self) -> PeerProtocol:
         """What it drives."""
 
     def settled(self) -> None:
@@ -87,7 +87,7 @@
             )
             self.peering.add(self.policies.room)
         self.parts: list[PeerComponent] = []
-        self.readers: Readers | None = None
+        self.readers: ClientSteering | None = None
         here = NodeIdentity(me, start, system, peers.zones, random.Random(config.seed))
         self.halls: HallsMap | None = None
         cut = None  # whether a hall is cut off from others, as far as the map tells
@@ -96,14 +96,14 @@
 
             self.halls = HallsMap(here, guide)
             self.parts.append(self.halls)
-            cut = partial(cut_off, self.halls.estimate, here.numbered()[0], system.now)
+            cut = partial(is_zone_cut_off, self.halls.estimate, here.numbered()[0], system.now)
         if operator.regions:
-            from ironrail.net.peers.client_steering import Readers  # noqa: PLC0415 - only where they are wanted
+            from ironrail.net.peers.client_steering import ClientSteering  # noqa: PLC0415 - only where they are wanted
 
-            self.readers = Readers(here, operator, config.settings, self.policies, cut)
+            self.readers = ClientSteering(here, operator, config.settings, self.policies, cut)
             self.parts.append(self.readers)
         for part in self.parts:
-            self.peering.add(part.room)
+            self.peering.add(part.protocol)
         # of voters only by those who speak with them: they answer 25 a second
         self._meet = self.policies.room.path.sources(system.now()) if self.policies is not None else ()
 
@@ -115,7 +115,7 @@
     def servers(self, news: EndpointListUpdate) -> None:
         """Discovery has told something of the list of servers."""
         if self.readers is not None:
-            self.readers.servers(news)
+            self.readers.update_servers(news)
 
     async def open(self) -> None:
         """Listen to the others; OSError where that can't be done."""
--- a/ironrail/net/peers/zone_latency.py
+++ b/ironrail/net/peers/zone_latency.py
@@ -56,7 +56,7 @@
         self._system, self._tell = here.system, tell
         self._names, hall_of = here.numbered()
         self._map = LatencyRoom(here.system.now(), here.me, here.start, self._names, hall_of, here.draws)
-        self.room = Echoing(self._map, hall_of)
+        self.protocol = Echoing(self._map, hall_of)
         self.estimate = self._map.estimate
         self._seen = HallsSeen(0, self._names[hall_of[here.me]], ())
 
--- a/ironrail/peers/steering/__init__.py
+++ b/ironrail/peers/steering/__init__.py
@@ -1,1 +1,1 @@
-"""Where each region's readers are best served, and how they are brought there."""
+"""Steering of clients: finds the zone that serves each region best, and moves connections there."""
--- a/ironrail/peers/steering/capacity.py
+++ b/ironrail/peers/steering/capacity.py
@@ -1,8 +1,9 @@
-"""What a router knows of halls' room, load and standing: the list of servers, and what regions tell. Pure.
+"""Capacity, load and status of each zone, from the list of servers and the reports on regions.
 
-Nobody tells how many requests a second a hall can do. The operator says it of one unit of a server's weight,
-and the list has the weights. Not known: what routers themselves can do, what other work a server has, and
-that a hall whose readers and routers are silent at once is lost, unless its servers leave the list.
+No server announces how many requests/s it can handle. The operator configures it per unit of a
+server's weight, and the list of servers has the weights. Limitations: the capacity of the routers
+themselves and other work of a server are unknown, and a zone whose clients and routers go silent at
+the same time is only recognized as lost when its servers leave the list. No I/O.
 """
 
 from __future__ import annotations
@@ -10,69 +11,106 @@
 from collections.abc import Callable, Collection, Iterable, Mapping, Sequence
 from typing import NamedTuple
 
-from ironrail.peers.steering.cost_model import Cells, Hall, Standing
-from ironrail.peers.steering.proposal import USUAL
+from ironrail.peers.steering.cost_model import CellEstimates, ZoneState, ZoneStatus
+from ironrail.peers.steering.proposal import DEFAULT_LIMITS
 from ironrail.peers.zone_latency.sight import Link
 from ironrail.peers.zone_latency.table import Estimate
 
-COLD = 0.5  # of a hall's weight that has just started, from which on nobody more is brought there
+# A zone is cold if more than this fraction of its weight has just started: its clients stay, no
+# others are moved there.
+COLD_WEIGHT_FRACTION = 0.5
 
 
-class Server(NamedTuple):
-    """A server that is in service."""
+class ServerInfo(NamedTuple):
+    """A server in service.
 
-    hall: str
+    Attributes:
+        zone: Its zone.
+        weight: Its weight.
+        started_at: When it started, on this router's clock; 0 if long ago.
+    """
+
+    zone: str
     weight: float
-    since: float  # of its start, on the router's clock; 0 is long ago
+    started_at: float
 
 
-class Servers:
-    """Those in service, as the list has them."""
+class ServerInventory:
+    """The servers in service, by the list of servers.
+
+    Attributes:
+        has_list: Whether a complete list was received.
+    """
 
     def __init__(self) -> None:
-        self._there: dict[str, Server] = {}
-        self.known = False  # whether a list was ever read
-
-    def take(self, whole: bool, news: Iterable[tuple[str, Server | None]]) -> None:
-        """News by name, None of one that is not in service; `whole`: all others are gone."""
-        if whole:
-            self._there.clear()
-        self.known = self.known or whole
-        for name, server in news:
+        self._servers: dict[str, ServerInfo] = {}
+        self.has_list = False
+
+    def update(self, is_complete: bool, changes: Iterable[tuple[str, ServerInfo | None]]) -> None:
+        """Apply changes.
+
+        Args:
+            is_complete: Whether all servers that aren't named are gone.
+            changes: Servers by name; None for one that is out of service.
+        """
+        if is_complete:
+            self._servers.clear()
+        self.has_list = self.has_list or is_complete
+        for name, server in changes:
             if server is None:
-                self._there.pop(name, None)
+                self._servers.pop(name, None)
             else:
-                self._there[name] = server
+                self._servers[name] = server
 
-    def weight(self, hall: str, after: float = -1.0) -> float:
-        """Of the hall's servers that started after this time."""
-        return sum(s.weight for s in self._there.values() if s.hall == hall and s.since > after)
+    def weight(self, zone: str, started_after: float = -1.0) -> float:
+        """Return the total weight of a zone's servers that started after a time."""
+        return sum(
+            s.weight for s in self._servers.values() if s.zone == zone and s.started_at > started_after
+        )
 
 
-def standing(now: float, servers: Servers, hall: str, ramp: float) -> Standing:
-    """By the list alone. `ramp`: seconds that a server is cold after its start."""
-    whole = servers.weight(hall)
-    if not whole:
-        return Standing.CLOSED if servers.known else Standing.COLD
-    young = servers.weight(hall, max(0.0, now - ramp))
-    return Standing.COLD if young > COLD * whole else Standing.OPEN
+def zone_status(now: float, servers: ServerInventory, zone: str, slow_start: float) -> ZoneStatus:
+    """Return a zone's status by its servers alone.
+
+    Args:
+        now: Time on this router's clock.
+        servers: The servers in service.
+        zone: The zone.
+        slow_start: Seconds after its start for which a server counts as cold.
+    """
+    total = servers.weight(zone)
+    if not total:
+        return ZoneStatus.CLOSED if servers.has_list else ZoneStatus.COLD
+    cold = servers.weight(zone, max(0.0, now - slow_start))
+    return ZoneStatus.COLD if cold > COLD_WEIGHT_FRACTION * total else ZoneStatus.OPEN
 
 
-def halls_now(
+def zone_states(
     now: float,
-    hall_of: Sequence[str],
-    servers: Servers,
-    cells: Cells,
-    per_weight: float,
-    emptied: Collection[str] = (),
-    ramp: float = 0.0,
-    cut: Callable[[str], bool] = lambda hall: False,
-    silent: float = float("inf"),
-) -> dict[str, Hall]:
-    """All halls. `hall_of`: each router's; `per_weight`: requests/s of one unit; `emptied`: by the policy.
-
-    `cut`: whether the hall is cut off from others, `silent`: seconds after which its latest word is too old:
-    such halls keep what they have and get nothing, as nobody knows whether readers reach them.
+    zone_of: Sequence[str],
+    servers: ServerInventory,
+    cells: CellEstimates,
+    rate_per_weight: float,
+    emptied_zones: Collection[str] = (),
+    slow_start: float = 0.0,
+    is_cut_off: Callable[[str], bool] = lambda zone: False,
+    max_report_age: float = float("inf"),
+) -> dict[str, ZoneState]:
+    """Return the state of all zones.
+
+    A zone that is cut off or without recent reports keeps its clients and gets no more, as it is
+    unknown whether clients can reach it.
+
+    Args:
+        now: Time on this router's clock.
+        zone_of: Zone of each router.
+        servers: The servers in service.
+        cells: What is known of regions in zones.
+        rate_per_weight: Requests/s that a server can handle per unit of weight.
+        emptied_zones: Zones that the policy empties.
+        slow_start: Seconds after its start for which a server counts as cold.
+        is_cut_off: Whether a zone is cut off from the others.
+        max_report_age: Seconds after which a zone's latest report is too old.
     """
     load: dict[str, float] = {}
     age: dict[str, float] = {}
@@ -80,32 +118,38 @@
         load[name] = load.get(name, 0.0) + cell.rate
         age[name] = min(age.get(name, cell.age), cell.age)
     found = {}
-    for hall in sorted(set(hall_of)):
-        state = Standing.CLOSED if hall in emptied else standing(now, servers, hall, ramp)
-        if state is Standing.OPEN and (cut(hall) or age.get(hall, 0.0) > silent):
-            state = Standing.COLD
-        room = per_weight * servers.weight(hall)
-        found[hall] = Hall(room, load.get(hall, 0.0), state, list(hall_of).count(hall))
+    for zone in sorted(set(zone_of)):
+        status = ZoneStatus.CLOSED if zone in emptied_zones else zone_status(now, servers, zone, slow_start)
+        if status is ZoneStatus.OPEN and (is_cut_off(zone) or age.get(zone, 0.0) > max_report_age):
+            status = ZoneStatus.COLD
+        capacity = rate_per_weight * servers.weight(zone)
+        found[zone] = ZoneState(capacity, load.get(zone, 0.0), status, list(zone_of).count(zone))
     return found
 
 
-def cut_off(
-    estimate: Callable[[float, int, int], Estimate], halls: Sequence[str], now: Callable[[], float], hall: str
+def is_zone_cut_off(
+    estimate: Callable[[float, int, int], Estimate], zones: Sequence[str], now: Callable[[], float], zone: str
 ) -> bool:
-    """Whether more than half of the links between this hall and others, of those known, are cut.
-
-    `estimate`: the map's, of the halls by their place in `halls`.
+    """Whether more than half of the known links between a zone and the others are cut.
+
+    Args:
+        estimate: Estimates the latency at a time, from a zone to another, by their places in
+            `zones`.
+        zones: All zones.
+        now: Returns the time on this router's clock.
+        zone: The zone.
     """
-    at, me = now(), halls.index(hall)
-    ways = [way for n in range(len(halls)) if n != me for way in ((me, n), (n, me))]
-    states = [estimate(at, *way).state for way in ways]
+    at, own = now(), zones.index(zone)
+    links = [link for n in range(len(zones)) if n != own for link in ((own, n), (n, own))]
+    states = [estimate(at, *link).state for link in links]
     known = [state for state in states if state is not Link.UNKNOWN]
     return 2 * known.count(Link.CUT) > len(known)
 
 
-def takes(halls: Mapping[str, Hall]) -> dict[str, bool]:
-    """Halls that connections may be let go to: open, and not at their limit."""
+def accepting_zones(zones: Mapping[str, ZoneState]) -> dict[str, bool]:
+    """Return whether each zone accepts more clients: it is open and below the overload limit."""
     return {
-        name: hall.standing is Standing.OPEN and hall.load < USUAL.crowded * hall.room
-        for name, hall in halls.items()
+        name: zone.status is ZoneStatus.OPEN
+        and zone.load < DEFAULT_LIMITS.overload_utilization * zone.capacity
+        for name, zone in zones.items()
     }
--- a/ironrail/peers/steering/cost_model.py
+++ b/ironrail/peers/steering/cost_model.py
@@ -1,7 +1,8 @@
-"""How long an answer takes a region's readers at each hall, worth weighed; unknown is infinite. Pure.
+"""The expected response time of a region's clients in each zone, weighted; infinite if unknown.
 
-What one more request costs at a hall is its own time and what it makes the others there wait. Service is
-taken to grow with load as in a queue, as 1 / (1 - load / room), so that cost grows as the square of that.
+The cost of one more request in a zone is its own time plus the time by which it delays the other
+requests there. Service time is assumed to grow with load as in a queue, as
+1 / (1 - load / capacity), so the marginal cost grows with the square of that. No I/O.
 """
 
 from __future__ import annotations
@@ -12,148 +13,190 @@
 from enum import IntEnum
 from typing import NamedTuple
 
-from ironrail.peers.steering.report_table import Cell
+from ironrail.peers.steering.report_table import CellEstimate
 
-FRESH = 300.0  # seconds by which a region's own figures of service may be older than the hall's youngest
-TAIL = 0.125  # of the way from median to tail where the mean lies: 0.10 to 0.16 in lognormals, sigma 0.5 to 1
-MISSED = 0.5  # seconds that a request not answered in its wanted time counts as, beyond those it took
-LEAST_OWN = 1.0  # requests/s at a router from which on a region's own service is told from chance: 80 samples
-MOST_FULL = 0.9  # of a hall's room, beyond which the queue's formula says nothing
-LEAST_WITNESSES = 2  # of a hall to which somebody is moved, where it has that many routers
+# A region's own service times are used unless they are older than the zone's latest by more than
+# this.
+MAX_AGE_LAG_SECONDS = 300.0
+# Where the mean lies between median and tail: 0.10 to 0.16 in lognormal distributions with sigma
+# 0.5 to 1.
+MEAN_POSITION_FRACTION = 0.125
+LATE_PENALTY_SECONDS = 0.5  # added to the time of a request that misses its latency objective
+# Requests/s per router. At lower rates a region's own service time can't be told from chance; this
+# one gives about 80 samples.
+MIN_REGION_RATE_PER_ROUTER = 1.0
+MAX_UTILIZATION = 0.9  # of a zone's capacity; the queueing formula does not hold beyond it
+MIN_REPORTERS = 2  # of a zone to which clients are moved, if it has that many routers
 
-Cells = Mapping[tuple[str, str], Cell]  # by region and hall
+CellEstimates = Mapping[tuple[str, str], CellEstimate]  # by region and zone
 
 
-class Standing(IntEnum):
-    """What may be brought to a hall."""
+class ZoneStatus(IntEnum):
+    """Whether clients may be moved to a zone, by what is known of it."""
 
     OPEN = 0
-    COLD = 1  # keeps what it has, gets nothing
-    CLOSED = 2  # emptied, cut or lost: what is there must go
+    COLD = 1  # keeps its clients, gets no more
+    CLOSED = 2  # emptied by the policy or without servers: its clients have to leave
 
 
 @dataclass(frozen=True, slots=True)
-class Hall:
-    """What is known of a hall now, handed in by whoever counts its servers."""
+class ZoneState:
+    """The current state of a zone.
 
-    room: float  # requests/s that it can do
-    load: float  # requests/s that it has, of all regions
-    standing: Standing = Standing.OPEN
-    routers: int = 1
+    Attributes:
+        capacity: Requests/s that its servers can handle.
+        load: Requests/s that it gets from all regions.
+        status: Whether clients may be moved there.
+        num_routers: Number of its routers.
+    """
 
+    capacity: float
+    load: float
+    status: ZoneStatus = ZoneStatus.OPEN
+    num_routers: int = 1
 
-NOWHERE = Hall(0.0, 0.0, Standing.CLOSED)
+
+CLOSED_ZONE = ZoneState(0.0, 0.0, ZoneStatus.CLOSED)
 
 
 @dataclass(frozen=True)
-class Worth:
-    """What a request is worth: its class's times what the region's readers read, by title. 1 if not named."""
+class RequestWeights:
+    """Weights of requests: that of the class times that of the titles that a region's clients read.
+
+    Attributes:
+        classes: Weight by request class; 1 if it is missing.
+        titles: Weight by title; 1 if it is missing.
+        title_shares: Share of each title in the requests of a region, by region.
+    """
 
     classes: Mapping[str, float] = field(default_factory=dict)
     titles: Mapping[str, float] = field(default_factory=dict)
-    reads: Mapping[str, Mapping[str, float]] = field(default_factory=dict)  # region -> title -> share
+    title_shares: Mapping[str, Mapping[str, float]] = field(default_factory=dict)
+
+    def of_region(self, region: str) -> float:
+        """Return the weight of a region by its titles; 1 if none of them is known."""
+        shares = self.title_shares.get(region, {})
+        rest = max(0.0, 1.0 - sum(shares.values()))
+        return rest + sum(share * self.titles.get(title, 1.0) for title, share in sorted(shares.items()))
+
 
-    def of(self, region: str) -> float:
-        """Of the region's reading against that of one whose titles aren't named."""
-        reads = self.reads.get(region, {})
-        rest = max(0.0, 1.0 - sum(reads.values()))
-        return rest + sum(share * self.titles.get(title, 1.0) for title, share in sorted(reads.items()))
+EQUAL_WEIGHTS = RequestWeights()
 
 
-EQUAL = Worth()
+class ZoneCost(NamedTuple):
+    """The expected time of a region's requests in a zone.
 
+    Attributes:
+        fixed: Seconds that don't depend on the load.
+        idle: Seconds of service without load.
+    """
 
-class Way(NamedTuple):
-    """A region's time at a hall: what stays, and the service that there would be at no load."""
+    fixed: float
+    idle: float
 
-    fixed: float  # seconds
-    idle: float  # seconds
+    def marginal(self, load: float, capacity: float) -> float:
+        """Return the seconds that one more request costs all clients at this load of the zone."""
+        return self.fixed + self.idle / (1.0 - _utilization(load, capacity)) ** 2
 
-    def marginal(self, load: float, room: float) -> float:
-        """Seconds that one more request costs all readers, at this load of the hall."""
-        return self.fixed + self.idle / (1.0 - _full(load, room)) ** 2
 
+UNKNOWN_COST = ZoneCost(math.inf, math.inf)
 
-NO_WAY = Way(math.inf, math.inf)
 
+class CostModel:
+    """Estimates the time from a client's request to its response, in each zone.
 
-class Expected:
-    """Time to the reader: way to the hall, way from there to its caches, service, and what comes late."""
+    It is the sum of the round trip to the zone, the round trip from there to its caches, the
+    service time, and a penalty for late responses.
+    """
 
     def __init__(
         self,
-        cells: Cells,
+        cells: CellEstimates,
         links: Mapping[str, float],
-        halls: Mapping[str, Hall],
+        zones: Mapping[str, ZoneState],
         classes: tuple[str, ...],
-        worth: Worth,
+        weights: RequestWeights,
     ) -> None:
-        """`links`: seconds from a hall to caches that its measured service does not hold; infinite or absent
-        if unknown. `classes`: by number, as in cells."""
-        self._cells, self._links, self._halls = cells, links, halls
-        self._worths = [worth.classes.get(name, 1.0) for name in classes]
-        by_hall: dict[str, list[Cell]] = {}
-        for (_, hall), cell in sorted(cells.items(), key=lambda item: item[0]):
-            by_hall.setdefault(hall, []).append(cell)
-        self._youngest = {hall: min(cell.age for cell in there) for hall, there in by_hall.items()}
-        self._general = {
-            hall: self._service([cell for cell in there if self._fresh(hall, cell)])
-            for hall, there in by_hall.items()
+        """Prepare the service times of each zone.
+
+        Args:
+            cells: What is known of regions in zones.
+            links: Seconds from a zone to its caches that the measured service time does not
+                include; a missing or infinite value is unknown.
+            zones: State of each zone.
+            classes: Request classes by number, as in `cells`.
+            weights: Weights of requests.
+        """
+        self._cells, self._links, self._zones = cells, links, zones
+        self._class_weights = [weights.classes.get(name, 1.0) for name in classes]
+        by_zone: dict[str, list[CellEstimate]] = {}
+        for (_, zone), cell in sorted(cells.items(), key=lambda item: item[0]):
+            by_zone.setdefault(zone, []).append(cell)
+        self._youngest_age = {zone: min(cell.age for cell in there) for zone, there in by_zone.items()}
+        self._zone_service = {
+            zone: self._service([cell for cell in there if self._is_recent(zone, cell)])
+            for zone, there in by_zone.items()
         }
 
-    def mix(self, region: str) -> list[float]:
-        """Of the worth of the region's requests each class's part, wherever they are served."""
-        found = [0.0] * len(self._worths)
-        for hall in sorted(self._halls):
-            cell = self._cells.get((region, hall))
+    def class_mix(self, region: str) -> list[float]:
+        """Return each class's weighted rate of the region's requests in all zones together."""
+        found = [0.0] * len(self._class_weights)
+        for zone in sorted(self._zones):
+            cell = self._cells.get((region, zone))
             if cell is not None:
-                for cls, (worth, (_, _, share)) in enumerate(zip(self._worths, cell.classes, strict=False)):
-                    found[cls] += worth * share * cell.rate
+                for class_number, (weight, (_, _, share)) in enumerate(
+                    zip(self._class_weights, cell.classes, strict=False)
+                ):
+                    found[class_number] += weight * share * cell.rate
         return found
 
-    def way(self, region: str, hall: str, mix: list[float]) -> Way:
-        """Infinite where any part is unknown."""
+    def zone_cost(self, region: str, zone: str, class_mix: list[float]) -> ZoneCost:
+        """Return the cost of a region in a zone; `UNKNOWN_COST` if any part is unknown."""
         cell, link, state = (
-            self._cells.get((region, hall)),
-            self._links.get(hall, math.inf),
-            self._halls[hall],
+            self._cells.get((region, zone)),
+            self._links.get(zone, math.inf),
+            self._zones[zone],
         )
-        if cell is None or not sum(mix) or cell.witnesses < min(LEAST_WITNESSES, state.routers):
-            return NO_WAY
-        much = cell.rate >= LEAST_OWN * state.routers and self._fresh(hall, cell)
-        own, late = self._service([cell]) if much else self._general[hall]
-        general, _ = self._general[hall]
+        if cell is None or not sum(class_mix) or cell.num_reporters < min(MIN_REPORTERS, state.num_routers):
+            return UNKNOWN_COST
+        has_enough_samples = cell.rate >= MIN_REGION_RATE_PER_ROUTER * state.num_routers and self._is_recent(
+            zone, cell
+        )
+        own, late = self._service([cell]) if has_enough_samples else self._zone_service[zone]
+        general, _ = self._zone_service[zone]
         service = 0.0
-        for part, here, there in zip(mix, own, general, strict=True):
+        for part, own_seconds, general_seconds in zip(class_mix, own, general, strict=True):
             if part:
-                service += part / sum(mix) * (here if math.isfinite(here) else there)
-        idle = service * (1.0 - _full(state.load, state.room))
-        fixed = cell.rtt + link + MISSED * late
-        return Way(fixed, idle) if math.isfinite(fixed + idle) else NO_WAY
-
-    def _fresh(self, hall: str, cell: Cell) -> bool:
-        return cell.age <= self._youngest[hall] + FRESH
-
-    def _service(self, cells: list[Cell]) -> tuple[list[float], float]:
-        """By class the mean of service, and the share late: the medians of these cells' by their rates."""
+                service += (
+                    part / sum(class_mix) * (own_seconds if math.isfinite(own_seconds) else general_seconds)
+                )
+        idle = service * (1.0 - _utilization(state.load, state.capacity))
+        fixed = cell.rtt + link + LATE_PENALTY_SECONDS * late
+        return ZoneCost(fixed, idle) if math.isfinite(fixed + idle) else UNKNOWN_COST
+
+    def _is_recent(self, zone: str, cell: CellEstimate) -> bool:
+        return cell.age <= self._youngest_age[zone] + MAX_AGE_LAG_SECONDS
+
+    def _service(self, cells: list[CellEstimate]) -> tuple[list[float], float]:
+        """Return the mean service time by class and the late fraction, as weighted medians."""
         found = []
-        for cls in range(len(self._worths)):
+        for class_number in range(len(self._class_weights)):
             means = [
-                (typical + TAIL * (tail - typical), cell.rate * share)
+                (typical + MEAN_POSITION_FRACTION * (tail - typical), cell.rate * share)
                 for cell in cells
-                for typical, tail, share in cell.classes[cls : cls + 1]
+                for typical, tail, share in cell.classes[class_number : class_number + 1]
                 if math.isfinite(typical)
             ]
-            found.append(_middle(means))
-        return found, _middle([(cell.late, cell.rate) for cell in cells])
+            found.append(_weighted_median(means))
+        return found, _weighted_median([(cell.late, cell.rate) for cell in cells])
 
 
-def _full(load: float, room: float) -> float:
-    return min(MOST_FULL, load / room) if room else MOST_FULL
+def _utilization(load: float, capacity: float) -> float:
+    return min(MAX_UTILIZATION, load / capacity) if capacity else MAX_UTILIZATION
 
 
-def _middle(pairs: list[tuple[float, float]]) -> float:
-    """The weighted median of (value, weight), infinite of nothing."""
+def _weighted_median(pairs: list[tuple[float, float]]) -> float:
+    """Return the median of (value, weight) pairs; infinite if there are none."""
     left = sum(weight for _, weight in pairs) / 2
     for value, weight in sorted(pairs):
         left -= weight
--- a/ironrail/peers/steering/local_statistics.py
+++ b/ironrail/peers/steering/local_statistics.py
@@ -1,109 +1,143 @@
-"""What this router sees of each region's readers at its own hall, fading with time. Pure."""
+"""What this router measures of each region's clients, decaying with time. No I/O."""
 
 from __future__ import annotations
 
 import math
 from collections.abc import Iterable
 
-from ironrail.peers.steering.reports import Summary
-from ironrail.peers.steering.histogram import NOTHING, Fading, code_of, part_code, rate_code, seconds_of
-
-RTT_HALF_LIFE = 600.0  # seconds: ways between places change seldom
-SERVICE_HALF_LIFE = 60.0  # seconds: what service takes changes with load
-LEAST_RTTS, LEAST_ANSWERS = 3.0, 5.0  # faded samples below which nothing is said: it would be chance
-WAY_BACK = 0.25  # quantile of round trips that the way back is taken from: an answer that may arrive is made
-STEPS = 15  # of a share on the wire
-_OK, _EARLY, _LATE = 0, 1, 2
+from ironrail.peers.steering.histogram import (
+    NO_DATA_CODE,
+    DecayingHistogram,
+    duration_code,
+    duration_from_code,
+    fraction_code,
+    rate_code,
+)
+from ironrail.peers.steering.reports import RegionSummary
+
+RTT_HALF_LIFE_SECONDS = 600.0  # network paths change seldom
+SERVICE_HALF_LIFE_SECONDS = 60.0  # service times change with load
+MIN_RTT_SAMPLES, MIN_SERVICE_SAMPLES = 3.0, 5.0  # decayed weight; fewer would report chance
+# Low, so that a request whose response may still arrive in time is not rejected.
+RETURN_RTT_QUANTILE = 0.25
+CLASS_SHARE_STEPS = 15  # of a class's share in a report
+_ON_TIME, _ABANDONED, _LATE = 0, 1, 2
+
+
+def time_left(left: float, return_seconds: float | None) -> float:
+    """Return the seconds until a response has to be ready.
+
+    Args:
+        left: Seconds until the client needs the response.
+        return_seconds: The response's time to the client. None is unknown and subtracts nothing: no
+            request is rejected for lack of measurements.
+
+    Returns:
+        The remaining time; if it isn't positive, the response can't arrive in time and the request
+        should be rejected at once.
+    """
+    return left - (return_seconds or 0.0)
 
 
-def time_left(left: float, way_back: float | None) -> float:
-    """Seconds in which an answer has to be ready; 0 or less: it can't arrive in time, so give it up at once.
+class RegionHistograms:
+    """Measurements of one region: 0.6 kB, and as much for each request class.
 
-    Of an unknown region nothing is taken off: nobody is refused for want of evidence.
+    Attributes:
+        rtt: Round-trip times.
+        outcomes: Requests on time, abandoned and late.
+        classes: Service times and arrivals by class number.
     """
-    return left - (way_back or 0.0)
-
 
-class Seen:
-    """One region's readers: 0.6 kB and as much for each class that they ask."""
-
-    __slots__ = ("classes", "ends", "rtt")
+    __slots__ = ("classes", "outcomes", "rtt")
 
     def __init__(self) -> None:
-        self.rtt = Fading(RTT_HALF_LIFE)
-        self.ends = Fading(SERVICE_HALF_LIFE, 3)
-        self.classes: dict[int, tuple[Fading, Fading]] = {}  # time of service; arrivals
+        self.rtt = DecayingHistogram(RTT_HALF_LIFE_SECONDS)
+        self.outcomes = DecayingHistogram(SERVICE_HALF_LIFE_SECONDS, 3)
+        self.classes: dict[int, tuple[DecayingHistogram, DecayingHistogram]] = {}
 
 
-class Own:
-    """Regions and classes by number."""
+class LocalStatistics:
+    """Measurements by number of region and class."""
 
     def __init__(self, now: float) -> None:
-        self._since = now
-        self._seen: dict[int, Seen] = {}
+        self._started_at = now
+        self._regions: dict[int, RegionHistograms] = {}
 
-    def client_rtt(self, now: float, region: int, seconds: float) -> None:
-        """A client's round trip, as its socket tells it. What is no duration is no evidence."""
+    def record_client_rtt(self, now: float, region: int, seconds: float) -> None:
+        """Record a client's round-trip time from its socket; invalid durations are ignored."""
         if seconds > 0.0 and math.isfinite(seconds):
-            self._of(region).rtt.add(now, code_of(seconds))
+            self._of(region).rtt.add(now, duration_code(seconds))
 
-    def served(
-        self, now: float, region: int, cls: int, seconds: float, wanted_ok: bool, gone_early: bool
+    def record_request(
+        self, now: float, region: int, class_number: int, seconds: float, is_on_time: bool, is_abandoned: bool
     ) -> None:
-        """A request's end: `seconds` of service, answered in its wanted time or not, or its client went.
-
-        The time of one whose client went says only that service would have taken longer. It is counted among
-        those not served in time, not among the times: else clients that give up soon make a hall look quick.
+        """Record the end of a request.
+
+        If the client disconnected first, the time is only a lower bound. Such a request counts as
+        not served on time, but its time isn't recorded: otherwise clients that give up soon would
+        make a zone look fast.
+
+        Args:
+            now: Time on this router's clock.
+            region: Number of the client's region.
+            class_number: Number of the request class.
+            seconds: Service time.
+            is_on_time: Whether it was answered within its latency objective.
+            is_abandoned: Whether the client disconnected first.
         """
-        seen = self._of(region)
-        times, arrivals = seen.classes.get(cls) or seen.classes.setdefault(
-            cls, (Fading(SERVICE_HALF_LIFE), Fading(SERVICE_HALF_LIFE, 1))
+        histograms = self._of(region)
+        times, arrivals = histograms.classes.get(class_number) or histograms.classes.setdefault(
+            class_number,
+            (DecayingHistogram(SERVICE_HALF_LIFE_SECONDS), DecayingHistogram(SERVICE_HALF_LIFE_SECONDS, 1)),
         )
         arrivals.add(now, 0)
-        seen.ends.add(now, _EARLY if gone_early else _OK if wanted_ok else _LATE)
-        if not gone_early and seconds >= 0.0 and math.isfinite(seconds):
-            times.add(now, code_of(seconds))
-
-    def way_back(self, now: float, region: int) -> float | None:
-        """Half a quick round trip of the region, in seconds; None where it isn't known."""
-        seen = self._seen.get(region)
-        if seen is None or seen.rtt.weight(now) < LEAST_RTTS:
+        histograms.outcomes.add(now, _ABANDONED if is_abandoned else _ON_TIME if is_on_time else _LATE)
+        if not is_abandoned and seconds >= 0.0 and math.isfinite(seconds):
+            times.add(now, duration_code(seconds))
+
+    def return_seconds(self, now: float, region: int) -> float | None:
+        """Return half of the region's low round-trip time in seconds; None if it is unknown."""
+        histograms = self._regions.get(region)
+        if histograms is None or histograms.rtt.weight(now) < MIN_RTT_SAMPLES:
             return None
-        return seconds_of(seen.rtt.quantile(WAY_BACK)) / 2
+        return duration_from_code(histograms.rtt.quantile(RETURN_RTT_QUANTILE)) / 2
 
     def regions(self) -> Iterable[int]:
-        return self._seen.keys()
+        """Return the regions of which something was recorded."""
+        return self._regions.keys()
 
-    def summary(self, now: float, region: int) -> Summary | None:
-        """What there is to tell; None where there's too little evidence."""
-        seen = self._seen.get(region)
-        if seen is None:
+    def summary(self, now: float, region: int) -> RegionSummary | None:
+        """Return the values to report; None if there are too few samples."""
+        histograms = self._regions.get(region)
+        if histograms is None:
             return None
-        per_second = math.log(2.0) / SERVICE_HALF_LIFE / max(1e-3, 1.0 - 2.0 ** -self._warm(now))
-        every = sum(arrivals.weight(now) for _, arrivals in seen.classes.values())
+        per_second = (
+            math.log(2.0) / SERVICE_HALF_LIFE_SECONDS / max(1e-3, 1.0 - 2.0 ** -self._uptime_half_lives(now))
+        )
+        total = sum(arrivals.weight(now) for _, arrivals in histograms.classes.values())
         classes = {
-            cls: (
+            class_number: (
                 times.quantile(0.5),
                 times.quantile(0.95),
-                max(1, round(STEPS * arrivals.weight(now) / every)),
+                max(1, round(CLASS_SHARE_STEPS * arrivals.weight(now) / total)),
             )
-            for cls, (times, arrivals) in sorted(seen.classes.items())
-            if times.weight(now) >= LEAST_ANSWERS
+            for class_number, (times, arrivals) in sorted(histograms.classes.items())
+            if times.weight(now) >= MIN_SERVICE_SAMPLES
         }
-        known = seen.rtt.weight(now) >= LEAST_RTTS
-        if not known and not classes:
+        has_rtt = histograms.rtt.weight(now) >= MIN_RTT_SAMPLES
+        if not has_rtt and not classes:
             return None
-        return Summary(
-            seen.rtt.quantile(0.5) if known else NOTHING,
-            seen.rtt.quantile(0.95) if known else NOTHING,
-            rate_code(every * per_second),
-            part_code(seen.ends.share(_EARLY) + seen.ends.share(_LATE)),
-            part_code(seen.ends.share(_EARLY)),
-            tuple(sorted((cls, *values) for cls, values in classes.items())),
+        return RegionSummary(
+            histograms.rtt.quantile(0.5) if has_rtt else NO_DATA_CODE,
+            histograms.rtt.quantile(0.95) if has_rtt else NO_DATA_CODE,
+            rate_code(total * per_second),
+            fraction_code(histograms.outcomes.share(_ABANDONED) + histograms.outcomes.share(_LATE)),
+            fraction_code(histograms.outcomes.share(_ABANDONED)),
+            tuple(sorted((class_number, *values) for class_number, values in classes.items())),
         )
 
-    def _warm(self, now: float) -> float:
-        return (now - self._since) / SERVICE_HALF_LIFE
+    def _uptime_half_lives(self, now: float) -> float:
+        return (now - self._started_at) / SERVICE_HALF_LIFE_SECONDS
 
-    def _of(self, region: int) -> Seen:
-        return self._seen.get(region) or self._seen.setdefault(region, Seen())
+    def _of(self, region: int) -> RegionHistograms:
+        return self._regions.get(region) or self._regions.setdefault(region, RegionHistograms())
--- a/ironrail/peers/steering/migration.py
+++ b/ironrail/peers/steering/migration.py
@@ -1,7 +1,8 @@
-"""Which resting client connections to let go, so that clients come to the hall that rows give them. Pure.
+"""Selects idle client connections to close, so that clients reconnect to their assigned zone.
 
-A client's place among the shares follows from its address by weighted rendezvous (Schindelhauer, Schomaker,
-SPAA 2005): when shares change, only those move whose hall lost share, and each router gives the same answer.
+A client's zone follows from its address by weighted rendezvous hashing (Schindelhauer, Schomaker,
+SPAA 2005): when shares change, only clients of zones that lost share move, and all routers assign
+alike. No I/O.
 """
 
 from __future__ import annotations
@@ -11,77 +12,116 @@
 from collections.abc import Iterable, Mapping
 from typing import NamedTuple
 
-from ironrail.peers.steering.proposal import Rows
+from ironrail.peers.steering.proposal import SteeringRows
 
-PACE = 2.0  # connections let go a second by one router: 100 routers bring 10,000 clients over in a minute
-BURST = 10.0
-# seconds in which a client that came back after it was let go is left alone: it follows no rows
-AGAIN = 600.0
-MOST_GONE = 4096  # clients that are remembered for it: half a megabyte
+MIGRATIONS_PER_SECOND = 2.0  # by one router: 100 routers move 10,000 clients in a minute
+MAX_MIGRATION_BURST = 10.0
+# A client that came back after its migration does not follow the rows; it is left alone for this
+# time.
+RETURNED_CLIENT_SECONDS = 600.0
+MAX_MIGRATED_CLIENTS = 4096  # remembered for that: half a megabyte
 
 
-class Resting(NamedTuple):
-    """A client's connection. `owed`: an answer, or bytes of a request that has begun, either way."""
+class MigrationCandidate(NamedTuple):
+    """A client connection.
+
+    Attributes:
+        number: Identifies the connection to the caller.
+        region: Name of the client's region.
+        client: The client's address without port.
+        is_busy: Whether a response is due, or a request was received or a response sent in part.
+        idle: Seconds since the last response was sent.
+        opened_at: When the connection was opened.
+    """
 
     number: int
     region: str
-    client: str  # address without port
-    owed: bool
-    idle: float  # seconds since its last answer went out
-    opened: float = -math.inf  # when it came
+    client: str
+    is_busy: bool
+    idle: float
+    opened_at: float = -math.inf
 
 
-def place(row: Mapping[str, float], client: str) -> str | None:
-    """The hall that the row gives this client, None where it falls to those who found no room."""
-    best, least = None, math.inf
+def assign_zone(row: Mapping[str, float], client: str) -> str | None:
+    """Return the zone of a client; None for the share that the row leaves unassigned."""
+    best, lowest = None, math.inf
     rest = 1.0 - sum(row.values())
     shares = sorted(row.items()) + ([("", rest)] if rest > 1e-9 else [])
-    for hall, share in shares:
+    for zone, share in shares:
         if share > 0.0:
-            drawn = hashlib.blake2b(f"{hall}\n{client}".encode(), digest_size=8).digest()
-            score = -math.log((int.from_bytes(drawn, "big") + 1) / 2.0**64) / share
-            if score < least:
-                best, least = hall, score
+            digest = hashlib.blake2b(f"{zone}\n{client}".encode(), digest_size=8).digest()
+            score = -math.log((int.from_bytes(digest, "big") + 1) / 2.0**64) / share
+            if score < lowest:
+                best, lowest = zone, score
     return best or None
 
 
-class Carrier:
-    """Lets go at a bounded pace."""
+class MigrationSelector:
+    """Selects connections to close at a limited rate."""
+
+    def __init__(
+        self,
+        own_zone: str,
+        now: float,
+        rate: float = MIGRATIONS_PER_SECOND,
+        burst: float = MAX_MIGRATION_BURST,
+    ) -> None:
+        """Begin without a burst.
 
-    def __init__(self, here: str, now: float, pace: float = PACE, burst: float = BURST) -> None:
-        """`pace` in connections/s."""
-        self._here, self._pace, self._burst = here, pace, burst
-        self._tokens, self._at = 0.0, now  # a start is no reason for a burst
-        self._gone: dict[str, float] = {}  # when a client was first let go; the oldest first
+        Args:
+            own_zone: This router's zone.
+            now: Time on this router's clock.
+            rate: Connections/s.
+            burst: Connections that may be selected at once.
+        """
+        self._own_zone, self._rate, self._burst = own_zone, rate, burst
+        self._tokens, self._refilled_at = 0.0, now  # no burst after a restart
+        self._migrated_at: dict[str, float] = {}  # first migration of each client, the oldest first
 
-    def let_go(
-        self, now: float, rows: Rows, resting: Iterable[Resting], takes: Mapping[str, bool]
+    def select(
+        self,
+        now: float,
+        rows: SteeringRows,
+        candidates: Iterable[MigrationCandidate],
+        accepts: Mapping[str, bool],
     ) -> list[int]:
-        """Numbers of connections to close, the longest idle first. `takes`: halls below their limit."""
-        self._tokens = min(self._burst, self._tokens + self._pace * max(0.0, now - self._at))
-        self._at = max(now, self._at)
+        """Return the numbers of the connections to close, the longest idle first.
+
+        Args:
+            now: Time on this router's clock.
+            rows: The rows in force.
+            candidates: Connections of this router.
+            accepts: Whether each zone accepts more clients.
+        """
+        self._tokens = min(self._burst, self._tokens + self._rate * max(0.0, now - self._refilled_at))
+        self._refilled_at = max(now, self._refilled_at)
         if self._tokens < 1.0:
             return []
         found = []
-        for one in sorted(resting, key=lambda c: (-c.idle, c.number)):
-            row = rows.get(one.region)
-            if row is None or one.owed:
+        for candidate in sorted(candidates, key=lambda c: (-c.idle, c.number)):
+            row = rows.get(candidate.region)
+            if row is None or candidate.is_busy:
                 continue
-            to = place(row, one.client)
-            if to is None or to == self._here or not takes.get(to, False) or self._is_back(now, one):
+            target = assign_zone(row, candidate.client)
+            if (
+                target is None
+                or target == self._own_zone
+                or not accepts.get(target, False)
+                or self._has_returned(now, candidate)
+            ):
                 continue
-            self._gone.setdefault(one.client, now)
-            found.append(one.number)
+            self._migrated_at.setdefault(candidate.client, now)
+            found.append(candidate.number)
             self._tokens -= 1.0
             if self._tokens < 1.0:
                 break
-        while len(self._gone) > MOST_GONE:
-            del self._gone[next(iter(self._gone))]
+        while len(self._migrated_at) > MAX_MIGRATED_CLIENTS:
+            del self._migrated_at[next(iter(self._migrated_at))]
         return found
 
-    def _is_back(self, now: float, one: Resting) -> bool:
-        gone = self._gone.get(one.client)
-        if gone is not None and now - gone > AGAIN:
-            del self._gone[one.client]
+    def _has_returned(self, now: float, candidate: MigrationCandidate) -> bool:
+        migrated_at = self._migrated_at.get(candidate.client)
+        if migrated_at is not None and now - migrated_at > RETURNED_CLIENT_SECONDS:
+            del self._migrated_at[candidate.client]
             return False
-        return gone is not None and one.opened > gone
+        return migrated_at is not None and candidate.opened_at > migrated_at
--- a/ironrail/peers/steering/planner.py
+++ b/ironrail/peers/steering/planner.py
@@ -1,8 +1,9 @@
-"""Rows of steering: of each region the shares of halls, changed by little where much is gained. Pure.
+"""Plans steering rows: changes regions' shares by zone in small steps, by the largest gain first.
 
-The same rows come of the same evidence at every router: everything is gone through in one order. Where a hall
-is closed its readers are brought away, as far as there is room; where one has more than it can do, those go
-who lose least; then whoever gains most goes to where it is better served. No hall is brought over its room.
+All routers derive the same rows from the same data, as everything is visited in a fixed order.
+Clients of closed zones are moved away as far as other zones have capacity; of overloaded zones
+those clients leave that lose least; then the clients that gain most move to faster zones. No zone
+is loaded above its limit. No I/O.
 """
 
 from __future__ import annotations
@@ -11,233 +12,277 @@
 import math
 from collections.abc import Mapping
 
-from ironrail.peers.steering.cost_model import NO_WAY, Expected, Hall, Standing
+from ironrail.peers.steering.cost_model import UNKNOWN_COST, CostModel, ZoneState, ZoneStatus
 from ironrail.peers.steering.proposal import (
-    STEP,
-    UNITS,
-    USUAL,
-    Bounds,
-    Proposal,
-    Reason,
-    Rows,
-    Steps,
-    size_of,
-    units_of,
+    DEFAULT_LIMITS,
+    STEP_UNITS,
+    UNITS_PER_REGION,
+    ProposalLimits,
+    ProposalReason,
+    ShareChanges,
+    SteeringProposal,
+    SteeringRows,
+    row_size_bytes,
+    to_units,
 )
-from ironrail.peers.steering.regions import UNKNOWN
+from ironrail.peers.steering.regions import UNKNOWN_REGION
 
 
-class Steering:
-    """One proposal's work."""
+class SteeringPlanner:
+    """Plans one proposal."""
 
     def __init__(
         self,
-        in_force: Rows,
-        expected: Expected,
+        rows_in_force: SteeringRows,
+        costs: CostModel,
         rates: Mapping[tuple[str, str], float],
-        halls: Mapping[str, Hall],
-        worths: Mapping[str, float],
-        lately: Steps = (),
-        bounds: Bounds = USUAL,
+        zones: Mapping[str, ZoneState],
+        weights: Mapping[str, float],
+        recent_changes: ShareChanges = (),
+        limits: ProposalLimits = DEFAULT_LIMITS,
     ) -> None:
-        """`rates`: requests/s by region and hall as seen; `worths` by region; `lately`: within the dwell."""
-        self._bounds, self._lately = bounds, frozenset(lately)
-        self._halls = {name: halls[name] for name in sorted(halls)}
-        self._coming = {name: hall.load for name, hall in self._halls.items()}  # once all follow the rows
-        self._taken = dict.fromkeys(self._halls, 0.0)
-        self._rate, self._units, self._ways, self._worth = {}, {}, {}, {}
-        self._left: dict[str, int] = {}
-        seen: dict[str, dict[str, float]] = {}
-        told = dict.fromkeys(self._halls, 0.0)
-        for (region, hall), rate in sorted(rates.items()):
-            if hall in told:
-                told[hall] += rate
-                seen.setdefault(region, {})[hall] = rate
-        for region in sorted(set(seen) - {UNKNOWN}):
-            # no more than the hall is known to have
+        """Compute where clients are now.
+
+        Args:
+            rows_in_force: The rows to be replaced.
+            costs: Cost of each region in each zone.
+            rates: Measured requests/s by region and zone.
+            zones: State of each zone.
+            weights: Weight of each region's requests.
+            recent_changes: Changes of rows within the dwell time.
+            limits: Limits of the proposal.
+        """
+        self._limits, self._recent_changes = limits, frozenset(recent_changes)
+        self._zones = {name: zones[name] for name in sorted(zones)}
+        # The load once all clients follow the rows.
+        self._expected_load = {name: zone.load for name, zone in self._zones.items()}
+        self._intake = dict.fromkeys(self._zones, 0.0)
+        self._unit_rate, self._units, self._costs, self._weight = {}, {}, {}, {}
+        self._movable_units: dict[str, int] = {}
+        measured: dict[str, dict[str, float]] = {}
+        reported = dict.fromkeys(self._zones, 0.0)
+        for (region, zone), rate in sorted(rates.items()):
+            if zone in reported:
+                reported[zone] += rate
+                measured.setdefault(region, {})[zone] = rate
+        for region in sorted(set(measured) - {UNKNOWN_REGION}):
+            # The rates reported of a zone are scaled down to its load if they add up to more.
             here = {
-                h: r * min(1.0, self._halls[h].load / told[h]) for h, r in seen[region].items() if told[h]
+                z: r * min(1.0, self._zones[z].load / reported[z])
+                for z, r in measured[region].items()
+                if reported[z]
             }
             rate = sum(here.values())
-            row = in_force.get(region) or {h: r / rate for h, r in here.items() if rate}
-            units = {h: n for h, n in units_of(row).items() if h in self._halls}
+            row = rows_in_force.get(region) or {z: r / rate for z, r in here.items() if rate}
+            units = {z: n for z, n in to_units(row).items() if z in self._zones}
             if not rate or not units:
                 continue
-            for hall in self._halls:
-                self._coming[hall] += units.get(hall, 0) * rate / UNITS - here.get(hall, 0.0)
-            mix = expected.mix(region)
-            self._rate[region], self._units[region] = rate / UNITS, units
-            self._worth[region] = worths.get(region, 1.0)
-            self._ways[region] = {h: expected.way(region, h, mix) for h in self._halls}
-            self._left[region] = int(bounds.most_of_region * UNITS)
-        self._load = {name: max(hall.load, self._coming[name]) for name, hall in self._halls.items()}
-        self._before = {region: dict(units) for region, units in self._units.items()}
-        self._in_force = {r: dict(row) for r, row in sorted(in_force.items())}
-        self._budget = bounds.most_moved * sum(hall.load for hall in self._halls.values())
-        self._pairs: set[tuple[str, str]] = set()
-        self._why: set[Reason] = set()
+            for zone in self._zones:
+                self._expected_load[zone] += units.get(zone, 0) * rate / UNITS_PER_REGION - here.get(
+                    zone, 0.0
+                )
+            class_mix = costs.class_mix(region)
+            self._unit_rate[region], self._units[region] = rate / UNITS_PER_REGION, units
+            self._weight[region] = weights.get(region, 1.0)
+            self._costs[region] = {z: costs.zone_cost(region, z, class_mix) for z in self._zones}
+            self._movable_units[region] = int(limits.max_region_ratio * UNITS_PER_REGION)
+        self._load = {name: max(zone.load, self._expected_load[name]) for name, zone in self._zones.items()}
+        self._initial_units = {region: dict(units) for region, units in self._units.items()}
+        self._rows_in_force = {r: dict(row) for r, row in sorted(rows_in_force.items())}
+        self._budget = limits.max_moved_ratio * sum(zone.load for zone in self._zones.values())
+        self._moves: set[tuple[str, str]] = set()
+        self._reasons: set[ProposalReason] = set()
         self._unplaced: dict[str, float] = {}
-        self._moved = self._gain = 0.0
+        self._moved_rate = self._gain = 0.0
 
-    def propose(self) -> Proposal:
-        self._leave_closed()
-        self._relieve()
-        spent = sum(
-            self._rate[r] * self._worth[r] * n * cost
+    def propose(self) -> SteeringProposal:
+        """Return the proposal."""
+        self._evacuate_closed_zones()
+        self._relieve_overloaded_zones()
+        total_cost = sum(
+            self._unit_rate[r] * self._weight[r] * n * cost
             for r, units in self._units.items()
-            for h, n in units.items()
-            if (cost := self._cost(r, h)) < math.inf
+            for z, n in units.items()
+            if (cost := self._marginal_cost(r, z)) < math.inf
         )
-        self._better()
+        self._move_to_faster_zones()
         self._explore()
-        if self._why == {Reason.BETTER} and self._gain < self._bounds.least_total * spent:
-            return Proposal(None, Reason.LITTLE_GAIN)
-        rows = dict(self._in_force)
+        if (
+            self._reasons == {ProposalReason.FASTER_ZONE}
+            and self._gain < self._limits.min_total_gain_ratio * total_cost
+        ):
+            return SteeringProposal(None, ProposalReason.GAIN_TOO_SMALL)
+        rows = dict(self._rows_in_force)
         for region, units in self._units.items():
-            if units != self._before[region]:
-                rows[region] = {h: n / UNITS for h, n in sorted(units.items())}
+            if units != self._initial_units[region]:
+                rows[region] = {z: n / UNITS_PER_REGION for z, n in sorted(units.items())}
                 if not units:
-                    del rows[region]  # of a region that has no room at all its fronts dispose
-        if rows == self._in_force:
-            return Proposal(None, Reason.NO_GAIN, unplaced=self._unplaced)
-        reason = next(reason for reason in Reason if reason in self._why)
-        return Proposal(dict(sorted(rows.items())), reason, self._moved, self._gain, self._unplaced)
-
-    def _leave_closed(self) -> None:
-        """The dearest first, each to the best hall with room: they can't stay, so only room holds them."""
-        for region in sorted(self._units, key=lambda r: (-self._worth[r], r)):
+                    # No zone has capacity: the region's front ends choose by themselves.
+                    del rows[region]
+        if rows == self._rows_in_force:
+            return SteeringProposal(None, ProposalReason.NO_GAIN, unplaced=self._unplaced)
+        reason = next(reason for reason in ProposalReason if reason in self._reasons)
+        return SteeringProposal(
+            dict(sorted(rows.items())), reason, self._moved_rate, self._gain, self._unplaced
+        )
+
+    def _evacuate_closed_zones(self) -> None:
+        """Move clients from closed zones to the best zones with capacity, by weight of region.
+
+        As they can't stay, only the capacity of the other zones limits the move.
+        """
+        for region in sorted(self._units, key=lambda r: (-self._weight[r], r)):
             units = self._units[region]
-            closed = [h for h in sorted(units) if self._halls[h].standing is Standing.CLOSED]
-            away = UNITS - sum(units.values())  # those for whom there was no room before
-            if not (away or closed) or not self._fits(region, ""):
+            closed = [z for z in sorted(units) if self._zones[z].status is ZoneStatus.CLOSED]
+            # Not assigned so far for lack of capacity.
+            unassigned = UNITS_PER_REGION - sum(units.values())
+            if not (unassigned or closed) or not self._fits_document(region, ""):
                 continue
-            away += sum(units.pop(hall) for hall in closed)
-            for to in sorted(self._halls, key=lambda h: (self._cost(region, h), h)):
-                n = min(away, self._room(region, to, free=True))
-                if n and self._cost(region, to) < math.inf:
-                    away -= n
-                    self._bring(region, to, n, Reason.CLOSED)
+            unassigned += sum(units.pop(zone) for zone in closed)
+            for target in sorted(self._zones, key=lambda z: (self._marginal_cost(region, z), z)):
+                n = min(unassigned, self._free_units(region, target, ignores_intake=True))
+                if n and self._marginal_cost(region, target) < math.inf:
+                    unassigned -= n
+                    self._add(region, target, n, ProposalReason.ZONE_CLOSED)
             if closed:
-                self._why.add(Reason.CLOSED)
-            self._unplaced |= {region: away / UNITS} if away else {}
+                self._reasons.add(ProposalReason.ZONE_CLOSED)
+            self._unplaced |= {region: unassigned / UNITS_PER_REGION} if unassigned else {}
 
-    def _relieve(self) -> None:
-        for hall, state in self._halls.items():
-            if state.standing is Standing.CLOSED or self._coming[hall] <= self._bounds.crowded * state.room:
+    def _relieve_overloaded_zones(self) -> None:
+        for zone, state in self._zones.items():
+            if (
+                state.status is ZoneStatus.CLOSED
+                or self._expected_load[zone] <= self._limits.overload_utilization * state.capacity
+            ):
                 continue
-            rows = []
+            candidates = []
             for region, units in self._units.items():
-                here = self._ways[region][hall].fixed
-                for to, there in self._ways[region].items():
-                    if units.get(hall) and to != hall and there is not NO_WAY:
-                        loss = self._cost(region, to) - (here if here < math.inf else 0.0)
-                        rows.append((self._worth[region] * loss, region, to))
-            for _, region, to in sorted(rows):
-                over = self._coming[hall] - self._bounds.full * state.room
-                if over <= 0.0:
+                here = self._costs[region][zone].fixed
+                for target, cost in self._costs[region].items():
+                    if units.get(zone) and target != zone and cost is not UNKNOWN_COST:
+                        loss = self._marginal_cost(region, target) - (here if here < math.inf else 0.0)
+                        candidates.append((self._weight[region] * loss, region, target))
+            for _, region, target in sorted(candidates):
+                excess = self._expected_load[zone] - self._limits.target_utilization * state.capacity
+                if excess <= 0.0:
                     break
-                n = min(math.ceil(over / self._rate[region]), self._most(region, hall, to))
-                if n > 0 and (region, to, -1) not in self._lately:
-                    self._move(region, hall, to, n, Reason.CROWDED)
+                n = min(math.ceil(excess / self._unit_rate[region]), self._max_units(region, zone, target))
+                if n > 0 and (region, target, -1) not in self._recent_changes:
+                    self._move(region, zone, target, n, ProposalReason.ZONE_OVERLOADED)
 
-    def _better(self) -> None:
-        """A step at a time, as each makes the hall it goes to dearer."""
-        rows = []
+    def _move_to_faster_zones(self) -> None:
+        """Move a few units at a time, as each step raises the cost of the zone that gets them."""
+        candidates = []
         for region, units in self._units.items():
-            for hall in units:
-                gain, _ = self._best(region, hall)
+            for zone in units:
+                gain, _ = self._best_target(region, zone)
                 if gain:
-                    rows.append((-gain * self._worth[region], region, hall))
-        heapq.heapify(rows)
-        while rows:
-            _, region, hall = heapq.heappop(rows)
-            gain, to = self._best(region, hall)  # of now
-            row = (-gain * self._worth[region], region, hall)
+                    candidates.append((-gain * self._weight[region], region, zone))
+        heapq.heapify(candidates)
+        while candidates:
+            _, region, zone = heapq.heappop(candidates)
+            gain, target = self._best_target(region, zone)  # after the steps so far
+            candidate = (-gain * self._weight[region], region, zone)
             if not gain:
                 continue
-            later = bool(rows) and row > rows[0]
-            n = min(STEP, self._most(region, hall, to))
-            if later or self._move(region, hall, to, n, Reason.BETTER):
-                heapq.heappush(rows, row)
-
-    def _best(self, region: str, hall: str) -> tuple[float, str]:
-        """Seconds gained where most is gained, and where that is; 0 if they are less than the least."""
-        here = self._cost(region, hall)
-        if here == math.inf or (region, hall, 1) in self._lately:
-            return 0.0, hall
-        least = here - max(self._bounds.least_seconds, self._bounds.least_gain * here)
-        best, found = hall, math.inf
-        for to in self._halls:
-            cost = self._cost(region, to)
-            if cost > least or cost >= found or (region, to, -1) in self._lately:
+            is_outdated = bool(candidates) and candidate > candidates[0]
+            n = min(STEP_UNITS, self._max_units(region, zone, target))
+            if is_outdated or self._move(region, zone, target, n, ProposalReason.FASTER_ZONE):
+                heapq.heappush(candidates, candidate)
+
+    def _best_target(self, region: str, zone: str) -> tuple[float, str]:
+        """Return the largest gain in seconds and its zone; 0 if it is below the minimum."""
+        here = self._marginal_cost(region, zone)
+        if here == math.inf or (region, zone, 1) in self._recent_changes:
+            return 0.0, zone
+        highest = here - max(self._limits.min_gain_seconds, self._limits.min_gain_ratio * here)
+        best, lowest = zone, math.inf
+        for target in self._zones:
+            cost = self._marginal_cost(region, target)
+            if cost > highest or cost >= lowest or (region, target, -1) in self._recent_changes:
                 continue
-            if self._most(region, hall, to) > 0:
-                best, found = to, cost
-        return (here - found, best) if found < math.inf else (0.0, hall)
+            if self._max_units(region, zone, target) > 0:
+                best, lowest = target, cost
+        return (here - lowest, best) if lowest < math.inf else (0.0, zone)
 
-    def _cost(self, region: str, hall: str) -> float:
-        return self._ways[region][hall].marginal(self._load[hall], self._halls[hall].room)
+    def _marginal_cost(self, region: str, zone: str) -> float:
+        return self._costs[region][zone].marginal(self._load[zone], self._zones[zone].capacity)
 
     def _explore(self) -> None:
-        """One unit of each region a period, to the least loaded hall of which it knows nothing."""
+        """Move one unit of each region to the least loaded of the zones with unknown cost."""
         for region, units in self._units.items():
-            unknown = [h for h, way in self._ways[region].items() if way is NO_WAY]
-            known = [h for h in units if h not in unknown]
-            out = sum(units.get(h, 0) for h in unknown)
-            if not known or out + 1 > self._bounds.explore * UNITS:
+            unknown = [z for z, cost in self._costs[region].items() if cost is UNKNOWN_COST]
+            known = [z for z in units if z not in unknown]
+            exploring = sum(units.get(z, 0) for z in unknown)
+            if not known or exploring + 1 > self._limits.exploration_ratio * UNITS_PER_REGION:
                 continue
-            hall = max(known, key=lambda h: (units[h], h))
-            for to in sorted(unknown, key=lambda h: (self._load[h] / max(self._halls[h].room, 1e-9), h)):
-                if not units.get(to) and self._most(region, hall, to) >= 1:
-                    self._move(region, hall, to, 1, Reason.EXPLORED)
+            zone = max(known, key=lambda z: (units[z], z))
+            for target in sorted(
+                unknown, key=lambda z: (self._load[z] / max(self._zones[z].capacity, 1e-9), z)
+            ):
+                if not units.get(target) and self._max_units(region, zone, target) >= 1:
+                    self._move(region, zone, target, 1, ProposalReason.EXPLORATION)
                     break
 
-    def _room(self, region: str, to: str, free: bool = False) -> int:
-        """Units of the region that the hall may still get."""
-        hall, bounds = self._halls[to], self._bounds
-        if hall.standing is not Standing.OPEN:
+    def _free_units(self, region: str, target: str, ignores_intake: bool = False) -> int:
+        """Return how many units of the region the zone may still get.
+
+        Args:
+            region: The region.
+            target: The zone.
+            ignores_intake: Whether only the zone's utilization limits them, and not its intake.
+        """
+        zone, limits = self._zones[target], self._limits
+        if zone.status is not ZoneStatus.OPEN:
             return 0
-        room = bounds.full * hall.room - self._load[to]
-        if not free:
-            room = min(room, bounds.most_taken * hall.room - self._taken[to])
-        return max(0, math.floor(room / self._rate[region]))
-
-    def _most(self, region: str, hall: str, to: str) -> int:
-        """Units that may go this way within all bounds."""
-        if (to, hall) in self._pairs:
-            return 0  # a circle: one of the two is better for nobody
-        budget = math.floor(self._budget / self._rate[region])
-        return min(self._units[region].get(hall, 0), self._room(region, to), budget, self._left[region])
-
-    def _move(self, region: str, hall: str, to: str, n: int, why: Reason) -> bool:
-        if not self._fits(region, to):
+        free = limits.target_utilization * zone.capacity - self._load[target]
+        if not ignores_intake:
+            free = min(free, limits.max_intake_ratio * zone.capacity - self._intake[target])
+        return max(0, math.floor(free / self._unit_rate[region]))
+
+    def _max_units(self, region: str, zone: str, target: str) -> int:
+        """Return how many units may move from one zone to the other within all limits."""
+        if (target, zone) in self._moves:
+            return 0  # moves in both directions can't both be a gain
+        budget = math.floor(self._budget / self._unit_rate[region])
+        return min(
+            self._units[region].get(zone, 0),
+            self._free_units(region, target),
+            budget,
+            self._movable_units[region],
+        )
+
+    def _move(self, region: str, zone: str, target: str, n: int, reason: ProposalReason) -> bool:
+        if not self._fits_document(region, target):
             return False
-        gain = self._cost(region, hall) - self._cost(region, to)
-        units, part = self._units[region], n * self._rate[region]
-        units[hall] -= n
-        if not units[hall]:
-            del units[hall]
-        self._bring(region, to, n, why)
-        self._load[hall] -= part
-        self._coming[hall] -= part
-        self._budget -= part
-        self._left[region] -= n
+        gain = self._marginal_cost(region, zone) - self._marginal_cost(region, target)
+        units, rate = self._units[region], n * self._unit_rate[region]
+        units[zone] -= n
+        if not units[zone]:
+            del units[zone]
+        self._add(region, target, n, reason)
+        self._load[zone] -= rate
+        self._expected_load[zone] -= rate
+        self._budget -= rate
+        self._movable_units[region] -= n
         if math.isfinite(gain):
-            self._gain += part * self._worth[region] * gain
-        self._pairs.add((hall, to))
+            self._gain += rate * self._weight[region] * gain
+        self._moves.add((zone, target))
         return True
 
-    def _bring(self, region: str, to: str, n: int, why: Reason) -> None:
-        part = n * self._rate[region]
-        self._units[region][to] = self._units[region].get(to, 0) + n
-        self._load[to] += part
-        self._coming[to] += part
-        self._taken[to] += part
-        self._moved += part
-        self._why.add(why)
-
-    def _fits(self, region: str, to: str) -> bool:
-        """Whether the document still holds the row with one hall more."""
-        rows = {r: u for r, u in self._units.items() if r in self._in_force or u != self._before[r]}
-        rows[region] = {**self._units[region], to: 1}
-        return sum(size_of(r, u) for r, u in rows.items()) <= self._bounds.most_bytes
+    def _add(self, region: str, target: str, n: int, reason: ProposalReason) -> None:
+        rate = n * self._unit_rate[region]
+        self._units[region][target] = self._units[region].get(target, 0) + n
+        self._load[target] += rate
+        self._expected_load[target] += rate
+        self._intake[target] += rate
+        self._moved_rate += rate
+        self._reasons.add(reason)
+
+    def _fits_document(self, region: str, target: str) -> bool:
+        """Whether the document can hold the region's row with one more zone."""
+        rows = {
+            r: u for r, u in self._units.items() if r in self._rows_in_force or u != self._initial_units[r]
+        }
+        rows[region] = {**self._units[region], target: 1}
+        return sum(row_size_bytes(r, u) for r, u in rows.items()) <= self._limits.max_rows_bytes
--- a/ironrail/peers/steering/proposal_schedule.py
+++ b/ironrail/peers/steering/proposal_schedule.py
@@ -1,31 +1,42 @@
-"""Whose turn it is to propose rows. Pure.
+"""The schedule by which voters take turns at proposing steering rows.
 
-Each voter looks a period after the last change that it saw, the first one then, the second one a delay later
-and so on: a change by one starts all anew. No clocks are compared; two that see a change at times further
-apart than the delay may propose at once, and the accord refuses the second.
+Each voter looks for better rows one interval after the last change that it saw, staggered by voter:
+the first one then, the second one a delay later, and so on. Any change restarts the schedule. No
+clocks are compared between voters; two that see a change at times further apart than the delay may
+propose at once, and consensus rejects the second proposal. No I/O.
 """
 
 from __future__ import annotations
 
-DELAY = 10.0  # seconds between two voters' looks: three times what a change takes to be seen at all
+# Between the proposals of two voters: three times what it takes until a change is seen by all.
+STAGGER_SECONDS = 10.0
 
 
-class Turn:
-    """One voter's."""
+class ProposalSchedule:
+    """The schedule of one voter."""
 
-    def __init__(self, now: float, place: int, places: int, every: float) -> None:
-        """`place` among so many voters; `every`: seconds between two looks of one voter."""
-        self._every = every
-        self._behind = place * min(DELAY, every / places)  # apart from all others' also in later periods
-        self._at = now + every + self._behind
+    def __init__(self, now: float, voter_index: int, num_voters: int, interval: float) -> None:
+        """Start the schedule.
 
-    def changed(self, now: float) -> None:
-        """Something else is in force, whoever proposed it."""
-        self._at = now + self._every + self._behind
+        Args:
+            now: Time on this router's clock.
+            voter_index: This voter's index among the voters.
+            num_voters: Number of voters.
+            interval: Time between this voter's proposals in seconds.
+        """
+        self._interval = interval
+        # Stays distinct from the offsets of the other voters in later intervals, too.
+        self._offset = voter_index * min(STAGGER_SECONDS, interval / num_voters)
+        self._due_at = now + interval + self._offset
 
-    def due(self, now: float) -> bool:
-        """Whether to look now; told once."""
-        if now < self._at:
+    def restart(self, now: float) -> None:
+        """Restart the interval: other rows are in force, proposed by any voter."""
+        self._due_at = now + self._interval + self._offset
+
+    def poll(self, now: float) -> bool:
+        """Return whether a proposal is due, and advance to the next one if so."""
+        if now < self._due_at:
             return False
-        self._at += self._every * (1 + (now - self._at) // self._every)  # what was missed is not made up for
+        # Intervals that were missed are skipped.
+        self._due_at += self._interval * (1 + (now - self._due_at) // self._interval)
         return True
--- a/ironrail/peers/steering/report_table.py
+++ b/ironrail/peers/steering/report_table.py
@@ -1,8 +1,10 @@
-"""What witnesses say of regions at halls, whatever order and repeats it came in. Pure.
+"""The region reports that a router stores, and the estimate of each region in each zone from them.
 
-A join of semilattices as the map of latency has it: of each witness the greatest (start, sequence, values);
-of a cell's witnesses the first few by a rank that no word changes. A replaced process's word keeps its place
-but is not read. Kept packed, 38 bytes a word, as there are up to 256 x 50 cells.
+The table is a join-semilattice, as that of zone latency: the order and repetition of reports don't
+matter. Of each reporter the greatest (incarnation, sequence, values) is kept. Of a cell, which is a
+region in a zone, the first few reporters by a rank are kept; the rank does not depend on any
+report. A report of a replaced process keeps its slot but isn't used. Reports are stored packed in
+38 bytes each, as there are up to 256 x 50 cells. No I/O.
 """
 
 from __future__ import annotations
@@ -14,182 +16,258 @@
 from dataclasses import dataclass
 from typing import TypeVar
 
-from ironrail.peers.steering.reports import MOST_VALUES, Report, Summary, unpack
-from ironrail.peers.steering.histogram import FIFTEENTHS, NOTHING, PARTS, RATES, SECONDS
-
-WITNESSES = 3  # kept of a cell: one liar is outvoted
-LEAST_RENEWAL = 120.0  # seconds after which unchanged evidence is told anew
-RENEWALS = 4.0  # words a second of all routers together: two thirds of what 400 B/s carry to everybody
-HALLS_EACH = 4  # at which most regions' readers arrive; more make evidence grow old, and old is unknown
-STALE, EXPIRED = (
-    3.0,
-    6.0,
-)  # renewals missed before another witness takes the place, and before it is forgotten
-NEW = 64  # of a change: more than any other
-_WORD = struct.Struct(f">HQId{MOST_VALUES}s")  # witness + 1, start, sequence, born, values
-_CELL = WITNESSES * _WORD.size
-_NOTHING = (NOTHING, NOTHING, 0)
-NO_CLASS = (math.inf, math.inf, 0.0)
+from ironrail.peers.steering.histogram import (
+    CLASS_SHARE_BY_CODE,
+    DURATION_BY_CODE,
+    FRACTION_BY_CODE,
+    NO_DATA_CODE,
+    RATE_BY_CODE,
+)
+from ironrail.peers.steering.reports import MAX_VALUES_BYTES, RegionReport, RegionSummary, unpack
+
+MAX_REPORTERS = 3  # kept per cell: the median outvotes one router with wrong values
+MIN_RENEWAL_SECONDS = 120.0  # after which unchanged values are reported again
+RENEWALS_PER_SECOND = 4.0  # of all routers: two thirds of what 400 B/s per router can spread to all
+# Zones in which the clients of most regions arrive. With more, renewals come too seldom: reports go
+# stale and expire, and the zone counts as unknown.
+ZONES_PER_REGION = 4
+# Missed renewals before another reporter may take the slot, and before a report is ignored.
+STALE_RENEWALS, EXPIRED_RENEWALS = (3.0, 6.0)
+NEW_REPORT_CHANGE = 64  # what a new reporter counts as: more than any difference of values
+# reporter + 1 (0 marks a free slot), incarnation, sequence, time of measurement, values
+_RECORD = struct.Struct(f">HQId{MAX_VALUES_BYTES}s")
+_CELL_BYTES = MAX_REPORTERS * _RECORD.size
+_NO_CLASS_CODES = (NO_DATA_CODE, NO_DATA_CODE, 0)
+NO_CLASS_DATA = (math.inf, math.inf, 0.0)
 N = TypeVar("N", int, float)
 
 
-class Held:
-    """A word as it is kept; `born` is its evidence's time on this router's clock."""
+class StoredRegionReport:
+    """A report as it is stored; `measured_at` is on this router's clock."""
 
-    __slots__ = ("born", "sequence", "start", "values", "witness")
+    __slots__ = ("incarnation", "measured_at", "reporter", "sequence", "values")
 
-    def __init__(self, witness: int, start: int, sequence: int, born: float, values: bytes) -> None:
-        self.witness, self.start, self.sequence = witness, start, sequence
-        self.born, self.values = born, values
+    def __init__(
+        self, reporter: int, incarnation: int, sequence: int, measured_at: float, values: bytes
+    ) -> None:
+        self.reporter, self.incarnation, self.sequence = reporter, incarnation, sequence
+        self.measured_at, self.values = measured_at, values
 
     def order(self) -> tuple[int, int, bytes]:
-        return self.start, self.sequence, self.values
+        """Return the sort key: of two reports of a reporter the greater one is kept."""
+        return self.incarnation, self.sequence, self.values
 
 
 @dataclass(frozen=True, slots=True)
-class Cell:
-    """A region at a hall, by the witnesses' medians; of an unknown figure the worst there is."""
-
-    rtt: float  # seconds of a reader's round trip
+class CellEstimate:
+    """Median of the reports on a region in a zone; an unknown duration is infinite.
+
+    Attributes:
+        rtt: Median round-trip time of a client in seconds.
+        rtt_tail: 95th percentile of it in seconds.
+        rate: Requests/s at all routers of the zone.
+        late: Fraction of requests not answered within their latency objective.
+        abandoned: Fraction of requests whose client disconnected first; part of `late`.
+        classes: Of each request class, by number, the median and 95th percentile of the service
+            time in seconds, and the share of requests.
+        age: Seconds since the measurement.
+        num_reporters: Number of reports in use.
+    """
+
+    rtt: float
     rtt_tail: float
-    rate: float  # requests/s at all of the hall's routers
-    late: float  # share not answered in its wanted time
-    early: float  # share whose client went before: part of those
-    classes: tuple[
-        tuple[float, float, float], ...
-    ]  # by class: seconds of service, its tail, share of requests
-    age: float  # seconds since the evidence
-    witnesses: int
+    rate: float
+    late: float
+    abandoned: float
+    classes: tuple[tuple[float, float, float], ...]
+    age: float
+    num_reporters: int
+
 
+def reporter_rank(reporter: int, region: int) -> int:
+    """Return a rank of which the lowest are kept.
 
-def rank(witness: int, region: int) -> int:
-    """The lower, the sooner a witness is kept: drawn by cell, so that no router speaks for all regions."""
-    return zlib.crc32(b"%d %d" % (region, witness))
+    It is pseudo-random by cell, so that no router reports on all regions.
+    """
+    return zlib.crc32(b"%d %d" % (region, reporter))
 
 
-def agreed(values: Sequence[N]) -> N:
-    """The median, of an even number the worse: whatever one of three says, it's among the others'."""
+def upper_median(values: Sequence[N]) -> N:
+    """Return the median, of an even number the greater one.
+
+    Whatever one of three reporters claims, the result lies between the values of the other two.
+    """
     return sorted(values)[len(values) // 2]
 
 
-class Table:
-    """What is known, for routers that stand in the halls that `hall_of` tells by number."""
+class RegionReportTable:
+    """All stored reports.
+
+    Attributes:
+        zone_of: Zone number of each router.
+        num_zones: Number of zones.
+        num_regions: Number of regions.
+        num_routers: Number of routers in each zone.
+        incarnations: Latest incarnation of each reporter.
+        renewal_seconds: Interval at which unchanged values are reported again, the same at all
+            routers.
+    """
+
+    def __init__(self, zone_of: Sequence[int], num_zones: int, num_regions: int) -> None:
+        self.zone_of, self.num_zones, self.num_regions = zone_of, num_zones, num_regions
+        self.num_routers = [zone_of.count(zone) for zone in range(num_zones)]
+        self.incarnations: dict[int, int] = {}
+        self._records: dict[int, bytearray] = {}  # by zone, allocated with its first report
+        max_reports = (
+            num_regions * min(num_zones, ZONES_PER_REGION) * min(MAX_REPORTERS, max(self.num_routers))
+        )
+        self.renewal_seconds = max(MIN_RENEWAL_SECONDS, max_reports / RENEWALS_PER_SECOND)
 
-    def __init__(self, hall_of: Sequence[int], halls: int, regions: int) -> None:
-        self.hall_of, self.halls, self.regions = hall_of, halls, regions
-        self.standing = [hall_of.count(hall) for hall in range(halls)]
-        self.starts: dict[int, int] = {}
-        self._words: dict[int, bytearray] = {}  # by hall, once something is heard of it
-        most = regions * min(halls, HALLS_EACH) * min(WITNESSES, max(self.standing))
-        self.renewal = max(LEAST_RENEWAL, most / RENEWALS)  # seconds, the same at all routers
+    def merge(self, now: float, report: RegionReport) -> int:
+        """Merge a report; it may arrive by any router, and repeatedly.
 
-    def merge(self, now: float, report: Report) -> int:
-        """Take a word, whoever passed it on and however often; how much it changed, -1 if nothing."""
-        if report.age > EXPIRED * self.renewal:
+        Returns:
+            How much the values changed in duration buckets; -1 if the report was not stored.
+        """
+        if report.age > EXPIRED_RENEWALS * self.renewal_seconds:
             return -1
-        witness, region = report.witness, report.region
-        if report.start > self.starts.get(witness, -1):
-            self.starts[witness] = report.start
-        hall = self.hall_of[witness]
-        new = Held(witness, report.start, report.sequence, now - report.age, report.values)
-        cell = self._cell(hall, region)
-        for place, old in enumerate(cell):
-            if old.witness == witness:
+        reporter, region = report.reporter, report.region
+        if report.incarnation > self.incarnations.get(reporter, -1):
+            self.incarnations[reporter] = report.incarnation
+        zone = self.zone_of[reporter]
+        new = StoredRegionReport(
+            reporter, report.incarnation, report.sequence, now - report.age, report.values
+        )
+        cell = self._cell(zone, region)
+        for slot, old in enumerate(cell):
+            if old.reporter == reporter:
                 if new.order() <= old.order():
-                    return -1  # an echo does not make its evidence younger
-                self._put(hall, region, place, new)
-                return unpack(new.values).differs(unpack(old.values))
-        place = len(cell)
-        if place == WITNESSES:
+                    return -1  # a repeated report does not make its measurement younger
+                self._store(zone, region, slot, new)
+                return unpack(new.values).difference(unpack(old.values))
+        slot = len(cell)
+        if slot == MAX_REPORTERS:
             cell.append(new)
-            last = max(cell, key=lambda h: (self._stale(now, h), rank(h.witness, region), h.witness))
+            last = max(
+                cell,
+                key=lambda stored: (
+                    self._is_stale(now, stored),
+                    reporter_rank(stored.reporter, region),
+                    stored.reporter,
+                ),
+            )
             if last is new:
                 return -1
-            place = cell.index(last)
-        self._put(hall, region, place, new)
-        return NEW
+            slot = cell.index(last)
+        self._store(zone, region, slot, new)
+        return NEW_REPORT_CHANGE
 
-    def may_speak(self, now: float, witness: int, region: int) -> bool:
-        """Whether a word of this witness would be kept."""
+    def would_store(self, now: float, reporter: int, region: int) -> bool:
+        """Whether a new report of this reporter would be stored."""
         better = [
-            h for h in self._cell(self.hall_of[witness], region)
-            if h.witness != witness and not self._stale(now, h)
-            and (rank(h.witness, region), h.witness) < (rank(witness, region), witness)
+            stored for stored in self._cell(self.zone_of[reporter], region)
+            if stored.reporter != reporter and not self._is_stale(now, stored)
+            and (reporter_rank(stored.reporter, region), stored.reporter)
+            < (reporter_rank(reporter, region), reporter)
         ]  # fmt: skip
-        return len(better) < WITNESSES
+        return len(better) < MAX_REPORTERS
 
-    def held(self, witness: int, region: int) -> Held | None:
-        return next((h for h in self._cell(self.hall_of[witness], region) if h.witness == witness), None)
+    def stored(self, reporter: int, region: int) -> StoredRegionReport | None:
+        """Return the stored report of a reporter on a region, if any."""
+        return next(
+            (stored for stored in self._cell(self.zone_of[reporter], region) if stored.reporter == reporter),
+            None,
+        )
 
-    def report(self, now: float, witness: int, region: int) -> Report | None:
-        """What to tell others of this word, None if it is gone, replaced or too old."""
-        held = self.held(witness, region)
-        if held is None or not self._counts(now, held):
+    def report_to_forward(self, now: float, reporter: int, region: int) -> RegionReport | None:
+        """Return the report as it is sent to peers; None if it is gone, replaced or expired."""
+        stored = self.stored(reporter, region)
+        if stored is None or not self._is_valid(now, stored):
             return None
-        return Report(witness, held.start, region, held.sequence, held.values, max(0.0, now - held.born))
+        return RegionReport(
+            reporter,
+            stored.incarnation,
+            region,
+            stored.sequence,
+            stored.values,
+            max(0.0, now - stored.measured_at),
+        )
 
-    def estimate(self, now: float, hall: int, region: int) -> Cell | None:
-        """What the witnesses say together; None where no word counts: unknown."""
-        words = [h for h in self._cell(hall, region) if self._counts(now, h)]
-        words = [h for h in words if not self._stale(now, h)] or words
-        if not words:
+    def estimate(self, now: float, zone: int, region: int) -> CellEstimate | None:
+        """Return the estimate of a region in a zone; None if no report is valid: unknown."""
+        reports = [stored for stored in self._cell(zone, region) if self._is_valid(now, stored)]
+        reports = [stored for stored in reports if not self._is_stale(now, stored)] or reports
+        if not reports:
             return None
-        said = [unpack(h.values) for h in words]
-        return Cell(
-            SECONDS[agreed([s.rtt for s in said])],
-            SECONDS[agreed([s.rtt_tail for s in said])],
-            RATES[agreed([s.rate for s in said])] * self.standing[hall],
-            PARTS[agreed([s.late for s in said])],
-            PARTS[agreed([s.early for s in said])],
-            _classes(said),
-            max(0.0, agreed([now - h.born for h in words])),
-            len(words),
+        summaries = [unpack(stored.values) for stored in reports]
+        return CellEstimate(
+            DURATION_BY_CODE[upper_median([s.rtt for s in summaries])],
+            DURATION_BY_CODE[upper_median([s.rtt_tail for s in summaries])],
+            RATE_BY_CODE[upper_median([s.rate for s in summaries])] * self.num_routers[zone],
+            FRACTION_BY_CODE[upper_median([s.late for s in summaries])],
+            FRACTION_BY_CODE[upper_median([s.abandoned for s in summaries])],
+            _class_medians(summaries),
+            max(0.0, upper_median([now - stored.measured_at for stored in reports])),
+            len(reports),
         )
 
-    def cells(self, now: float) -> Iterator[tuple[int, int, Cell]]:
-        """All that is known: region, hall, cell."""
-        for hall in sorted(self._words):
-            for region in range(self.regions):
-                cell = self.estimate(now, hall, region)
+    def cell_estimates(self, now: float) -> Iterator[tuple[int, int, CellEstimate]]:
+        """Yield all known estimates as (region, zone, estimate)."""
+        for zone in sorted(self._records):
+            for region in range(self.num_regions):
+                cell = self.estimate(now, zone, region)
                 if cell is not None:
-                    yield region, hall, cell
-
-    def words(self) -> Iterator[tuple[int, int]]:
-        """All words that are kept, as (witness, region)."""
-        for hall in self._words:
-            for region in range(self.regions):
-                yield from ((held.witness, region) for held in self._cell(hall, region))
-
-    def _counts(self, now: float, held: Held) -> bool:
-        return held.start >= self.starts[held.witness] and now - held.born <= EXPIRED * self.renewal
-
-    def _stale(self, now: float, held: Held) -> bool:
-        return now - held.born > STALE * self.renewal
-
-    def _cell(self, hall: int, region: int) -> list[Held]:
-        words = self._words.get(hall)
-        found: list[Held] = []
-        if words is not None:
-            for at in range(region * _CELL, (region + 1) * _CELL, _WORD.size):
-                witness, start, sequence, born, values = _WORD.unpack_from(words, at)
-                if not witness:
+                    yield region, zone, cell
+
+    def report_keys(self) -> Iterator[tuple[int, int]]:
+        """Yield (reporter, region) of all stored reports."""
+        for zone in self._records:
+            for region in range(self.num_regions):
+                yield from ((stored.reporter, region) for stored in self._cell(zone, region))
+
+    def _is_valid(self, now: float, stored: StoredRegionReport) -> bool:
+        return (
+            stored.incarnation >= self.incarnations[stored.reporter]
+            and now - stored.measured_at <= EXPIRED_RENEWALS * self.renewal_seconds
+        )
+
+    def _is_stale(self, now: float, stored: StoredRegionReport) -> bool:
+        return now - stored.measured_at > STALE_RENEWALS * self.renewal_seconds
+
+    def _cell(self, zone: int, region: int) -> list[StoredRegionReport]:
+        records = self._records.get(zone)
+        found: list[StoredRegionReport] = []
+        if records is not None:
+            for at in range(region * _CELL_BYTES, (region + 1) * _CELL_BYTES, _RECORD.size):
+                reporter, incarnation, sequence, measured_at, values = _RECORD.unpack_from(records, at)
+                if not reporter:
                     break
                 size = 4 + 2 * (values[3] & 63).bit_count()
-                found.append(Held(witness - 1, start, sequence, born, values[:size]))
+                found.append(
+                    StoredRegionReport(reporter - 1, incarnation, sequence, measured_at, values[:size])
+                )
         return found
 
-    def _put(self, hall: int, region: int, place: int, new: Held) -> None:
-        words = self._words.get(hall)
-        if words is None:
-            words = self._words[hall] = bytearray(_CELL * self.regions)
-        at = region * _CELL + place * _WORD.size
-        _WORD.pack_into(words, at, new.witness + 1, new.start, new.sequence, new.born, new.values)
+    def _store(self, zone: int, region: int, slot: int, new: StoredRegionReport) -> None:
+        records = self._records.get(zone)
+        if records is None:
+            records = self._records[zone] = bytearray(_CELL_BYTES * self.num_regions)
+        at = region * _CELL_BYTES + slot * _RECORD.size
+        _RECORD.pack_into(
+            records, at, new.reporter + 1, new.incarnation, new.sequence, new.measured_at, new.values
+        )
 
 
-def _classes(said: Sequence[Summary]) -> tuple[tuple[float, float, float], ...]:
-    rows = [{cls: row for cls, *row in s.classes} for s in said]
+def _class_medians(summaries: Sequence[RegionSummary]) -> tuple[tuple[float, float, float], ...]:
+    rows = [{class_number: row for class_number, *row in s.classes} for s in summaries]
     found = []
-    for cls in range(max((max(row) + 1 for row in rows if row), default=0)):
-        typical, tail, share = (agreed([row.get(cls, _NOTHING)[n] for row in rows]) for n in range(3))
-        found.append(NO_CLASS if typical == NOTHING else (SECONDS[typical], SECONDS[tail], FIFTEENTHS[share]))
+    for class_number in range(max((max(row) + 1 for row in rows if row), default=0)):
+        typical, tail, share = (
+            upper_median([row.get(class_number, _NO_CLASS_CODES)[n] for row in rows]) for n in range(3)
+        )
+        found.append(
+            NO_CLASS_DATA
+            if typical == NO_DATA_CODE
+            else (DURATION_BY_CODE[typical], DURATION_BY_CODE[tail], CLASS_SHARE_BY_CODE[share])
+        )
     return tuple(found)
--- a/ironrail/peers/steering/reports.py
+++ b/ironrail/peers/steering/reports.py
@@ -1,8 +1,9 @@
-"""What a witness says of a region at its hall, and its form on the wire. Pure.
+"""A router's report on a region's clients in its zone, and its encoding on the wire.
 
-A message is the digest of the regions' file (numbers mean the same regions only where that is the same), then
-groups: witness, start of its process, count, and so many rows of region, sequence, age and values. Whole
-numbers are base 128, low digits first. The hall follows from the witness.
+A message starts with the digest of the region definitions, as region numbers are only comparable
+between routers with the same definitions. Groups follow: reporter, incarnation of its process,
+count, and as many rows of region, sequence number, age and values. Integers are base-128 varints,
+low digits first. The zone follows from the reporter. No I/O.
 """
 
 from __future__ import annotations
@@ -11,78 +12,101 @@
 from typing import NamedTuple
 
 from ironrail.errors import InputError
-from ironrail.peers.steering.histogram import part_of
+from ironrail.peers.steering.histogram import fraction_from_code
 
-MOST_BODY = 200  # bytes: with the wire's own within the 256 that a datagram may have
-MOST_CLASSES = 6  # that are told apart; those beyond are not told of
-MOST_VALUES = 4 + 2 * MOST_CLASSES  # bytes
-DIGEST = 4  # bytes
-AGE_UNIT = 1.0  # seconds, rounded up
-MOST_START, MOST_SEQUENCE, MOST_AGE = 2**64, 2**32, 2**14
-_WHERE = "reports of regions"
+MAX_BODY_BYTES = 200  # leaves space for the transport's header in a datagram of 256 bytes
+MAX_CLASSES = 6  # request classes with a number from this on are not reported
+MAX_VALUES_BYTES = 4 + 2 * MAX_CLASSES
+DIGEST_BYTES = 4
+AGE_UNIT_SECONDS = 1.0  # ages are rounded up
+MAX_INCARNATION, MAX_SEQUENCE, MAX_AGE = 2**64, 2**32, 2**14  # exclusive; the age is in units
+_LOCATION = "region reports"
 
 
-class ReportError(InputError):
-    """A message that is no list of reports. Nothing of it is taken."""
+class RegionReportError(InputError):
+    """A message that is not a valid list of reports. Nothing of it is used."""
 
     advice = "Give all routers the same version and the same file of regions."
 
 
-class Summary(NamedTuple):
-    """Codes of a witness's word: durations and rate as in `sketch`, shares in fifteenths."""
+class RegionSummary(NamedTuple):
+    """The values of a report as codes of `histogram`, except class shares, in fifteenths.
 
-    rtt: int  # the median
-    rtt_tail: int  # 95 of 100 are at most this
-    rate: int  # of requests, at this router
-    late: int  # share not answered in its wanted time
-    early: int  # share whose client went before: part of those
-    classes: tuple[tuple[int, int, int, int], ...]  # class, median of service, its tail, share of requests
+    Attributes:
+        rtt: Median round-trip time.
+        rtt_tail: 95th percentile of the round-trip time.
+        rate: Rate of requests at the reporting router.
+        late: Fraction of requests that were not answered within their latency objective.
+        abandoned: Fraction of requests whose client disconnected first; part of `late`.
+        classes: Of each request class its number, median and 95th percentile of the service time,
+            and share of requests.
+    """
+
+    rtt: int
+    rtt_tail: int
+    rate: int
+    late: int
+    abandoned: int
+    classes: tuple[tuple[int, int, int, int], ...]
 
     def pack(self) -> bytes:
+        """Encode the values."""
         mask, rows = 0, b""
-        for cls, typical, tail, share in self.classes:
-            if cls < MOST_CLASSES:
-                mask |= 1 << cls
+        for class_number, typical, tail, share in self.classes:
+            if class_number < MAX_CLASSES:
+                mask |= 1 << class_number
                 rows += (typical << 10 | tail << 4 | share).to_bytes(2, "big")
-        head = self.rtt << 26 | self.rtt_tail << 20 | self.rate << 14 | self.late << 10 | self.early << 6
+        head = self.rtt << 26 | self.rtt_tail << 20 | self.rate << 14 | self.late << 10 | self.abandoned << 6
         return (head | mask).to_bytes(4, "big") + rows
 
-    def differs(self, other: Summary) -> int:
-        """By how much they tell another story: buckets of duration; 2 of 100 more late ones are one."""
-        late = round(abs(part_of(self.late) - part_of(other.late)) / 0.02)
-        most = max(abs(self.rtt - other.rtt), late, abs(self.rate - other.rate) // 2)
-        theirs = {cls: typical for cls, typical, *_ in other.classes}
-        for cls, typical, *_ in self.classes:
-            most = max(most, abs(typical - theirs.pop(cls, typical + 8)))
-        return max(most, 8) if theirs else most
+    def difference(self, other: RegionSummary) -> int:
+        """Return the largest difference in duration buckets.
+
+        A difference of 2 % of late requests counts as one bucket.
+        """
+        late = round(abs(fraction_from_code(self.late) - fraction_from_code(other.late)) / 0.02)
+        largest = max(abs(self.rtt - other.rtt), late, abs(self.rate - other.rate) // 2)
+        others = {class_number: typical for class_number, typical, *_ in other.classes}
+        for class_number, typical, *_ in self.classes:
+            largest = max(largest, abs(typical - others.pop(class_number, typical + 8)))
+        return max(largest, 8) if others else largest
 
 
-def unpack(values: bytes) -> Summary:
-    """Of what `pack` gave."""
+def unpack(values: bytes) -> RegionSummary:
+    """Decode what `RegionSummary.pack` encoded."""
     head = int.from_bytes(values[:4], "big")
     classes, at = [], 4
-    for cls in range(MOST_CLASSES):
-        if head >> cls & 1:
+    for class_number in range(MAX_CLASSES):
+        if head >> class_number & 1:
             row = values[at] << 8 | values[at + 1]
-            classes.append((cls, row >> 10, row >> 4 & 63, row & 15))
+            classes.append((class_number, row >> 10, row >> 4 & 63, row & 15))
             at += 2
-    return Summary(
+    return RegionSummary(
         head >> 26, head >> 20 & 63, head >> 14 & 63, head >> 10 & 15, head >> 6 & 15, tuple(classes)
     )
 
 
-class Report(NamedTuple):
-    """One witness's latest word on one region at its hall."""
+class RegionReport(NamedTuple):
+    """One router's latest report on one region in its zone.
+
+    Attributes:
+        reporter: Index of the router that measured the values.
+        incarnation: Incarnation of its process.
+        region: Number of the region.
+        sequence: Sequence number, which grows with each report of the incarnation.
+        values: A packed `RegionSummary`.
+        age: Seconds since the measurement, as far as known.
+    """
 
-    witness: int
-    start: int
+    reporter: int
+    incarnation: int
     region: int
     sequence: int
     values: bytes
-    age: float  # seconds since the evidence, as far as known
+    age: float
 
 
-def _number(value: int) -> bytes:
+def _encode_varint(value: int) -> bytes:
     out = bytearray()
     while value > 127:
         out.append(value & 127 | 128)
@@ -91,42 +115,50 @@
     return bytes(out)
 
 
-def encode(digest: bytes, reports: Iterable[Report], most: int = MOST_BODY) -> tuple[bytes, int]:
-    """A message of the first reports, as many as fit, and how many those are."""
+def encode(
+    digest: bytes, reports: Iterable[RegionReport], max_bytes: int = MAX_BODY_BYTES
+) -> tuple[bytes, int]:
+    """Return a message with as many of the first reports as fit, and the number of those."""
     groups: dict[tuple[int, int], list[bytes]] = {}
     size, taken = len(digest), 0
     for report in reports:
-        who = report.witness, report.start
-        age = min(MOST_AGE - 1, -int(-report.age // AGE_UNIT))
-        row = _number(report.region) + _number(report.sequence) + _number(age) + report.values
-        head = 0 if who in groups else len(_number(who[0])) + len(_number(who[1])) + 1
-        if size + head + len(row) > most:
+        source = report.reporter, report.incarnation
+        age = min(MAX_AGE - 1, -int(-report.age // AGE_UNIT_SECONDS))
+        row = (
+            _encode_varint(report.region)
+            + _encode_varint(report.sequence)
+            + _encode_varint(age)
+            + report.values
+        )
+        head = 0 if source in groups else len(_encode_varint(source[0])) + len(_encode_varint(source[1])) + 1
+        if size + head + len(row) > max_bytes:
             break
-        groups.setdefault(who, []).append(row)
+        groups.setdefault(source, []).append(row)
         size += head + len(row)
         taken += 1
     return digest + b"".join(
-        _number(witness) + _number(start) + bytes((len(rows),)) + b"".join(rows)
-        for (witness, start), rows in groups.items()
+        _encode_varint(reporter) + _encode_varint(incarnation) + bytes((len(rows),)) + b"".join(rows)
+        for (reporter, incarnation), rows in groups.items()
     ), taken
 
 
-def decode(body: bytes, digest: bytes, routers: int, regions: int) -> list[Report]:
-    """The reports of a message.
+def decode(body: bytes, digest: bytes, num_routers: int, num_regions: int) -> list[RegionReport]:
+    """Return the reports of a message.
 
     Raises:
-        ReportError: it is of other regions, or anything in it is out of form or range.
+        RegionReportError: The message refers to other region definitions, is too long, is
+            truncated, or holds a number out of range.
     """
-    if body[:DIGEST] != digest:
-        raise ReportError("is of another file of regions", _WHERE)
-    if len(body) > MOST_BODY:  # nobody says so much, and it would cost as much time as it has words
-        raise ReportError("is too long", _WHERE)
-    at = DIGEST
+    if body[:DIGEST_BYTES] != digest:
+        raise RegionReportError("refers to another file of regions", _LOCATION)
+    if len(body) > MAX_BODY_BYTES:  # no router sends it, and decoding takes time per report
+        raise RegionReportError("is too long", _LOCATION)
+    at = DIGEST_BYTES
 
     def take(size: int) -> bytes:
         nonlocal at
         if at + size > len(body):
-            raise ReportError("breaks off", _WHERE)
+            raise RegionReportError("is truncated", _LOCATION)
         at += size
         return body[at - size : at]
 
@@ -139,14 +171,16 @@
             if digit < 128 and value < bound:
                 return value
             if value >= bound or shift > 70:
-                raise ReportError("a number is too large", _WHERE)
+                raise RegionReportError("contains a number out of range", _LOCATION)
 
     found = []
     while at < len(body):
-        witness, start = number(routers), number(MOST_START)
+        reporter, incarnation = number(num_routers), number(MAX_INCARNATION)
         for _ in range(take(1)[0]):
-            region, sequence, age = number(regions), number(MOST_SEQUENCE), number(MOST_AGE)
+            region, sequence, age = number(num_regions), number(MAX_SEQUENCE), number(MAX_AGE)
             head = take(4)
             values = head + take(2 * (head[3] & 63).bit_count())
-            found.append(Report(witness, start, region, sequence, values, age * AGE_UNIT))
+            found.append(
+                RegionReport(reporter, incarnation, region, sequence, values, age * AGE_UNIT_SECONDS)
+            )
     return found
--- a/tests/peers/fuzz/bodies.py
+++ b/tests/peers/fuzz/bodies.py
@@ -123,16 +123,16 @@
 
 def regions_body(draws: random.Random, routers: int, count: int, digest: bytes) -> bytes:
     """The same of regions."""
-    starts, words = draws.choice((4, regions.MOST_START)), []
+    starts, words = draws.choice((4, regions.MAX_INCARNATION)), []
     for _ in range(draws.choice((1, 3, 20, 700))):
         mask = draws.randrange(64)
         head = draws.randrange(1 << 26) << 6 | mask
         values = head.to_bytes(4, "big") + draws.randbytes(2 * mask.bit_count())
         words.append(
-            regions.Report(
+            regions.RegionReport(
                 draws.randrange(routers), _edge(draws, starts), draws.randrange(count),
-                _edge(draws, draws.choice((9, regions.MOST_SEQUENCE))), values,
-                draws.choice((0.0, 0.0, draws.random() * 1000, float(regions.MOST_AGE))),
+                _edge(draws, draws.choice((9, regions.MAX_SEQUENCE))), values,
+                draws.choice((0.0, 0.0, draws.random() * 1000, float(regions.MAX_AGE))),
             )
         )  # fmt: skip
-    return regions.encode(digest, words, draws.choice((regions.MOST_BODY, MOST)))[0]
+    return regions.encode(digest, words, draws.choice((regions.MAX_BODY_BYTES, MOST)))[0]
--- a/tests/peers/fuzz/gossip.py
+++ b/tests/peers/fuzz/gossip.py
@@ -7,10 +7,10 @@
 from typing import Any
 
 from ironrail.peers.messages import Received
-from ironrail.peers.steering.cost_model import Hall, Standing
+from ironrail.peers.steering.cost_model import ZoneState, ZoneStatus
+from ironrail.peers.steering.protocol import MAX_PENDING_REPORTS, SteeringProtocol
 from ironrail.peers.steering.regions import Regions
-from ironrail.peers.steering.protocol import MOST_WAITING, RegionsRoom
-from ironrail.peers.steering.report_table import WITNESSES
+from ironrail.peers.steering.report_table import MAX_REPORTERS
 from ironrail.peers.zone_latency.room import LatencyRoom
 from ironrail.peers.zone_latency.sight import Link
 from ironrail.peers.zone_latency.spread import MOST_RUMOURS
@@ -134,10 +134,10 @@
 class OfRegions(Gossip):
     """Regions' rows."""
 
-    def make(self) -> RegionsRoom:
+    def make(self) -> SteeringProtocol:
         self.regions = REGIONS[self.draws.choice((1, 6, 255))]
         draws = random.Random(self.draws.random())
-        return RegionsRoom(
+        return SteeringProtocol(
             self.now, self.me, self.start, self.regions, self.names, self.hall_of, CLASSES, draws
         )
 
@@ -149,26 +149,29 @@
         for _ in range(draws.choice((1, 9))):
             region = draws.choice((*self.regions.names, "nowhere"))
             seconds = draws.choice((0.02, 0.0, -1.0, 1e9, math.inf, math.nan))
-            self.room.client_rtt(self.now, region, seconds)
-            self.room.served(self.now, region, draws.choice(CLASSES), seconds, draws.random() < 0.8, False)
+            self.room.record_client_rtt(self.now, region, seconds)
+            self.room.record_request(
+                self.now, region, draws.choice(CLASSES), seconds, draws.random() < 0.8, False
+            )
 
     def own(self) -> list[object]:
         regions = range(0, len(self.regions.names), 17)
         return [held.order() if held else None
-                for held in (self.room.table.held(self.me, region) for region in regions)]  # fmt: skip
+                for held in (self.room.table.stored(self.me, region) for region in regions)]  # fmt: skip
 
     def end(self) -> None:
         super().end()
         room, names = self.room, self.names
-        must(len(room._waiting) <= MOST_WAITING, "waits without end")
-        must(len(room.table.starts) <= self.routers, "starts without end")
+        must(len(room._pending) <= MAX_PENDING_REPORTS, "waits without end")
+        must(len(room.table.incarnations) <= self.routers, "starts without end")
         must(
-            all(len(room.table._cell(h, 0)) <= WITNESSES for h in range(self.halls)), "witnesses without end"
+            all(len(room.table._cell(h, 0)) <= MAX_REPORTERS for h in range(self.halls)),
+            "witnesses without end",
         )
         if self.halls * len(self.regions.names) > 1000:
             return  # a proposal over the largest tables takes seconds
-        standing = self.draws.choice(list(Standing))
-        halls = {name: Hall(self.draws.choice((0.0, 9.0, 1e6)), 5.0, standing, 2) for name in names}
+        standing = self.draws.choice(list(ZoneStatus))
+        halls = {name: ZoneState(self.draws.choice((0.0, 9.0, 1e6)), 5.0, standing, 2) for name in names}
         proposal = room.propose(self.now, {}, halls, dict.fromkeys(names, 0.01))
         for row in (proposal.rows or {}).values():
             must(sum(row.values()) <= 1 + 1e-9 and set(row) <= set(names), "no such row")
--- a/tests/peers/steering/simulation.py
+++ b/tests/peers/steering/simulation.py
@@ -1,4 +1,4 @@
-"""A small world in virtual time: readers come to halls, by rows or without, and what they get."""
+"""A simulation in virtual time: clients choose zones, by rows or without, and get responses."""
 
 from __future__ import annotations
 
@@ -7,191 +7,243 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from ironrail.peers.steering.cost_model import Standing
-from ironrail.peers.steering.proposal import Rows
+from ironrail.peers.steering.cost_model import ZoneStatus
+from ironrail.peers.steering.proposal import SteeringRows
 
-PERIOD = 60.0  # seconds between two proposals
-WANTED = 0.4  # seconds at the reader
-GONE = 4.0  # seconds that a reader who gets nothing waits
-STRAYS = 0.02  # of readers who come to any hall, whatever rows and fronts say
-FOLLOW = 0.5  # of readers who follow new rows within a period
+PERIOD_SECONDS = 60.0  # between two proposals
+LATENCY_OBJECTIVE = 0.4  # seconds at the client
+CLIENT_TIMEOUT = 4.0  # seconds that a client waits without a response
+STRAY_FRACTION = 0.02  # of clients, which choose any zone, whatever rows and front ends say
+FOLLOW_FRACTION = 0.5  # of clients, which follow new rows within a period
 JITTER = [math.exp(0.3 * z) for z in (-1.6, -0.8, -0.3, 0.0, 0.3, 0.8, 1.6, 2.5)]
 SERVICE = [math.exp(0.6 * z) for z in (-1.6, -0.8, -0.3, 0.0, 0.3, 0.8, 1.6, 2.5)]
-Choice = Callable[["World"], Rows]
-Change = Callable[["World", float], None]
+Strategy = Callable[["Simulation"], SteeringRows]
+Event = Callable[["Simulation", float], None]
 
 
 @dataclass
-class World:
-    """Figures that are true, and where readers are."""
+class Simulation:
+    """The true values, and where clients are.
+
+    Attributes:
+        rtt: Round-trip time in seconds by region and zone.
+        demand: Requests/s by region.
+        capacity: Requests/s by zone.
+        service: Median service time in seconds by zone, without load.
+        link: Round-trip time in seconds from each zone to its caches.
+        front_ends: The zones that each region's front ends try, in order.
+        status: Status of each zone; OPEN if it is missing.
+        shares: Shares of each region's clients by zone.
+        optimal_rows: The optimum of each state, computed once.
+    """
 
     rtt: dict[str, dict[str, float]]
     demand: dict[str, float]
-    room: dict[str, float]
+    capacity: dict[str, float]
     service: dict[str, float]
     link: dict[str, float]
-    fronts: dict[str, list[str]]  # of each region the halls that its fronts try, in order
-    standing: dict[str, Standing] = field(default_factory=dict)
-    at: dict[str, dict[str, float]] = field(default_factory=dict)
-    known: dict[str, Rows] = field(default_factory=dict)  # the truth of each state
+    front_ends: dict[str, list[str]]
+    status: dict[str, ZoneStatus] = field(default_factory=dict)
+    shares: dict[str, dict[str, float]] = field(default_factory=dict)
+    optimal_rows: dict[str, SteeringRows] = field(default_factory=dict)
 
-    def open(self, hall: str) -> bool:
-        return self.standing.get(hall, Standing.OPEN) is Standing.OPEN
+    def is_open(self, zone: str) -> bool:
+        return self.status.get(zone, ZoneStatus.OPEN) is ZoneStatus.OPEN
 
-    def there(self, hall: str) -> bool:
-        return self.standing.get(hall) is not Standing.CLOSED
+    def is_running(self, zone: str) -> bool:
+        return self.status.get(zone) is not ZoneStatus.CLOSED
 
-    def fixed(self, region: str) -> dict[str, float]:
-        """What fronts do by themselves: their first hall that is there."""
-        return {next(h for h in self.fronts[region] if self.there(h)): 1.0}
+    def default_row(self, region: str) -> dict[str, float]:
+        """Return what front ends do without rows: they use their first zone that is running."""
+        return {next(z for z in self.front_ends[region] if self.is_running(z)): 1.0}
 
-    def follow(self, rows: Rows) -> None:
-        """A period's change of where readers are."""
-        halls = [h for h in self.room if self.there(h)]
+    def follow(self, rows: SteeringRows) -> None:
+        """Move clients for one period."""
+        zones = [z for z in self.capacity if self.is_running(z)]
         for region in self.demand:
-            row = dict(rows.get(region) or self.fixed(region))
-            row = {h: s for h, s in row.items() if self.there(h)}
+            row = dict(rows.get(region) or self.default_row(region))
+            row = {z: s for z, s in row.items() if self.is_running(z)}
             rest = 1.0 - sum(row.values())
-            for h, s in self.fixed(region).items():
-                row[h] = row.get(h, 0.0) + rest * s
-            want = {h: row.get(h, 0.0) * (1 - STRAYS) + STRAYS / len(halls) for h in halls}
-            now = self.at.get(region, want)
-            gone = sum(s for h, s in now.items() if not self.there(h))
-            self.at[region] = {
-                h: (1 - FOLLOW) * now.get(h, 0.0) + (FOLLOW + (1 - FOLLOW) * gone) * want[h] for h in halls
+            for z, s in self.default_row(region).items():
+                row[z] = row.get(z, 0.0) + rest * s
+            target = {z: row.get(z, 0.0) * (1 - STRAY_FRACTION) + STRAY_FRACTION / len(zones) for z in zones}
+            now = self.shares.get(region, target)
+            displaced = sum(s for z, s in now.items() if not self.is_running(z))
+            self.shares[region] = {
+                z: (1 - FOLLOW_FRACTION) * now.get(z, 0.0)
+                + (FOLLOW_FRACTION + (1 - FOLLOW_FRACTION) * displaced) * target[z]
+                for z in zones
             }
 
     def load(self) -> dict[str, float]:
-        return {h: sum(self.demand[r] * self.at[r].get(h, 0.0) for r in self.demand) for h in self.room}
+        return {
+            z: sum(self.demand[r] * self.shares[r].get(z, 0.0) for r in self.demand) for z in self.capacity
+        }
 
-    def slow(self, load: dict[str, float]) -> dict[str, float]:
-        """By how much service is longer for the load."""
-        return {h: 1.0 / (1.0 - min(0.97, load[h] / self.room[h])) for h in self.room}
+    def slowdown(self, load: dict[str, float]) -> dict[str, float]:
+        """Return the factor by which load prolongs the service time in each zone."""
+        return {z: 1.0 / (1.0 - min(0.97, load[z] / self.capacity[z])) for z in self.capacity}
 
     def outcome(self) -> tuple[float, float]:
-        """Share answered in the wanted time, and the 99th percentile at the reader."""
+        """Return the fraction within the latency objective, and the 99th percentile."""
         load = self.load()
-        slow, times = self.slow(load), []
-        for region, shares in self.at.items():
-            for hall, share in shares.items():
-                served = min(1.0, self.room[hall] / max(load[hall], 1e-9))
+        slowdown, times = self.slowdown(load), []
+        for region, shares in self.shares.items():
+            for zone, share in shares.items():
+                served = min(1.0, self.capacity[zone] / max(load[zone], 1e-9))
                 weight = self.demand[region] * share / len(JITTER) ** 2
                 for j in JITTER:
                     for s in SERVICE:
                         time = (
-                            self.rtt[region][hall] * j + self.link[hall] + self.service[hall] * slow[hall] * s
+                            self.rtt[region][zone] * j
+                            + self.link[zone]
+                            + self.service[zone] * slowdown[zone] * s
                         )
                         times.append((time, weight * served))
                 if served < 1.0:
-                    times.append((GONE, self.demand[region] * share * (1 - served)))
+                    times.append((CLIENT_TIMEOUT, self.demand[region] * share * (1 - served)))
         total = sum(w for _, w in times)
-        in_time = sum(w for t, w in times if t <= WANTED) / total
+        in_time = sum(w for t, w in times if t <= LATENCY_OBJECTIVE) / total
         left = 0.01 * total
         for time, weight in sorted(times, reverse=True):
             left -= weight
             if left <= 0:
                 return in_time, time
-        raise AssertionError("nobody came")
-
-
-def draw(seed: int, regions: int = 12, halls: int = 6) -> World:
-    """Places in a plane 80 ms wide; a third of fronts aren't near; halls are built for twice what comes."""
-    d = random.Random(seed)
-    spot = {f"h{n}": (d.random(), d.random()) for n in range(halls)}
-    rtt, fronts = {}, {}
-    for n in range(regions):
-        x, y = d.random(), d.random()
-        rtt[f"r{n}"] = {h: 0.004 + 0.080 * math.hypot(x - a, y - b) for h, (a, b) in spot.items()}
-        near = sorted(spot, key=lambda h: rtt[f"r{n}"][h])
-        if d.random() < 1 / 3:
-            near.insert(0, near.pop(d.randrange(1, halls)))
-        fronts[f"r{n}"] = near
-    demand = {r: 40.0 * math.exp(d.gauss(0, 0.7)) for r in rtt}
-    first = {h: sum(demand[r] for r in demand if fronts[r][0] == h) for h in spot}
-    room = {h: 2.0 * max(first[h], sum(demand.values()) / halls / 2) for h in spot}
-    return World(
-        rtt, demand, room, {h: d.uniform(0.015, 0.030) for h in spot}, dict.fromkeys(spot, 0.002), fronts
+        raise AssertionError("there are no requests")
+
+
+def draw(seed: int, num_regions: int = 12, num_zones: int = 6) -> Simulation:
+    """Place regions and zones at random in a plane 80 ms wide.
+
+    A third of the front ends do not use their nearest zone first. Zones have twice the capacity
+    that they need.
+    """
+    rng = random.Random(seed)
+    position = {f"h{n}": (rng.random(), rng.random()) for n in range(num_zones)}
+    rtt, front_ends = {}, {}
+    for n in range(num_regions):
+        x, y = rng.random(), rng.random()
+        rtt[f"r{n}"] = {z: 0.004 + 0.080 * math.hypot(x - a, y - b) for z, (a, b) in position.items()}
+        order = sorted(position, key=lambda z: rtt[f"r{n}"][z])
+        if rng.random() < 1 / 3:
+            order.insert(0, order.pop(rng.randrange(1, num_zones)))
+        front_ends[f"r{n}"] = order
+    demand = {r: 40.0 * math.exp(rng.gauss(0, 0.7)) for r in rtt}
+    first = {z: sum(demand[r] for r in demand if front_ends[r][0] == z) for z in position}
+    capacity = {z: 2.0 * max(first[z], sum(demand.values()) / num_zones / 2) for z in position}
+    return Simulation(
+        rtt,
+        demand,
+        capacity,
+        {z: rng.uniform(0.015, 0.030) for z in position},
+        dict.fromkeys(position, 0.002),
+        front_ends,
     )
 
 
-def fixed(world: World) -> Rows:
-    return {r: world.fixed(r) for r in world.demand}
+def fixed(simulation: Simulation) -> SteeringRows:
+    """Leave clients to their front ends."""
+    return {r: simulation.default_row(r) for r in simulation.demand}
 
 
-def nearest(world: World) -> Rows:
-    """By the true round trip alone."""
-    halls = [h for h in world.room if world.open(h)]
-    return {r: {min(halls, key=lambda h: world.rtt[r][h]): 1.0} for r in world.demand}
+def nearest(simulation: Simulation) -> SteeringRows:
+    """Choose zones by the true round-trip time alone."""
+    zones = [z for z in simulation.capacity if simulation.is_open(z)]
+    return {r: {min(zones, key=lambda z: simulation.rtt[r][z]): 1.0} for r in simulation.demand}
 
 
-def truth(world: World) -> Rows:
-    """What least of all readers' time would be, by greedy descent on figures that are true."""
-    state = repr((world.demand, world.link, world.standing))
-    if state in world.known:
-        return world.known[state]
-    halls = [h for h in world.room if world.open(h)]
-    rows = {r: {min(halls, key=lambda h: world.rtt[r][h]): 32} for r in world.demand}
-    load = {h: sum(world.demand[r] * row.get(h, 0) / 32 for r, row in rows.items()) for h in halls}
+def optimal(simulation: Simulation) -> SteeringRows:
+    """Minimize the response time of all clients by greedy descent on the true values."""
+    state = repr((simulation.demand, simulation.link, simulation.status))
+    if state in simulation.optimal_rows:
+        return simulation.optimal_rows[state]
+    zones = [z for z in simulation.capacity if simulation.is_open(z)]
+    rows = {r: {min(zones, key=lambda z: simulation.rtt[r][z]): 32} for r in simulation.demand}
+    load = {z: sum(simulation.demand[r] * row.get(z, 0) / 32 for r, row in rows.items()) for z in zones}
 
-    def cost(r: str, h: str) -> float:
-        idle = 1.2 * world.service[h]  # the mean of the lognormal
-        return world.rtt[r][h] + world.link[h] + idle / (1 - min(0.97, load[h] / world.room[h])) ** 2
+    def cost(r: str, z: str) -> float:
+        idle = 1.2 * simulation.service[z]  # the mean of the lognormal distribution
+        return (
+            simulation.rtt[r][z]
+            + simulation.link[z]
+            + idle / (1 - min(0.97, load[z] / simulation.capacity[z])) ** 2
+        )
 
     for _ in range(20):
         for r, row in rows.items():
-            part = world.demand[r] / 32
-            for h in [h for h, n in row.items() for _ in range(n)]:
-                load[h] -= part
-                best = min(halls, key=lambda b: cost(r, b))
+            part = simulation.demand[r] / 32
+            for z in [z for z, n in row.items() for _ in range(n)]:
+                load[z] -= part
+                best = min(zones, key=lambda b: cost(r, b))
                 load[best] += part
-                row[h] -= 1
+                row[z] -= 1
                 row[best] = row.get(best, 0) + 1
-    world.known[state] = {r: {h: n / 32 for h, n in row.items() if n} for r, row in rows.items()}
-    return world.known[state]
+    simulation.optimal_rows[state] = {r: {z: n / 32 for z, n in row.items() if n} for r, row in rows.items()}
+    return simulation.optimal_rows[state]
 
 
-def cut(world: World, at: float) -> None:
-    """The cable from the fullest hall to its caches is cut for a while; the way round takes 150 ms."""
-    first = max(world.room, key=lambda h: sum(d for r, d in world.demand.items() if world.fronts[r][0] == h))
-    world.link[first] = 0.150 if 1 / 3 <= at < 2 / 3 else 0.002
+def cable_cut(simulation: Simulation, at: float) -> None:
+    """Cut the link from the most loaded zone to its caches for a while; the detour takes 150 ms."""
+    first = max(
+        simulation.capacity,
+        key=lambda z: sum(d for r, d in simulation.demand.items() if simulation.front_ends[r][0] == z),
+    )
+    simulation.link[first] = 0.150 if 1 / 3 <= at < 2 / 3 else 0.002
 
 
-def lost(world: World, at: float) -> None:
-    first = max(world.room, key=lambda h: sum(d for r, d in world.demand.items() if world.fronts[r][0] == h))
-    cold = Standing.COLD if at < 0.75 else Standing.OPEN
-    world.standing[first] = Standing.OPEN if at < 1 / 3 else Standing.CLOSED if at < 2 / 3 else cold
+def zone_lost(simulation: Simulation, at: float) -> None:
+    """Close the most loaded zone for a while; it comes back cold."""
+    first = max(
+        simulation.capacity,
+        key=lambda z: sum(d for r, d in simulation.demand.items() if simulation.front_ends[r][0] == z),
+    )
+    restarted = ZoneStatus.COLD if at < 0.75 else ZoneStatus.OPEN
+    simulation.status[first] = (
+        ZoneStatus.OPEN if at < 1 / 3 else ZoneStatus.CLOSED if at < 2 / 3 else restarted
+    )
 
 
-def new(world: World, at: float) -> None:
-    """The hall that most readers would be nearest to opens only now, and no front knows it."""
-    best = min(world.room, key=lambda h: sum(world.demand[r] * world.rtt[r][h] for r in world.demand))
-    world.standing[best] = Standing.CLOSED if at < 1 / 4 else Standing.OPEN
-    for order in world.fronts.values():
-        order.sort(key=lambda h: h == best)
+def new_zone(simulation: Simulation, at: float) -> None:
+    """Open the zone that is nearest to most clients late, and let no front end know of it."""
+    best = min(
+        simulation.capacity,
+        key=lambda z: sum(simulation.demand[r] * simulation.rtt[r][z] for r in simulation.demand),
+    )
+    simulation.status[best] = ZoneStatus.CLOSED if at < 1 / 4 else ZoneStatus.OPEN
+    for order in simulation.front_ends.values():
+        order.sort(key=lambda z: z == best)
 
 
-def saturday(world: World, at: float) -> None:
-    """A region of a twelfth of all comes six times over."""
-    total = sum(d for r, d in world.demand.items() if r != "r0")
-    world.demand["r0"] = total / 11 * (6 if 1 / 3 <= at < 2 / 3 else 1)
+def demand_surge(simulation: Simulation, at: float) -> None:
+    """Raise the demand of a region with a twelfth of the total to six times for a while."""
+    total = sum(d for r, d in simulation.demand.items() if r != "r0")
+    simulation.demand["r0"] = total / 11 * (6 if 1 / 3 <= at < 2 / 3 else 1)
 
 
-def calm(world: World, at: float) -> None:
-    """Nothing changes."""
+def calm(simulation: Simulation, at: float) -> None:
+    """Change nothing."""
 
 
-WORLDS = {"calm": calm, "cable cut": cut, "hall lost": lost, "new hall": new, "saturday": saturday}
+EVENTS = {
+    "calm": calm,
+    "cable cut": cable_cut,
+    "hall lost": zone_lost,
+    "new hall": new_zone,
+    "saturday": demand_surge,
+}
 
 
-def run(world: World, change: Change, choose: Choice, periods: int = 60) -> list[tuple[float, float]]:
-    """Each period's outcome."""
+def run(
+    simulation: Simulation, event: Event, strategy: Strategy, periods: int = 60
+) -> list[tuple[float, float]]:
+    """Return the outcome of each period."""
     found = []
-    world.at.clear()
-    change(world, 0.0)
-    world.follow(fixed(world))
+    simulation.shares.clear()
+    event(simulation, 0.0)
+    simulation.follow(fixed(simulation))
     for period in range(periods):
-        change(world, period / periods)
-        rows = choose(world)
-        world.follow(rows)
-        found.append(world.outcome())
+        event(simulation, period / periods)
+        rows = strategy(simulation)
+        simulation.follow(rows)
+        found.append(simulation.outcome())
     return found
--- a/tests/peers/steering/test_regions.py
+++ b/tests/peers/steering/test_regions.py
@@ -6,7 +6,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from ironrail.peers.steering.regions import KEPT, MOST_REGIONS, Regions, RegionsError
+from ironrail.peers.steering.regions import MAX_CACHED_ADDRESSES, MAX_REGIONS, Regions, RegionsError
 
 NETWORKS = st.one_of(
     st.builds(
@@ -27,7 +27,7 @@
     st.lists(st.integers(0, 2**10 - 1), max_size=20),
     st.booleans(),
 )
-def test_the_longest_prefix_wins(owners: dict[str, str], spots: list[int], six: bool) -> None:
+def test_longest_prefix_wins(owners: dict[str, str], spots: list[int], six: bool) -> None:
     named: dict[str, object] = {}
     for network, owner in owners.items():
         named.setdefault(owner, []).append(network)  # type: ignore[attr-defined]
@@ -35,23 +35,23 @@
     for spot in spots:
         address = ipaddress.IPv6Address(spot << 118) if six else ipaddress.IPv4Address(spot << 22)
         fits = [(n.prefixlen, o) for t, o in owners.items() if address in (n := ipaddress.ip_network(t))]
-        for _ in range(2):  # the second time it is remembered
-            assert regions.name(str(address)) == max(fits, default=(0, ""))[1]
+        for _ in range(2):  # the second time from the cache
+            assert regions.lookup_name(str(address)) == max(fits, default=(0, ""))[1]
 
 
-def test_addresses_in_both_families_and_rubbish() -> None:
+def test_mapped_ipv6_and_invalid_addresses() -> None:
     regions = Regions({"north": ["192.0.2.0/24"], "all six": ["::/0"]})
-    assert regions.name("::ffff:192.0.2.7") == "north"
-    assert regions.name("2001:db8::1") == "all six"
-    assert [regions.name(a) for a in ("203.0.113.1", "nonsense", "", "192.0.2.1:80")] == [""] * 4
+    assert regions.lookup_name("::ffff:192.0.2.7") == "north"
+    assert regions.lookup_name("2001:db8::1") == "all six"
+    assert [regions.lookup_name(a) for a in ("203.0.113.1", "nonsense", "", "192.0.2.1:80")] == [""] * 4
 
 
-def test_what_is_remembered_is_bounded() -> None:
+def test_cache_is_bounded() -> None:
     regions = Regions({"north": ["10.0.0.0/8"]})
-    for n in range(3 * KEPT):
-        regions.number(str(ipaddress.IPv4Address((10 << 24) + n)))
-        regions.number(f"rubbish {n}")
-    assert len(regions._kept) <= KEPT
+    for n in range(3 * MAX_CACHED_ADDRESSES):
+        regions.lookup(str(ipaddress.IPv4Address((10 << 24) + n)))
+        regions.lookup(f"rubbish {n}")
+    assert len(regions._cache) <= MAX_CACHED_ADDRESSES
 
 
 @pytest.mark.parametrize(
@@ -66,10 +66,10 @@
         {"a" * 65: ["10.0.0.0/8"]},
         {"a": ["10.0.0.0/8"], "b": ["10.0.0.0/8"]},
         {"a": ["::ffff:10.0.0.0/104"]},
-        {f"r{n}": [f"10.{n}.0.0/16"] for n in range(MOST_REGIONS)},
+        {f"r{n}": [f"10.{n}.0.0/16"] for n in range(MAX_REGIONS)},
     ],
 )
-def test_what_cant_be_used_is_refused(named: dict[str, object]) -> None:
+def test_invalid_definitions_are_rejected(named: dict[str, object]) -> None:
     with pytest.raises(RegionsError) as caught:
         Regions(named)
     assert "regions" in caught.value.location and caught.value.advice in caught.value.with_advice()
--- a/tests/peers/test_fuzz.py
+++ b/tests/peers/test_fuzz.py
@@ -20,8 +20,8 @@
 from ironrail.peers.consensus.errors import RecordFormError
 from ironrail.peers.messages import Received
 from ironrail.peers.steering import reports as regions
+from ironrail.peers.steering.protocol import MAX_PENDING_REPORTS, PENDING_REPORTS_AFTER_TRIM, SteeringProtocol
 from ironrail.peers.steering.regions import Regions
-from ironrail.peers.steering.protocol import LEFT_WAITING, MOST_WAITING, RegionsRoom
 from ironrail.peers.zone_latency.reports import MOST_BODY, Report, encode
 from ironrail.peers.zone_latency.room import LatencyRoom
 from tests.peers import scenario
@@ -171,27 +171,27 @@
     assert one.unusable == 1 and len(one.table) == 0
     one.on_message(0.0, Received(1, 9, encode(reports(200), MOST_BODY)[0]))
     assert one.unusable == 1 and len(one.table) == 1
-    other = RegionsRoom(0.0, 0, 1, known := Regions({}), ["a"], [0, 0], [], random.Random(1))
-    words = [regions.Report(1, 9, 0, n, bytes(4), 0.0) for n in range(200)]
+    other = SteeringProtocol(0.0, 0, 1, known := Regions({}), ["a"], [0, 0], [], random.Random(1))
+    words = [regions.RegionReport(1, 9, 0, n, bytes(4), 0.0) for n in range(200)]
     other.on_message(0.0, Received(1, 9, regions.encode(known.digest, words, 3696)[0]))
     assert other.unusable == 1
     other.on_message(0.0, Received(1, 9, regions.encode(known.digest, words)[0]))
-    assert other.unusable == 1 and other.table.held(1, 0)
+    assert other.unusable == 1 and other.table.stored(1, 0)
 
 
 def test_words_that_find_no_room_go_many_at_once_and_the_largest_change_stays() -> None:
     known = Regions({f"r{n}": [f"10.{n}.0.0/16"] for n in range(255)})
-    room = RegionsRoom(0.0, 0, 1, known, ["a"], [0] * 30, [], random.Random(1))
+    room = SteeringProtocol(0.0, 0, 1, known, ["a"], [0] * 30, [], random.Random(1))
     sizes = []
     for witness in range(1, 13):
-        room.table._words.clear()
+        room.table._records.clear()
         for region in range(256):
-            word = regions.Report(witness, 1, region, 1, bytes(4), 0.0)
+            word = regions.RegionReport(witness, 1, region, 1, bytes(4), 0.0)
             room.on_message(float(region), Received(witness, 1, regions.encode(known.digest, [word])[0]))
-            sizes.append(len(room._waiting))
-    assert max(sizes) == MOST_WAITING
+            sizes.append(len(room._pending))
+    assert max(sizes) == MAX_PENDING_REPORTS
     after = [after for before, after in zip(sizes, sizes[1:], strict=False) if after < before]
-    assert set(after) == {LEFT_WAITING} and len(after) > 2
+    assert set(after) == {PENDING_REPORTS_AFTER_TRIM} and len(after) > 2
 
 
 def test_a_router_alone_does_not_wake_without_end() -> None:
--- a/tests/rehearsal/links/readers_stage.py
+++ b/tests/rehearsal/links/readers_stage.py
@@ -9,7 +9,7 @@
 from pathlib import Path
 from typing import Any
 
-from ironrail.peers.steering.migration import place
+from ironrail.peers.steering.migration import assign_zone
 from ironrail.rehearsal.account.record import Outcome, Try
 from ironrail.rehearsal.links.grounds import VirtualLinks
 from ironrail.rehearsal.links.rig import LinkedRehearsal
@@ -38,7 +38,7 @@
             router = others[client % len(others)]
             return router if self.routers[router].alive else super().choose(hall, now, draws)
         by = self.regions.rows.get(region) or told
-        to = place(by, world.address(region, client)) if by else None
+        to = assign_zone(by, world.address(region, client)) if by else None
         return super().choose(to or world.home[region], now, draws)
 
 
--- a/tests/steering_router.py
+++ b/tests/steering_router.py
@@ -1,4 +1,4 @@
-"""A router on loopback that tells regions apart; the policy in force is as a test has it."""
+"""A router on loopback that distinguishes regions; a test sets the policy in force."""
 
 from __future__ import annotations
 
@@ -15,19 +15,19 @@
 from ironrail.operator_file import OperatorSettings, PeerSettings
 from ironrail.peers.consensus import policy as p
 from ironrail.peers.consensus.consensus_node import DecidedBy
-from ironrail.peers.steering.migration import place
-from ironrail.peers.steering.cost_model import Hall
+from ironrail.peers.steering.cost_model import ZoneState
+from ironrail.peers.steering.migration import assign_zone
 from tests.net.lifecycle.test_handover import AdministeredWorld
 from tests.peers import LOCAL, Client
 
 NORTH = [f"127.0.1.{n}" for n in range(1, 60)]
 ROW = {"here": 0.5, "there": 0.5}
-AWAY = next(a for a in NORTH if place(ROW, a) == "there")
-HERE = next(a for a in NORTH if place(ROW, a) == "here")
+AWAY = next(a for a in NORTH if assign_zone(ROW, a) == "there")
+HERE = next(a for a in NORTH if assign_zone(ROW, a) == "here")
 
 
-class Read(AdministeredWorld):
-    """One of two routers; the policy in force and halls' load are as a test has them."""
+class SteeringWorld(AdministeredWorld):
+    """One of two routers, in the zones `here` and `there`, and a cache."""
 
     def __init__(self, folder: Path, **peers: Any) -> None:
         (folder / "key").write_bytes(b"a key of all routers")
@@ -38,21 +38,22 @@
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as probe:
             probe.bind((LOCAL, 0))
             own = f"{LOCAL}:{probe.getsockname()[1]}"
-        tier = {"peer_listen": own, "peers": [own, f"{LOCAL}:9"]}
-        return replace(super().config(), peer_table=tier)
+        table = {"peer_listen": own, "peers": [own, f"{LOCAL}:9"]}
+        return replace(super().config(), peer_table=table)
 
     async def client_at(self, address: str) -> Client:
         return Client(*await asyncio.open_connection(*self.address, local_addr=(address, 0)))
 
     @property
-    def readers(self) -> driver.Readers:
+    def steering(self) -> driver.ClientSteering:
         assert self.node.peer_runtime is not None and self.node.peer_runtime.readers is not None
         return self.node.peer_runtime.readers
 
     def connections(self) -> list[ClientConnection]:
         return self.node._client_listener.open_connections()
 
-    async def served(self, client: Client, name: str) -> None:
+    async def serve(self, client: Client, name: str) -> None:
+        """Let a client get a value from the cache."""
         client.get(name)
         (await self.cache.next()).reply_value(b"v")
         assert await client.value(name) == b"v"
@@ -60,13 +61,13 @@
     def put_in_force(
         self, monkeypatch: pytest.MonkeyPatch, rows: Any, load: float = 1.0, version: int = 7
     ) -> None:
-        """These rows are in force; the other hall has this load of a room of 10."""
+        """Put rows in force, with this load of the other zone, whose capacity is 10."""
         decided = DecidedBy((version,), p.Policy(version, steering=rows))
 
         class InForce:
             def in_force(self) -> DecidedBy:
                 return decided
 
-        halls = {"here": Hall(10.0, 1.0), "there": Hall(10.0, load)}
-        self.readers._policies = InForce()  # type: ignore[assignment]
-        monkeypatch.setattr(driver, "halls_now", lambda *_: halls)
+        zones = {"here": ZoneState(10.0, 1.0), "there": ZoneState(10.0, load)}
+        self.steering._policies = InForce()  # type: ignore[assignment]
+        monkeypatch.setattr(driver, "zone_states", lambda *_: zones)
--- a/tests/test_halls.py
+++ b/tests/test_halls.py
@@ -52,7 +52,7 @@
     for me in range(2):
         part = HallsMap(here(me), tell if me == 0 else lambda event: None)
         end = Peering(me, Tier(addresses[me], addresses, None), conf, me + 1, REAL, part.settled)
-        end.add(part.room)
+        end.add(part.protocol)
         for step in range(6):  # connects to caches of its own hall a moment ago: something to tell at all
             part._map.observe(REAL.now() - 2.0 + step * 0.2, me, 0.001)
         await end.open([1 - me])
