--- a/ironrail/net/peers/client_measurements.py
+++ b/ironrail/net/peers/client_measurements.py
@@ -9,8 +9,8 @@
 
 from ironrail.access_log.record import RequestOutcome
 from ironrail.net.system import System
+from ironrail.peers.steering.protocol import SteeringProtocol
 from ironrail.peers.steering.regions import Regions
-from ironrail.peers.steering.room import RegionsRoom
 from ironrail.policy.settings import Settings
 
 if TYPE_CHECKING:
@@ -37,7 +37,7 @@
     def __init__(self, measurements: ClientMeasurements, address: str, now: float) -> None:
         """Initialize a client that has just connected."""
         self._measurements, self.address, self.opened_at = measurements, address, now
-        self.region = measurements.regions.name(address)
+        self.region = measurements.regions.lookup_name(address)
         self.rtt, self.measured_at = 0.0, now
 
     def time_left(self, left: float) -> float:
@@ -56,7 +56,9 @@
         regions: Maps addresses to regions.
     """
 
-    def __init__(self, system: System, regions: Regions, protocol: RegionsRoom, settings: Settings) -> None:
+    def __init__(
+        self, system: System, regions: Regions, protocol: SteeringProtocol, settings: Settings
+    ) -> None:
         """Initialize without any client.
 
         Args:
@@ -88,7 +90,7 @@
         was_served, left_early = (ended is RequestOutcome.SERVED, ended is RequestOutcome.CLIENT_DISCONNECTED)
         is_in_time = was_served and seconds + client.rtt <= self._classes[request_class].latency_objective
         service_time = seconds if was_served or left_early else math.inf
-        self._protocol.served(
+        self._protocol.record_request(
             self._system.now(), client.region, request_class, service_time, is_in_time, left_early
         )
 
@@ -108,7 +110,7 @@
             seconds = self._system.round_trip(connection.transport)
             if seconds is not None:
                 client.rtt, client.measured_at = seconds, now
-                self._protocol.client_rtt(now, client.region, seconds)
+                self._protocol.record_client_rtt(now, client.region, seconds)
             num_reads += 1
             if num_reads == MAX_ROUND_TRIP_READS:
                 break
--- a/ironrail/net/peers/runtime.py
+++ b/ironrail/net/peers/runtime.py
@@ -23,12 +23,12 @@
 from ironrail.net.upstream.connection import LinkObserver
 from ironrail.operator_file import OperatorError, OperatorSettings
 from ironrail.peers.messages import PeerProtocol
-from ironrail.peers.steering.capacity import cut_off
+from ironrail.peers.steering.capacity import is_zone_cut_off
 from ironrail.policy.events import EndpointListUpdate, PolicyOverridesChanged, ZoneLinksChanged
 
 if TYPE_CHECKING:
     from ironrail.net.downstream.client_listener import ClientListener
-    from ironrail.net.peers.readers import Readers
+    from ironrail.net.peers.client_steering import ClientSteering
     from ironrail.net.peers.zone_latency import ZoneLatencyComponent
 
 
@@ -120,7 +120,7 @@
             )
             self.transport.register(self.policies.protocol)
         self.components: list[PeerComponent] = []
-        self.steering: Readers | None = None
+        self.steering: ClientSteering | None = None
         identity = NodeIdentity(own_index, incarnation, system, peers.zones, random.Random(config.seed))
         self.zone_latency: ZoneLatencyComponent | None = None
         is_cut_off = None  # whether a zone is cut off from others, according to the latency map
@@ -130,11 +130,13 @@
 
             self.zone_latency = ZoneLatencyComponent(identity, publish)
             self.components.append(self.zone_latency)
-            is_cut_off = partial(cut_off, self.zone_latency.estimate, identity.zone_indices()[0], system.now)
+            is_cut_off = partial(
+                is_zone_cut_off, self.zone_latency.estimate, identity.zone_indices()[0], system.now
+            )
         if operator.regions:
-            from ironrail.net.peers.readers import Readers  # noqa: PLC0415 - as above
+            from ironrail.net.peers.client_steering import ClientSteering  # noqa: PLC0415 - as above
 
-            self.steering = Readers(identity, operator, config.settings, self.policies, is_cut_off)
+            self.steering = ClientSteering(identity, operator, config.settings, self.policies, is_cut_off)
             self.components.append(self.steering)
         for component in self.components:
             self.transport.register(component.protocol)
@@ -151,7 +153,7 @@
     def on_endpoint_update(self, update: EndpointListUpdate) -> None:
         """Handle an update of the endpoint list."""
         if self.steering is not None:
-            self.steering.servers(update)
+            self.steering.update_servers(update)
 
     async def open(self) -> None:
         """Listen for datagrams of peers.
--- a/ironrail/net/peers/zone_latency.py
+++ b/ironrail/net/peers/zone_latency.py
@@ -73,7 +73,12 @@
         self._system, self._on_links_changed = identity.system, on_links_changed
         self._zones, router_zones = identity.zone_indices()
         self._zone_latency = ZoneLatencyProtocol(
-            identity.system.now(), identity.own_index, identity.incarnation, self._zones, router_zones, identity.rng
+            identity.system.now(),
+            identity.own_index,
+            identity.incarnation,
+            self._zones,
+            router_zones,
+            identity.rng,
         )
         self.protocol = RoundTripProtocol(self._zone_latency, router_zones)
         self.estimate = self._zone_latency.estimate
--- a/tests/peers/fuzz/gossip_targets.py
+++ b/tests/peers/fuzz/gossip_targets.py
@@ -7,10 +7,11 @@
 from typing import Any
 
 from ironrail.peers.messages import Received
-from ironrail.peers.steering.expected import Hall, Standing
+from ironrail.peers.steering.cost_model import ZoneState, ZoneStatus
+from ironrail.peers.steering.protocol import MAX_PENDING_REPORTS as MAX_PENDING_REGION_REPORTS
+from ironrail.peers.steering.protocol import SteeringProtocol
 from ironrail.peers.steering.regions import Regions
-from ironrail.peers.steering.room import MOST_WAITING, RegionsRoom
-from ironrail.peers.steering.table import WITNESSES
+from ironrail.peers.steering.report_table import MAX_REPORTERS
 from ironrail.peers.zone_latency.gossip_scheduler import MAX_PENDING_REPORTS
 from ironrail.peers.zone_latency.link_tracker import MeasuredLinkState
 from ironrail.peers.zone_latency.protocol import ZoneLatencyProtocol
@@ -105,7 +106,9 @@
 
     def make(self) -> ZoneLatencyProtocol:
         rng = random.Random(self.rng.random())
-        return ZoneLatencyProtocol(self.now, self.own_index, self.incarnation, self.zone_names, self.zone_of, rng)
+        return ZoneLatencyProtocol(
+            self.now, self.own_index, self.incarnation, self.zone_names, self.zone_of, rng
+        )
 
     def body(self) -> bytes:
         return latency_body(self.rng, self.num_routers, self.num_zones)
@@ -149,10 +152,10 @@
 class SteeringTarget(GossipTarget):
     """The steering of clients between zones."""
 
-    def make(self) -> RegionsRoom:
+    def make(self) -> SteeringProtocol:
         self.regions = REGIONS[self.rng.choice((1, 6, 255))]
         rng = random.Random(self.rng.random())
-        return RegionsRoom(
+        return SteeringProtocol(
             self.now,
             self.own_index,
             self.incarnation,
@@ -171,29 +174,31 @@
         for _ in range(rng.choice((1, 9))):
             region = rng.choice((*self.regions.names, "nowhere"))
             seconds = rng.choice((0.02, 0.0, -1.0, 1e9, math.inf, math.nan))
-            self.protocol.client_rtt(self.now, region, seconds)
-            self.protocol.served(self.now, region, rng.choice(CLASSES), seconds, rng.random() < 0.8, False)
+            self.protocol.record_client_rtt(self.now, region, seconds)
+            self.protocol.record_request(
+                self.now, region, rng.choice(CLASSES), seconds, rng.random() < 0.8, False
+            )
 
     def own_reports(self) -> list[object]:
         regions = range(0, len(self.regions.names), 17)
         return [
             held.order() if held else None
-            for held in (self.protocol.table.held(self.own_index, region) for region in regions)
+            for held in (self.protocol.table.stored(self.own_index, region) for region in regions)
         ]
 
     def end(self) -> None:
         super().end()
         protocol, names = self.protocol, self.zone_names
-        must(len(protocol._waiting) <= MOST_WAITING, "queued without end")
-        must(len(protocol.table.starts) <= self.num_routers, "incarnations without end")
+        must(len(protocol._pending) <= MAX_PENDING_REGION_REPORTS, "queued without end")
+        must(len(protocol.table.incarnations) <= self.num_routers, "incarnations without end")
         must(
-            all(len(protocol.table._cell(h, 0)) <= WITNESSES for h in range(self.num_zones)),
+            all(len(protocol.table._cell(h, 0)) <= MAX_REPORTERS for h in range(self.num_zones)),
             "reporters without end",
         )
         if self.num_zones * len(self.regions.names) > 1000:
             return  # a proposal over the largest tables takes seconds
-        standing = self.rng.choice(list(Standing))
-        zones = {name: Hall(self.rng.choice((0.0, 9.0, 1e6)), 5.0, standing, 2) for name in names}
+        standing = self.rng.choice(list(ZoneStatus))
+        zones = {name: ZoneState(self.rng.choice((0.0, 9.0, 1e6)), 5.0, standing, 2) for name in names}
         proposal = protocol.propose(self.now, {}, zones, dict.fromkeys(names, 0.01))
         for row in (proposal.rows or {}).values():
             must(sum(row.values()) <= 1 + 1e-9 and set(row) <= set(names), "an invalid row")
--- a/tests/peers/fuzz/mutations.py
+++ b/tests/peers/fuzz/mutations.py
@@ -130,16 +130,16 @@
 
 def regions_body(rng: random.Random, num_routers: int, num_regions: int, digest: bytes) -> bytes:
     """Return well-formed region reports with random values."""
-    incarnation_bound, records = rng.choice((4, regions.MOST_START)), []
+    incarnation_bound, records = rng.choice((4, regions.MAX_INCARNATION)), []
     for _ in range(rng.choice((1, 3, 20, 700))):
         mask = rng.randrange(64)
         header = rng.randrange(1 << 26) << 6 | mask
         values = header.to_bytes(4, "big") + rng.randbytes(2 * mask.bit_count())
         records.append(
-            regions.Report(
+            regions.RegionReport(
                 rng.randrange(num_routers), _edge(rng, incarnation_bound), rng.randrange(num_regions),
-                _edge(rng, rng.choice((9, regions.MOST_SEQUENCE))), values,
-                rng.choice((0.0, 0.0, rng.random() * 1000, float(regions.MOST_AGE))),
+                _edge(rng, rng.choice((9, regions.MAX_SEQUENCE))), values,
+                rng.choice((0.0, 0.0, rng.random() * 1000, float(regions.MAX_AGE))),
             )
         )  # fmt: skip
-    return regions.encode(digest, records, rng.choice((regions.MOST_BODY, MAX_BODY_BYTES)))[0]
+    return regions.encode(digest, records, rng.choice((regions.MAX_BODY_BYTES, MAX_BODY_BYTES)))[0]
--- a/tests/peers/test_fuzz.py
+++ b/tests/peers/test_fuzz.py
@@ -20,8 +20,8 @@
 from ironrail.peers.consensus.errors import RecordFormError
 from ironrail.peers.messages import Received
 from ironrail.peers.steering import reports as regions
+from ironrail.peers.steering.protocol import MAX_PENDING_REPORTS, PENDING_REPORTS_AFTER_TRIM, SteeringProtocol
 from ironrail.peers.steering.regions import Regions
-from ironrail.peers.steering.room import LEFT_WAITING, MOST_WAITING, RegionsRoom
 from ironrail.peers.zone_latency.protocol import ZoneLatencyProtocol
 from ironrail.peers.zone_latency.reports import MAX_BODY_BYTES, LinkReport, encode
 from tests.peers import scenario
@@ -179,29 +179,29 @@
     assert latency.unusable == 1 and len(latency.table) == 0
     latency.on_message(0.0, Received(1, 9, encode(reports(200), MAX_BODY_BYTES)[0]))
     assert latency.unusable == 1 and len(latency.table) == 1
-    steering = RegionsRoom(0.0, 0, 1, known := Regions({}), ["a"], [0, 0], [], random.Random(1))
-    records = [regions.Report(1, 9, 0, n, bytes(4), 0.0) for n in range(200)]
+    steering = SteeringProtocol(0.0, 0, 1, known := Regions({}), ["a"], [0, 0], [], random.Random(1))
+    records = [regions.RegionReport(1, 9, 0, n, bytes(4), 0.0) for n in range(200)]
     steering.on_message(0.0, Received(1, 9, regions.encode(known.digest, records, 3696)[0]))
     assert steering.unusable == 1
     steering.on_message(0.0, Received(1, 9, regions.encode(known.digest, records)[0]))
-    assert steering.unusable == 1 and steering.table.held(1, 0)
+    assert steering.unusable == 1 and steering.table.stored(1, 0)
 
 
 def test_a_full_report_queue_drops_many_at_once_and_keeps_the_largest_changes() -> None:
     known = Regions({f"r{n}": [f"10.{n}.0.0/16"] for n in range(255)})
-    protocol = RegionsRoom(0.0, 0, 1, known, ["a"], [0] * 30, [], random.Random(1))
+    protocol = SteeringProtocol(0.0, 0, 1, known, ["a"], [0] * 30, [], random.Random(1))
     sizes = []
     for reporter in range(1, 13):
-        protocol.table._words.clear()
+        protocol.table._records.clear()
         for region in range(256):
-            report = regions.Report(reporter, 1, region, 1, bytes(4), 0.0)
+            report = regions.RegionReport(reporter, 1, region, 1, bytes(4), 0.0)
             protocol.on_message(
                 float(region), Received(reporter, 1, regions.encode(known.digest, [report])[0])
             )
-            sizes.append(len(protocol._waiting))
-    assert max(sizes) == MOST_WAITING
+            sizes.append(len(protocol._pending))
+    assert max(sizes) == MAX_PENDING_REPORTS
     after = [after for before, after in zip(sizes, sizes[1:], strict=False) if after < before]
-    assert set(after) == {LEFT_WAITING} and len(after) > 2
+    assert set(after) == {PENDING_REPORTS_AFTER_TRIM} and len(after) > 2
 
 
 def test_the_timer_of_a_router_without_peers_is_not_always_due() -> None:
--- a/tests/test_zone_latency.py
+++ b/tests/test_zone_latency.py
@@ -12,7 +12,7 @@
 
 from ironrail.connections.upstream.pool_settings import PoolSettings
 from ironrail.net.peers.node_identity import NodeIdentity
-from ironrail.net.peers.transport import PeerTransport, PeerTable
+from ironrail.net.peers.transport import PeerTable, PeerTransport
 from ironrail.net.peers.zone_latency import ZoneLatencyComponent
 from ironrail.net.protocol.meta_codec import Command, parse_fields
 from ironrail.net.system import REAL
@@ -129,7 +129,7 @@
 
 @scenario
 async def test_connects_replies_and_silence_of_a_server_are_observed() -> None:
-    peer, observer = await Peer().incarnation(), RecordingObserver()
+    peer, observer = await Peer().start(), RecordingObserver()
     answering = asyncio.create_task(peer.next())
     answering.add_done_callback(lambda done: done.result().reply(b"VA 1 O1 h1\r\nv\r\n"))
     assert await attempt_status(peer.port, observer, 5.0) is AttemptStatus.OK
