--- a/benchmarks/accord_plans.py
+++ b/benchmarks/accord_plans.py
@@ -1,11 +1,12 @@
-"""Seeded plans of faults and changes of policy among real processes: does what accords promise hold?
+"""Seeded plans of faults and changes of policy among real processes, to check the consensus.
 
-    PYTHONPATH=. python benchmarks/accord_plans.py [--plans 200] [--seed 1] [--at-once 2] [--file FILE]
+    PYTHONPATH=. python benchmarks/accord_plans.py [--plans 200] [--seed 1] [--at-once 2]
+        [--file FILE]
 
-Each plan: seven routers in three halls, lease 1 s, about 10 s of faults and changes, then the time until all
-agree. One JSON line for each is appended to the file as it ends; those that stand there are not played again,
-and a run may be cut off at any time. `--summary` tells what stands there; `--one SEED` plays one plan again,
-with logs if anything was wrong.
+Each plan: seven routers in three zones, a lease of 1 s, about 10 s of faults and changes, then the
+time until all agree. One JSON line per plan is appended to the file when it ends. Plans that are
+in the file already are not run again, so a run may be interrupted at any time. `--summary` prints
+what is in the file; `--one SEED` runs one plan again, with logs if anything was wrong.
 """
 
 from __future__ import annotations
@@ -32,23 +33,24 @@
 from ironrail.rehearsal.run import Result
 
 FILE = Path(__file__).parent / "results" / "accord_plans.jsonl"
-LENGTH = 10.0  # seconds of faults
-CHANGES_IN = 9.0  # seconds in which changes are asked for
-TIMES = (6.0, 15.0, 4.0)  # seconds until a change is given up, and until one left behind is: 0.3 of the usual
-AGREED_IN = (
-    60.0  # seconds after the last fault: an open ticket 12, joint left behind 23, elections and leases
-)
-HANGS = 150.0  # seconds after which a whole run is ended: what is in it may take 100
-UNKNOWN = "its fate is not known"  # of a ticket that ended after the last step was sent out
+FAULT_PHASE_SECONDS = 10.0
+CHANGE_PHASE_SECONDS = 9.0
+# seconds until a change is given up, until an abandoned one is withdrawn, and until a voter
+# finishes an unsettled state: 0.3 of the defaults
+CONSENSUS_TIMES = (6.0, 15.0, 4.0)
+# after the last fault: an open handle 12, an abandoned joint state 23, elections and leases
+AGREEMENT_TIMEOUT_SECONDS = 60.0
+RUN_TIMEOUT_SECONDS = 150.0  # for a whole run, whose parts may take 100
+UNKNOWN_OUTCOME = "its outcome is unknown"  # of a handle that ended after the final step was sent
 
 
-class Played:
-    """What goes on beside the load."""
+class PlanDriver:
+    """Runs the proposals of a plan beside the load."""
 
     def __init__(self, seed: int) -> None:
         self.scenario = world()
-        self.faults = draw_faults(self.scenario, seed, LENGTH, VOTERS)
-        self.asked = draw_changes(self.scenario, seed, CHANGES_IN)
+        self.faults = draw_faults(self.scenario, seed, FAULT_PHASE_SECONDS, VOTERS)
+        self.asked = draw_changes(self.scenario, seed, CHANGE_PHASE_SECONDS)
         self.changes: list[dict[str, Any]] = []
         self.told: dict[str, Any] = {"agreed": None}
 
@@ -60,12 +62,12 @@
         began = clock()
         changes = [asyncio.ensure_future(self._change(stage, began, one)) for one in self.asked]
         await stage.carry(self.faults)
-        await asyncio.sleep(max(0.0, began + CHANGES_IN - clock()))
+        await asyncio.sleep(max(0.0, began + CHANGE_PHASE_SECONDS - clock()))
         ended = clock()
         try:
-            async with asyncio.timeout(AGREED_IN):
+            async with asyncio.timeout(AGREEMENT_TIMEOUT_SECONDS):
                 await asyncio.gather(*changes)
-                self.told["agreed"] = await stage.same(*stage.routers, within=AGREED_IN)
+                self.told["agreed"] = await stage.same(*stage.routers, within=AGREEMENT_TIMEOUT_SECONDS)
         except TimeoutError:
             self.told["pages"] = {name: await stage.policy(name) for name in stage.routers}
         self.told["agreed_in"] = round(clock() - ended, 2)
@@ -79,12 +81,12 @@
         told["answer"], text = await stage.propose(asked.router, asked.version)
         if told["answer"] not in (0, 202):
             told["end"], told["why"] = "not taken", text.strip()
-        else:  # 0: nobody answered in time, and yet the change may have begun
+        else:  # 0: nobody replied in time, and yet the change may have begun
             told |= await self._ended(stage, asked)
         told["took"] = round(clock() - at, 2)
 
     async def _ended(self, stage: Stage, asked: Asked) -> dict[str, Any]:
-        """What the router says of it; nothing any more if its process was killed."""
+        """Return what the router reports of a change; it forgets that if its process is killed."""
         while True:
             page = await stage.policy(asked.router)
             change = page.get("change", {})
@@ -95,24 +97,24 @@
             await asyncio.sleep(0.1)
 
 
-def wrong(stage: Stage, played: Played) -> list[str]:
-    """Each broken promise in a line."""
+def find_violations(stage: Stage, driver: PlanDriver) -> list[str]:
+    """Return a line for each violated invariant."""
     found = [f"mixed: {old} after {new}" for new, old in stage.mixed()]
     found += [f"apart: {old} after {new}" for new, old in stage.apart()]
     alone = {one.versions[0] for one in stage.seen if len(one.versions) == 1}
-    for change in played.changes:
+    for change in driver.changes:
         version, end = change["version"], change.get("end")
-        if end == "refused" and UNKNOWN not in change["why"] and version in alone:
+        if end == "refused" and UNKNOWN_OUTCOME not in change["why"] and version in alone:
             found.append(f"refused and in force: {change}")
         if end == "not taken" and any(version in one.versions for one in stage.seen):
             found.append(f"not taken and decided by: {change}")
-        if end == "in force" and (played.told["agreed"] or version) < version:
-            found.append(f"in force and gone: {change}, agreed on {played.told['agreed']}")
+        if end == "in force" and (driver.told["agreed"] or version) < version:
+            found.append(f"in force and gone: {change}, agreed on {driver.told['agreed']}")
     return found
 
 
-def stalls(result: Result) -> dict[str, float]:
-    """The longest time, in seconds, that each process found itself held up: by a fault, or by the machine."""
+def longest_stalls(result: Result) -> dict[str, float]:
+    """Return the longest stall of each process in seconds, caused by a fault or by the machine."""
     found: dict[str, float] = {}
     for name, text in result.logs.items():
         told = [
@@ -123,20 +125,20 @@
     return found
 
 
-def line(seed: int, stage: Stage, result: Result, played: Played, took: float) -> dict[str, Any]:
-    """What is kept of one plan."""
-    promises = wrong(stage, played)
+def result_line(seed: int, stage: Stage, result: Result, driver: PlanDriver, took: float) -> dict[str, Any]:
+    """Return what is stored of one plan."""
+    promises = find_violations(stage, driver)
     return {
         "seed": seed,
-        "faults": [f"{f.at:g}+{f.lasts:g} {f.label()}" for f in played.faults],
-        "changes": played.changes,
-        **played.told,
+        "faults": [f"{f.at:g}+{f.lasts:g} {f.label()}" for f in driver.faults],
+        "changes": driver.changes,
+        **driver.told,
         "mixed": len(stage.mixed()),
         "wrong": promises[:5],
         "looks": len(stage.seen),
         "joint_looks": sum(len(one.versions) == 2 for one in stage.seen),
         "rules": [f"{v.at:.2f} {v.rule}: {v.what}; {v.history}" for v in result.broken][:5],
-        "stood_still": stalls(result),
+        "stood_still": longest_stalls(result),
         "verdicts": sorted(v.name for v in result.verdicts if not v.kept),
         "crashed": {n: f.crashed for n, f in result.record.routers.items() if f.crashed},
         "service": round(result.service.whole.share, 4),
@@ -145,13 +147,13 @@
     }
 
 
-def one(seed: int, logs: Path | None) -> dict[str, Any]:
-    """Play one plan, in this process."""
-    began, played = time.monotonic(), Played(seed)
+def play_plan(seed: int, logs: Path | None) -> dict[str, Any]:
+    """Run one plan in this process."""
+    began, driver = time.monotonic(), PlanDriver(seed)
     with tempfile.TemporaryDirectory(prefix="accord-") as folder:
-        how: dict[str, Any] = {"scenario": played.scenario, "seed": seed, "times": TIMES}
-        stage, result = play(Path(folder), [], 0.0, played.run, foreseen=played.faults, **how)
-    told = line(seed, stage, result, played, time.monotonic() - began)
+        kwargs: dict[str, Any] = {"scenario": driver.scenario, "seed": seed, "times": CONSENSUS_TIMES}
+        stage, result = play(Path(folder), [], 0.0, driver.run, foreseen=driver.faults, **kwargs)
+    told = result_line(seed, stage, result, driver, time.monotonic() - began)
     if logs is not None and (told["wrong"] or told["rules"] or told["crashed"] or told["agreed"] is None):
         logs.mkdir(parents=True, exist_ok=True)
         for name, text in result.logs.items():
@@ -160,26 +162,26 @@
     return told
 
 
-def apart_process(seed: int, logs: Path) -> dict[str, Any]:
-    """Play one plan in a process of its own, which can crash or hang alone."""
+def play_in_subprocess(seed: int, logs: Path) -> dict[str, Any]:
+    """Run one plan in a process of its own, which can crash or hang alone."""
     command = [sys.executable, __file__, "--one", str(seed), "--logs", str(logs)]
     child = subprocess.Popen(
         command, stdout=subprocess.PIPE, stderr=subprocess.PIPE, text=True, start_new_session=True
     )
     try:
-        out, err = child.communicate(timeout=HANGS)
+        out, err = child.communicate(timeout=RUN_TIMEOUT_SECONDS)
     except subprocess.TimeoutExpired:
         os.killpg(child.pid, signal.SIGKILL)  # its routers end with it
         child.communicate()
-        return {"seed": seed, "failed": f"hung: not over after {HANGS:g} s"}
+        return {"seed": seed, "failed": f"hung: not over after {RUN_TIMEOUT_SECONDS:g} s"}
     if child.returncode:
         return {"seed": seed, "failed": f"exit code {child.returncode}: {err.strip()[-1500:]}"}
     told: dict[str, Any] = json.loads(out.splitlines()[-1])
     return told
 
 
-def read(file: Path) -> dict[int, dict[str, Any]]:
-    """What stands in the file, by seed; a last line that was cut off counts for nothing."""
+def read_results(file: Path) -> dict[int, dict[str, Any]]:
+    """Return the results in the file by seed; an incomplete last line is ignored."""
     found = {}
     for text in file.read_text().splitlines() if file.exists() else []:
         try:
@@ -190,8 +192,8 @@
     return found
 
 
-def summary(lines: list[dict[str, Any]]) -> None:
-    """For people."""
+def print_summary(lines: list[dict[str, Any]]) -> None:
+    """Print a summary."""
     done = [told for told in lines if "failed" not in told]
     broke = [told["seed"] for told in done if told["wrong"]]
     ends = Counter(change.get("end", "open") for told in done for change in told["changes"])
@@ -215,7 +217,7 @@
 
 
 def main() -> None:
-    """Command line."""
+    """Parse the command line and run the plans."""
     parser = argparse.ArgumentParser(
         description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
     )
@@ -226,22 +228,22 @@
     parser.add_argument("--logs", type=Path, default=Path(tempfile.gettempdir()) / "accord-plans-logs")
     parser.add_argument("--summary", action="store_true")
     parser.add_argument("--one", type=int)
-    given = parser.parse_args()
-    if given.one is not None:
-        end_with_parent()  # the run may be cut off
-        print(json.dumps(one(given.one, given.logs)))
+    args = parser.parse_args()
+    if args.one is not None:
+        end_with_parent()  # the run may be interrupted
+        print(json.dumps(play_plan(args.one, args.logs)))
         return
-    before = read(given.file)
-    seeds = [s for s in range(given.seed, given.seed + given.plans) if s not in before]
-    if not given.summary and seeds:
-        given.file.parent.mkdir(exist_ok=True)
-        with ThreadPoolExecutor(given.at_once) as pool, given.file.open("a") as file:
-            if before and not given.file.read_bytes().endswith(b"\n"):
-                file.write("\n")  # the run before was cut off within a line
-            for future in as_completed([pool.submit(apart_process, seed, given.logs) for seed in seeds]):
+    before = read_results(args.file)
+    seeds = [s for s in range(args.seed, args.seed + args.plans) if s not in before]
+    if not args.summary and seeds:
+        args.file.parent.mkdir(exist_ok=True)
+        with ThreadPoolExecutor(args.at_once) as pool, args.file.open("a") as file:
+            if before and not args.file.read_bytes().endswith(b"\n"):
+                file.write("\n")  # the run before was interrupted within a line
+            for future in as_completed([pool.submit(play_in_subprocess, seed, args.logs) for seed in seeds]):
                 file.write(json.dumps(future.result()) + "\n")
                 file.flush()
-    summary(list(read(given.file).values()))
+    print_summary(list(read_results(args.file).values()))
 
 
 if __name__ == "__main__":
--- a/ironrail/net/peers/admin_documents.py
+++ b/ironrail/net/peers/admin_documents.py
@@ -28,10 +28,10 @@
     named = table(body)
     voters = named.pop("voters", None)
     if voters is None:
-        return p.read(named), ()
+        return p.parse(named), ()
     if not isinstance(voters, list) or any(type(voter) is not int for voter in voters) or not voters:
         raise VotersError("must be a list of numbers of routers", "voters")
-    policy = p.read(named)
+    policy = p.parse(named)
     if named.keys() == {"version"}:
         policy = msgspec.structs.replace(settled(), version=policy.version)
     return policy, tuple(voters)
--- a/ironrail/net/peers/policies.py
+++ b/ironrail/net/peers/policies.py
@@ -24,7 +24,7 @@
 from ironrail.operator_file import OperatorError, PeerSettings
 from ironrail.peers.consensus import policy as p
 from ironrail.peers.consensus.configuration import ConsensusConfig
-from ironrail.peers.consensus.consensus_node import ConsensusNode, DecidedBy
+from ironrail.peers.consensus.consensus_node import ConsensusNode, EffectivePolicy
 from ironrail.peers.consensus.errors import UnreadyError
 from ironrail.peers.consensus.messages import read_record
 from ironrail.peers.consensus.proposal import ProposalHandle
@@ -52,16 +52,16 @@
     if not path:
         return p.Policy(version=FIRST)
     try:
-        return p.read(tomllib.loads(Path(path).read_text()))
+        return p.parse(tomllib.loads(Path(path).read_text()))
     except OSError as e:
         raise OperatorError(e.strerror or str(e), path) from e
     except (ValueError, InputError) as e:  # TOML, UTF-8 or a policy's own
         raise OperatorError(str(e), path) from e
 
 
-def facts_of(settings: Settings, peers: PeerSettings, regions: Collection[str] = ()) -> p.Facts:
+def facts_of(settings: Settings, peers: PeerSettings, regions: Collection[str] = ()) -> p.ValidationContext:
     """What this router checks each policy against. Titles come with requests: any may be named."""
-    return p.Facts(frozenset(settings.classes), None, frozenset(peers.zones), frozenset(regions))
+    return p.ValidationContext(frozenset(settings.classes), None, frozenset(peers.zones), frozenset(regions))
 
 
 class Policies:
@@ -81,12 +81,12 @@
         """`follow`: takes what is decided by from now on; `go_on`: sends what the room says."""
         self._follow, self._now, self._go_on = follow, now, go_on
         conf = ConsensusConfig(
-            router=place.me,
-            start=place.start,
+            own_index=place.me,
+            incarnation=place.start,
             routers=len(peers.zones),
             voters=peers.voters,
             lease_seconds=peers.lease_milliseconds / 1000,
-            max_clock_drift=peers.max_clock_drift_ratio,
+            max_clock_drift_ratio=peers.max_clock_drift_ratio,
             persists_records=store is not None,
             starts_on_fallback=peers.start_mode == "floor",
         )
@@ -94,7 +94,7 @@
         record, self._torn = self._kept(store)
         self.room = ConsensusNode(conf, facts, floor, place.now, place.seed, record)
         self._keeper = Keeper(store, RECORD, self._done) if store is not None else None
-        self._followed: DecidedBy | None = None
+        self._followed: EffectivePolicy | None = None
         self._until = -math.inf  # when what is decided by has to be asked for anew
         self.ticket: ProposalHandle | None = None  # of the latest call for a change here
 
@@ -134,11 +134,11 @@
         if decided == self._followed:
             return
         before, self._followed = self._followed, decided
-        policy = decided.policy or self.room.library.fallback
+        policy = decided.policy or self.room.document_store.fallback
         log.info(
             "decides_by", extra={"versions": list(decided.versions), "ready": decided.policy is not None}
         )
-        if before is None or policy != (before.policy or self.room.library.fallback):
+        if before is None or policy != (before.policy or self.room.document_store.fallback):
             self._follow(PolicyOverridesChanged(policy.emptied, policy.shed, policy.further, policy.rates))
 
     def _done(self, token: int, failed: OSError | None) -> None:
@@ -155,7 +155,7 @@
 
     # Rows of steering
 
-    def in_force(self) -> DecidedBy:
+    def in_force(self) -> EffectivePolicy:
         """What is decided by now, with the versions."""
         return self.room.effective_policy(self._now())
 
@@ -166,10 +166,10 @@
             RejectedError: it can't be now.
             PolicyError: the rows are none.
         """
-        known, policy = self.room.known, self.in_force().policy
+        known, policy = self.room.latest_decided, self.in_force().policy
         if known is None or policy is None:
             raise UnreadyError("knows of no policy in force", "steering")
-        version = max(known.tried, policy.version) + 1
+        version = max(known.max_tried_version, policy.version) + 1
         self.ticket = self.room.propose(
             self._now(), msgspec.structs.replace(policy, version=version, steering=rows)
         )
@@ -191,7 +191,7 @@
         told: dict[str, Any] = {
             "versions": list(decided.versions),
             "ready": decided.policy is not None,
-            "voters": self.room.voters_now(),
+            "voters": self.room.current_voter_sets(),
             "lease_left": round(ends - now, 3) if ends > now and ends < math.inf else None,
             "policy": admin_documents.rows(decided.policy),
             "troubles": [error.with_advice() for error in self.room.faults(now)],
@@ -232,7 +232,7 @@
             epoch = table.pop("epoch", None)
             if not isinstance(epoch, int) or isinstance(epoch, bool):
                 raise InputError("must be a whole number that was never used before", "epoch")
-            self.room.bootstrap(self._now(), epoch, p.read(table))
+            self.room.bootstrap(self._now(), epoch, p.parse(table))
         except InputError as e:
             return admin_documents.line(400, e.with_advice())
         self._go_on()
--- a/ironrail/net/peers/readers.py
+++ b/ironrail/net/peers/readers.py
@@ -204,8 +204,8 @@
         if len(decided.versions) != 1 or decided.policy is None:
             return  # a change is under way, or none can be
         policy = decided.policy
-        rest = msgspec.structs.replace(policy, steering={}, version=p.MOST_VERSION)
-        most = min(USUAL.most_bytes, p.MOST_DOCUMENT - len(p.encode(rest)) - 2)
+        rest = msgspec.structs.replace(policy, steering={}, version=p.MAX_VERSION)
+        most = min(USUAL.most_bytes, p.MAX_DOCUMENT_BYTES - len(p.encode(rest)) - 2)
         bounds = replace(USUAL, explore=self._peers.exploration_ratio, most_bytes=most)
         cells, halls = self._known(now)
         if len(cells) > MOST_CELLS:
--- a/ironrail/net/peers/runtime.py
+++ b/ironrail/net/peers/runtime.py
@@ -105,7 +105,11 @@
         for part in self.parts:
             self.peering.add(part.room)
         # of voters only by those who speak with them: they answer 25 a second
-        self._meet = self.policies.room.path.sources(system.now()) if self.policies is not None else ()
+        self._meet = (
+            self.policies.room.lease_routing.document_sources(system.now())
+            if self.policies is not None
+            else ()
+        )
 
     def serve(self, clients: ClientListener) -> None:
         """Those whose requests come here."""
--- a/ironrail/peers/consensus/configuration.py
+++ b/ironrail/peers/consensus/configuration.py
@@ -1,4 +1,4 @@
-"""What the operator's file says of a router's place. Pure."""
+"""Configuration of a router's part in the consensus. Pure."""
 
 from __future__ import annotations
 
@@ -8,43 +8,60 @@
 from ironrail.peers.consensus.errors import VotersError
 from ironrail.peers.messages import MOST_ROUTERS
 
-LEASE = 3.0  # seconds: a router that is cut off decides for as long, and a change waits as long for it
-DRIFT = 0.01  # that no clock's rate is off by more: crystals are within 0.0002, a slewed clock within 0.0005
-DIRECT = 32  # routers: in a larger tier not every one of them asks the voters itself, see `path.py`
-DEADLINE = 20.0  # seconds for a change: stages take 2 each, a lease that has to run out 3.1, documents 10
+# A disconnected router keeps deciding for this long, and a change of policy waits as long for it.
+DEFAULT_LEASE_SECONDS = 3.0
+# Bound on the error of any clock's rate: crystals are within 0.0002, a slewed clock within 0.0005.
+DEFAULT_MAX_CLOCK_DRIFT_RATIO = 0.01
+# In a larger peer group not every router asks the voters for its lease itself, see
+# `lease_routing.py`.
+DEFAULT_MAX_DIRECT_ROUTERS = 32
+# For a whole change: a stage takes up to 2 s, waiting for a lease to expire 3.1 s, documents 10 s.
+DEFAULT_DEADLINE_SECONDS = 20.0
 
 
 def check_voters(voters: tuple[int, ...], routers: int) -> None:
-    """Raises VotersError unless these can be voters."""
+    """Check that these routers can form a set of voters.
+
+    Raises:
+        VotersError: Not 3, 5 or 7 different routers, or one that does not exist.
+    """
     if len(voters) not in (3, 5, 7) or len(set(voters)) < len(voters):
         raise VotersError("must be 3, 5 or 7 different numbers", "voters")
     if not all(0 <= voter < routers for voter in voters):
-        raise VotersError("names a router that isn't there", "voters")
+        raise VotersError("names a router that doesn't exist", "voters")
 
 
 @dataclass(frozen=True, slots=True)
 class ConsensusConfig:
-    """A router's place, as the operator's file has it."""
+    """Configuration of one router, from the operator's file."""
 
-    router: int
-    start: int  # of this process, as on the wire: drawn at random, never again
+    own_index: int
+    incarnation: int  # of this process, as on the wire; random, never reused
     routers: int
     voters: tuple[int, ...]  # 3, 5 or 7 of the routers
-    lease_seconds: float = LEASE
-    max_clock_drift: float = DRIFT
-    max_direct_routers: int = DIRECT
-    persists_records: bool = False  # voters keep their record
-    starts_on_fallback: bool = False  # a router that knows nothing yet acts by the floor; else it isn't ready
+    lease_seconds: float = DEFAULT_LEASE_SECONDS
+    max_clock_drift_ratio: float = DEFAULT_MAX_CLOCK_DRIFT_RATIO
+    max_direct_routers: int = DEFAULT_MAX_DIRECT_ROUTERS
+    persists_records: bool = False  # whether voters keep their record on disk
+    # whether a router that knows no state yet acts on the fallback policy, or is not ready
+    starts_on_fallback: bool = False
 
     def __post_init__(self) -> None:
-        """Raises InputError, with the field."""
-        if not 0 <= self.router < self.routers <= MOST_ROUTERS:
-            raise InputError("is no router's number", "me")
+        """Check the fields.
+
+        Raises:
+            InputError: A field is out of range; `location` names the setting.
+        """
+        if not 0 <= self.own_index < self.routers <= MOST_ROUTERS:
+            raise InputError("is not the number of a router", "me")
         check_voters(self.voters, self.routers)
-        if not (self.lease_seconds > 0 and 0 <= self.max_clock_drift < 0.5):
+        if not (self.lease_seconds > 0 and 0 <= self.max_clock_drift_ratio < 0.5):
             raise InputError("must be above 0, and the drift below 0.5", "lease")
 
     @property
     def max_lease_seconds(self) -> float:
-        """Seconds by any clock in which a lease has run out by any other: one may be slow, the other fast."""
-        return self.lease_seconds * (1 + self.max_clock_drift) / (1 - self.max_clock_drift)
+        """Time on any clock after which a lease has expired on every other clock.
+
+        Assumes the worst case of `max_clock_drift_ratio`: one clock runs slow, the other fast.
+        """
+        return self.lease_seconds * (1 + self.max_clock_drift_ratio) / (1 - self.max_clock_drift_ratio)
--- a/ironrail/peers/consensus/consensus_node.py
+++ b/ironrail/peers/consensus/consensus_node.py
@@ -1,4 +1,4 @@
-"""The room in which routers come to an accord: puts voters, leases and proposals together. Pure."""
+"""The consensus protocol of one router: voting, leases and proposals. Pure."""
 
 from __future__ import annotations
 
@@ -12,84 +12,103 @@
 from ironrail.peers.consensus import messages as m
 from ironrail.peers.consensus import policy as p
 from ironrail.peers.consensus.acceptor import PersistRecord
-from ironrail.peers.consensus.configuration import DEADLINE, check_voters
+from ironrail.peers.consensus.configuration import DEFAULT_DEADLINE_SECONDS, check_voters
 from ironrail.peers.consensus.message_handler import MessageHandler
 from ironrail.peers.consensus.proposal import Proposal, ProposalHandle, TargetState
 from ironrail.peers.messages import Outgoing, Received, Topic
 
 
 @dataclass(frozen=True, slots=True)
-class DecidedBy:
-    """What a router acts by at one instant."""
+class EffectivePolicy:
+    """The policy that a router acts on at one instant."""
 
-    versions: tuple[int, ...]  # that it decides under; empty: under none
-    policy: p.Policy | None  # the effective one, or the floor; None: not ready
+    versions: tuple[int, ...]  # that it decides under; empty without a lease
+    # merged in a joint state; the fallback policy without a lease; None: not ready
+    policy: p.Policy | None
     scope: m.Scope = ()
 
 
 class ConsensusNode(MessageHandler):
-    """See `faces.Room`; besides, `propose`, `decides_by`, `found`, and the voter's record."""
+    """The consensus as a `PeerProtocol`, with proposals, bootstrap, and the voter's record."""
 
     topic = Topic.CONSENSUS
 
-    # what an operator or the router asks
+    # calls of an operator or of the router
 
     def propose(
-        self, now: float, policy: p.Policy, deadline: float = DEADLINE, voters: m.Voters = ()
+        self, now: float, policy: p.Policy, deadline: float = DEFAULT_DEADLINE_SECONDS, voters: m.Voters = ()
     ) -> ProposalHandle:
-        """Have this policy take the old one's place everywhere; `deadline`: seconds.
+        """Propose a policy to replace the one in force at all routers.
 
-        `voters`: that keep the register once it is in force; none: those that do now.
+        Args:
+            now: Time on this router's clock.
+            policy: The new policy.
+            deadline: Seconds until the change is given up.
+            voters: Replace the present voters once the change is in force; empty: these stay.
 
         Raises:
-            RejectedError: a change is under way here, or this router doesn't know where the register stands.
-            VotersError: these can't be voters.
-            PolicyError: it is no policy, or this router itself can't work by it.
+            RejectedError: A change is under way here, or this router does not know the register's
+                state.
+            VotersError: These routers cannot be voters.
+            PolicyError: The policy is invalid, or this router cannot act on it.
         """
         if voters:
             check_voters(voters, self.conf.routers)
-        if self.proposer.change:
+        if self.proposer.proposal:
             raise errors.BusyError("a change is under way here", "policy")
-        if self.known is None or self.holder.valid_state(now) is None:
-            raise errors.UnreadyError("holds no lease", f"router {self.conf.router}")
-        ref = self._taken(policy)
-        ticket = ProposalHandle(ref)
+        if self.latest_decided is None or self.lease_holder.valid_state(now) is None:
+            raise errors.UnreadyError("holds no lease", f"router {self.conf.own_index}")
+        ref = self._store_valid(policy)
+        handle = ProposalHandle(ref)
         self.proposer.begin(
-            now, Proposal(TargetState.JOINT, ref, ticket, deadline=now + deadline, new_voters=voters)
+            now, Proposal(TargetState.JOINT, ref, handle, deadline=now + deadline, new_voters=voters)
         )
-        self._settle(now)
-        return ticket
+        self._drain(now)
+        return handle
 
     def bootstrap(self, now: float, epoch: int, policy: p.Policy) -> None:
-        """By the operator's hand, the first time and where more voters lost their memory than can be.
+        """Offer the voters a state to start with.
 
-        `epoch`: never used before. Tell it to one router; voters with a memory take no notice.
+        Needed initially, and after more voters lost their state than the register tolerates. Has
+        to be called at one router only; voters that have a state ignore it.
+
+        Args:
+            now: Time on this router's clock.
+            epoch: A number that was never used before.
+            policy: The policy to start with.
+
+        Raises:
+            InputError: The epoch is out of range.
+            PolicyError: The policy is invalid, or this router cannot act on it.
         """
         if not 0 < epoch < 2**20:
             raise InputError("must be from 1 to 2**20", "epoch")
-        ref = self._taken(policy)
-        voters = self.known.voters if self.known else self.conf.voters
+        ref = self._store_valid(policy)
+        voters = self.latest_decided.voters if self.latest_decided else self.conf.voters
         named = m.PolicyRef(ref.version, ref.digest, voters)
-        self._to_voters(m.BootstrapOffer(m.RegisterState(epoch * m.EPOCH, named, tried=ref.version)))
-        self._to_voters(m.Document(self.library.get(ref.digest) or b""))
-        self._settle(now)
+        self._send_to_voters(
+            m.BootstrapOffer(m.RegisterState(epoch * m.STEPS_PER_EPOCH, named, max_tried_version=ref.version))
+        )
+        self._send_to_voters(m.Document(self.document_store.get(ref.digest) or b""))
+        self._drain(now)
 
     def policy_in_force(self, now: float) -> p.Policy:
-        """The one policy in force.
+        """Return the single policy in force.
 
         Raises:
-            RejectedError: a change is under way, or this router doesn't know where the register stands.
+            RejectedError: A change is under way, or this router does not know the register's
+                state.
         """
-        state = self.holder.valid_state(now)
-        if state is None or state is not self.known:
-            raise errors.UnreadyError("holds no lease for the latest state", f"router {self.conf.router}")
+        state = self.lease_holder.valid_state(now)
+        if state is None or state is not self.latest_decided:
+            raise errors.UnreadyError("holds no lease for the latest state", f"router {self.conf.own_index}")
         if state.new:
-            raise errors.BusyError(f"version {state.new.version} is on its way", "policy")
-        return self.library.effective(state)
+            raise errors.BusyError(f"version {state.new.version} is under way", "policy")
+        return self.document_store.effective(state)
 
-    def voters_now(self) -> list[m.Voters]:
-        """Of the latest state that is known: the set in force, and in a change the one that is to be."""
-        known = self.known
+    def current_voter_sets(self) -> list[m.Voters]:
+        """Return the voters of the latest state, and in a change also their successors."""
+        known = self.latest_decided
         if known is None:
             return []
         return [
@@ -97,97 +116,108 @@
             *((known.new.voters,) if known.new and known.new.voters != known.voters else ()),
         ]
 
-    def _taken(self, policy: p.Policy) -> m.PolicyRef:
-        policy = p.normal(policy)
-        if error := p.check(policy, self.library.facts):
+    def _store_valid(self, policy: p.Policy) -> m.PolicyRef:
+        policy = p.normalize(policy)
+        if error := p.check(policy, self.document_store.context):
             raise error
-        return self._have(policy)
+        return self._store_document(policy)
 
-    def effective_policy(self, now: float) -> DecidedBy:
-        """What to act by at this very time; ask anew for each decision, with a clock that counts pauses."""
-        state = self.holder.valid_state(now)
+    def effective_policy(self, now: float) -> EffectivePolicy:
+        """Return the policy to act on at this instant.
+
+        Has to be called for each decision, with a clock that also advances while the process is
+        paused.
+        """
+        state = self.lease_holder.valid_state(now)
         if state:
-            return DecidedBy(
-                tuple(r.version for r in state.refs()), self.library.effective(state), state.scope
+            return EffectivePolicy(
+                tuple(r.version for r in state.refs()), self.document_store.effective(state), state.scope
             )
-        known = [self.known, self.holder.current, self.holder.target]
+        known = [self.latest_decided, self.lease_holder.current, self.lease_holder.target]
         if not any(known) and not self.conf.starts_on_fallback:
-            return DecidedBy((), None)
-        return DecidedBy((), self.library.merged_with_fallback(known))
+            return EffectivePolicy((), None)
+        return EffectivePolicy((), self.document_store.merged_with_fallback(known))
 
     def effective_until(self, now: float) -> float:
-        """When `decides_by` may tell something else though nothing was heard: the lease ends."""
-        state = self.holder.valid_state(now)
-        return self.holder.expiry(state.scope) if state else math.inf
+        """Return when the lease ends, and with it the policy returned by `effective_policy`."""
+        state = self.lease_holder.valid_state(now)
+        return self.lease_holder.expiry(state.scope) if state else math.inf
 
     def faults(self, now: float) -> list[IronrailError]:
-        """What an operator should know."""
+        """Return the errors that an operator should know of."""
         found: list[IronrailError] = []
-        if self.voter and self.voter.is_lost():
-            found.append(errors.LostError("a majority of the voters has no memory", "voters"))
-        if self.voter and self.voter.write_is_failing:
-            found.append(errors.KeepingError("can't keep its record", f"voter {self.conf.router}"))
-        if self.holder.valid_state(now) is None:
-            found.append(errors.LeaseError("holds no lease", f"router {self.conf.router}"))
-        if self.known and (refused := self.library.rejection_of(self.known)):
-            found.append(refused[1])
+        if self.acceptor and self.acceptor.is_state_lost():
+            found.append(errors.LostError("a majority of the voters lost its state", "voters"))
+        if self.acceptor and self.acceptor.is_write_failing:
+            found.append(errors.KeepingError("can't write its record", f"voter {self.conf.own_index}"))
+        if self.lease_holder.valid_state(now) is None:
+            found.append(errors.LeaseError("holds no lease", f"router {self.conf.own_index}"))
+        if self.latest_decided and (rejection := self.document_store.rejection_of(self.latest_decided)):
+            found.append(rejection[1])
         return found
 
     # the voter's record
 
     def take_records(self) -> list[PersistRecord]:
-        """Records to be kept; asked after each event, and empty once taken."""
-        if not self.voter:
+        """Return the records to write, once; called after each event."""
+        if not self.acceptor:
             return []
-        taken, self.voter.records = self.voter.records, []
+        taken, self.acceptor.records = self.acceptor.records, []
         return taken
 
     def on_record_written(self, now: float, token: int) -> None:
-        """It is on the disk."""
-        if self.voter:
-            self.voter.on_record_written(token)
-            self._settle(now)
+        """Handle that a record, and all before it, was written and synced to disk."""
+        if self.acceptor:
+            self.acceptor.on_record_written(token)
+            self._drain(now)
 
     def on_record_failed(self, now: float, token: int) -> None:
-        """It couldn't be kept."""
-        if self.voter:
-            self.voter.on_record_failed(now, token)
+        """Handle that a record could not be written."""
+        if self.acceptor:
+            self.acceptor.on_record_failed(now, token)
 
-    # the driver's calls
+    # `PeerProtocol`
 
-    def on_message(self, now: float, heard: Received) -> None:
-        """A message; what can't be used is counted and dropped."""
+    def on_message(self, now: float, received: Received) -> None:
+        """Handle a message; one that cannot be decoded is counted and dropped."""
         try:
-            message = m.decode(heard.body)
-        except (msgspec.MsgspecError, RecursionError):  # the latter of a thousand arrays in one another
+            message = m.decode(received.body)
+        except (msgspec.MsgspecError, RecursionError):  # the latter for deeply nested arrays
             self.unusable += 1
             return
-        self._take(now, heard.sender, heard.start, message)
-        self._settle(now)
+        self._dispatch(now, received.sender, received.start, message)
+        self._drain(now)
 
     def on_timer(self, now: float) -> None:
-        """Time has passed."""
-        if self.voter:
-            self.voter.wake(now)
-        if now >= self._renew_at:
-            self._renew(now)
-        if now >= self._fetch_at:
-            self._fetch(now)
-        if now >= self._tend_at():
-            self._tend(now)
-        self.proposer.wake(now)
-        self._settle(now)
+        """Handle the timer."""
+        if self.acceptor:
+            self.acceptor.on_timer(now)
+        if now >= self._next_renewal_at:
+            self._send_lease_request(now)
+        if now >= self._next_fetch_at:
+            self._fetch_documents(now)
+        if now >= self._cleanup_due_at():
+            self._start_cleanup(now)
+        self.proposer.on_timer(now)
+        self._drain(now)
 
     def take_outgoing(self) -> list[Outgoing]:
-        """What is to be sent."""
-        taken, self._out = self._out, []
+        """Return the messages to send, once."""
+        taken, self._outgoing = self._outgoing, []
         return taken
 
     def next_timer_at(self) -> float:
-        """When it wants to be woken."""
-        times = [self._renew_at, self.proposer.wake_at(), self._tend_at(), self._pending_at]
-        if self.library.missing(self._states()):
-            times.append(self._fetch_at)
-        if self.voter:
-            times.append(self.voter.retry_write_at if self.voter.standing else self.voter.recover_at)
+        """Return when `on_timer` is due."""
+        times = [
+            self._next_renewal_at,
+            self.proposer.next_timer_at(),
+            self._cleanup_due_at(),
+            self._deferred_until,
+        ]
+        if self.document_store.missing(self._referenced_states()):
+            times.append(self._next_fetch_at)
+        if self.acceptor:
+            times.append(
+                self.acceptor.retry_write_at if self.acceptor.is_voting else self.acceptor.recovery_retry_at
+            )
         return min(times)
--- a/ironrail/peers/consensus/errors.py
+++ b/ironrail/peers/consensus/errors.py
@@ -1,4 +1,4 @@
-"""What can go wrong with a change of policy, each a type of its own."""
+"""Errors of the consensus, each with a type of its own."""
 
 from __future__ import annotations
 
@@ -8,7 +8,10 @@
 
 
 class PolicyError(InputError):
-    """A document that is no policy, or none for this router; `where` names the field."""
+    """The document is not a valid policy, or not one that this router supports.
+
+    `location` names the field.
+    """
 
     advice: ClassVar[str] = (
         "Mend the field that is named, give the document a new version and propose it again"
@@ -16,7 +19,7 @@
 
 
 class RecordFormError(InputError):
-    """A record that was kept whole, and is none of this version's: the voter starts without it."""
+    """The record is intact but not in this version's format; the voter starts without it."""
 
     advice: ClassVar[str] = (
         "Move the file away and start again: a voter without a record asks the others where things stand"
@@ -24,13 +27,13 @@
 
 
 class VotersError(InputError):
-    """Voters that can't be: not 3, 5 or 7, one twice, or a router that isn't there."""
+    """Not a possible set of voters: wrong number, a duplicate, or a router that does not exist."""
 
     advice: ClassVar[str] = "Name 3, 5 or 7 different routers by their numbers among `peers`"
 
 
 class VersionError(RejectedError):
-    """The version is not above every one that was ever tried."""
+    """The version is not above the highest version that was ever proposed."""
 
     advice: ClassVar[str] = "Give the document a version above the highest one that was tried"
 
@@ -42,13 +45,13 @@
 
 
 class UnreadyError(RejectedError):
-    """This router doesn't know yet where the register stands."""
+    """This router does not know the current state of the register."""
 
     advice: ClassVar[str] = "Ask a router that decides by a policy, or wait until this one does"
 
 
 class RefusedByError(RejectedError):
-    """A router can't work by the document, so that no router does."""
+    """A router cannot act on the document, so no router does."""
 
     advice: ClassVar[str] = (
         "Mend the document for the router that is named, or that router, and propose again"
@@ -56,13 +59,16 @@
 
 
 class WithdrawnError(RejectedError):
-    """The change was taken back, by another router or by the voters."""
+    """The change was withdrawn by another router or by the voters."""
 
     advice: ClassVar[str] = "Look why its proposer was slow, then propose the document under a new version"
 
 
 class NoMajorityError(RejectedError):
-    """The voters didn't answer, or some router didn't acknowledge, by the deadline; none goes on with it."""
+    """The deadline passed before the voters answered or all routers acknowledged.
+
+    The change does not take effect anywhere.
+    """
 
     advice: ClassVar[str] = (
         "See that a majority of voters and the routers named are reachable, then propose again"
@@ -70,26 +76,29 @@
 
 
 class OpenError(IronrailError):
-    """The last step was sent out and nobody tells whether it was taken; it is the same for all."""
+    """The final step was sent, but its outcome is unknown; it is the same for all routers."""
 
     exit_code: ClassVar[int] = ExitCode.NO_VERDICT
     advice: ClassVar[str] = "Ask for the policy in force once a majority of voters is reachable; don't guess"
 
 
 class LostError(IronrailError):
-    """More voters lost their memory than can be: the register decides nothing any more."""
+    """More voters lost their state than the register tolerates: it decides nothing any more."""
 
     exit_code: ClassVar[int] = ExitCode.NO_VERDICT
     advice: ClassVar[str] = "Found it anew by hand, with an epoch never used and the policy that is to hold"
 
 
 class KeepingError(IronrailError):
-    """This voter can't keep its record and doesn't vote until it can; it serves on."""
+    """This voter cannot write its record and does not vote until it can.
+
+    The router still serves clients.
+    """
 
     advice: ClassVar[str] = "Make room on the disk or mend it; the voter takes up again by itself"
 
 
 class LeaseError(IronrailError):
-    """This router holds no lease, and acts by the floor."""
+    """This router holds no lease and acts on the fallback policy."""
 
     advice: ClassVar[str] = "See whether it reaches a majority of the voters"
--- a/ironrail/peers/consensus/lease.py
+++ b/ironrail/peers/consensus/lease.py
@@ -1,8 +1,9 @@
-"""The stages of a change, old -> joint -> new, and the lease that a router decides by. Pure.
+"""The stages of a change (old -> joint -> new) and the lease that a router decides under. Pure.
 
-Two scopes (the versions somebody obeys) go together if one holds all of the other. A router decides only
-while a majority of voters has granted its scope, to itself or to a router that answers for it, and those
-grants last by its own clock. `grants.py` has the other side, `docs/peers/accord.md` the proof.
+A scope is the set of versions that a router obeys. Two scopes are compatible if one contains the
+other. A router decides only while a majority of the voters has granted its scope, to itself or to
+the head that asks on its behalf; grants expire by the router's own clock. `lease_table.py` is the
+granting side; `docs/peers/accord.md` has the proof.
 """
 
 from __future__ import annotations
@@ -10,132 +11,192 @@
 import math
 from collections.abc import Iterable
 
-from ironrail.peers.consensus.messages import EPOCH, LeaseRequest, RegisterState, Scope, ScopedStep, Voters
+from ironrail.peers.consensus.messages import (
+    STEPS_PER_EPOCH,
+    LeaseRequest,
+    RegisterState,
+    Scope,
+    ScopedStep,
+    Voters,
+)
 from ironrail.peers.consensus.quorum import majority_size
 
-MOST_ASKED = 32  # asks whose answers may still come; at one a second they outlast any lease
-MOST_VERSIONS = 8  # whose voters are remembered: two states have four at most, others may lag behind
-MOST_SCOPES = 2  # that may be asked for at once: two states that follow each other
+# requests whose replies may still arrive; at one a second they outlast any lease
+MAX_PENDING_REQUESTS = 32
+# versions whose voters are remembered: two states have up to four, other routers may lag behind
+MAX_REMEMBERED_VERSIONS = 8
+MAX_SCOPES_PER_REQUEST = 2  # requested at once: two consecutive states
 
 
-def are_disjoint(one: Scope, other: Scope) -> bool:
-    """Whether two that obey these could decide without a common version."""
+def are_incompatible(one: Scope, other: Scope) -> bool:
+    """Return whether routers that obey these scopes could decide by conflicting versions."""
     return not (set(one) <= set(other) or set(other) <= set(one))
 
 
 def scoped_step_of(state: RegisterState) -> ScopedStep:
-    """The state as lease tables know it."""
+    """Return the state as lease tables store it."""
     return ScopedStep(state.step, state.scope)
 
 
 class LeaseHolder:
-    """Which state a router decides in, and until when."""
-
-    def __init__(self, lease: float) -> None:
-        """`lease`: seconds by the own clock, from when it was asked for."""
-        self.lease = lease
-        self.voters: dict[int, Voters] = {}  # version with the epoch -> who grants leases for it
-        self.current: RegisterState | None = None  # it decides in this state while the lease lasts
-        self.target: RegisterState | None = None  # it will, once a majority has granted it
+    """Which state this router decides in, and until when."""
+
+    def __init__(self, lease_seconds: float) -> None:
+        """Create a holder without a lease.
+
+        Args:
+            lease_seconds: Duration of a lease on this router's clock, from when it was requested.
+        """
+        self.lease_seconds = lease_seconds
+        # version with its epoch -> voters that grant leases for it
+        self.voters_by_version: dict[int, Voters] = {}
+        # this router decides in it while the lease lasts
+        self.current: RegisterState | None = None
+        # becomes `current` once a majority has granted it
+        self.target: RegisterState | None = None
         self.sequence = 0
-        self._asked: dict[int, tuple[float, tuple[Scope, ...]]] = {}  # sequence -> when, for what
-        self._granted: dict[int, int] = {}  # voter -> sequence of its latest grant
-        self.delegated: dict[int, tuple[int, float]] = {}  # head -> the same, and for how long it grants
+        # sequence -> time and scopes of the request
+        self._requests: dict[int, tuple[float, tuple[Scope, ...]]] = {}
+        self._granted_sequences: dict[int, int] = {}  # voter -> sequence of its latest grant
+        # head -> sequence of its latest grant, and how many seconds that lasts
+        self.delegated_grants: dict[int, tuple[int, float]] = {}
 
     def own_expiry(self, scope: Scope) -> float:
-        """Until when a majority of each version's voters keeps others from what is apart from this scope."""
+        """Return until when a majority of each version's voters grants nothing incompatible."""
         return min(
-            (self._end_by(self.voters.get(version, ()), scope) for version in scope), default=-math.inf
+            (self._majority_expiry(self.voters_by_version.get(version, ()), scope) for version in scope),
+            default=-math.inf,
         )
 
-    def _end_by(self, voters: Voters, scope: Scope) -> float:
-        grants = [self._asked.get(self._granted.get(voter, 0), (0.0, ())) for voter in voters]
-        times = sorted((at for at, scopes in grants if scope in scopes), reverse=True)
-        need = majority_size(voters)
-        return times[need - 1] + self.lease if len(times) >= need else -math.inf
+    def _majority_expiry(self, voters: Voters, scope: Scope) -> float:
+        granted_requests = [
+            self._requests.get(self._granted_sequences.get(voter, 0), (0.0, ())) for voter in voters
+        ]
+        request_times = sorted(
+            (requested_at for requested_at, scopes in granted_requests if scope in scopes), reverse=True
+        )
+        quorum_size = majority_size(voters)
+        return (
+            request_times[quorum_size - 1] + self.lease_seconds
+            if len(request_times) >= quorum_size
+            else -math.inf
+        )
 
     def on_decided(self, state: RegisterState) -> None:
-        """A state that is decided: who grants leases in it."""
+        """Note which voters grant leases in a decided state."""
         for ref in state.refs():
-            version = state.step // EPOCH * EPOCH + ref.version
-            self.voters.pop(version, None)
-            self.voters[version] = ref.voters
-        for version in list(self.voters)[:-MOST_VERSIONS]:
-            del self.voters[version]
+            version = state.step // STEPS_PER_EPOCH * STEPS_PER_EPOCH + ref.version
+            self.voters_by_version.pop(version, None)
+            self.voters_by_version[version] = ref.voters
+        for version in list(self.voters_by_version)[:-MAX_REMEMBERED_VERSIONS]:
+            del self.voters_by_version[version]
 
     def expiry(self, scope: Scope) -> float:
-        """The same, or until when another router's lease, which answers for this one, does."""
-        last = self.own_expiry(scope)
-        for sequence, lasts in self.delegated.values():
-            at, scopes = self._asked.get(sequence, (0.0, ()))
+        """Return `own_expiry`, or the end of the lease granted by a head if that is later."""
+        latest_expiry = self.own_expiry(scope)
+        for sequence, delegated_seconds in self.delegated_grants.values():
+            requested_at, scopes = self._requests.get(sequence, (0.0, ()))
             if scope in scopes:
-                last = max(last, at + lasts)
-        return last
+                latest_expiry = max(latest_expiry, requested_at + delegated_seconds)
+        return latest_expiry
 
     def valid_state(self, now: float) -> RegisterState | None:
-        """The state it may decide in at this time: asked anew for each decision, as a process may pause."""
+        """Return the state to decide in at this time, or None without a lease.
+
+        Has to be called for each decision, as the process may have been paused.
+        """
         return self.current if self.current and now < self.expiry(self.current.scope) else None
 
     def move_towards(self, state: RegisterState, now: float) -> None:
-        """A decided state whose documents are here and can be worked by; older ones change nothing."""
+        """Make a decided state the target, once its documents are stored and valid.
+
+        States older than the present ones are ignored.
+        """
         if state.step <= max((s.step for s in (self.current, self.target) if s), default=-1):
             return
-        if self.current and self.current.scope == state.scope:  # a change that was taken back
+        if self.current and self.current.scope == state.scope:  # the change was withdrawn
             self.current, self.target = state, None
             return
         if not self.current or state.step != self.current.step + 1 or self.valid_state(now) is None:
-            self.current = None  # some were missed: what was known before isn't decided by any more
+            self.current = None  # states were skipped: the former one is not decided in any more
         self.target = state
 
     def next_request(
-        self, now: float, known: RegisterState | None, others: Iterable[ScopedStep] = ()
+        self, now: float, latest_decided: RegisterState | None, others: Iterable[ScopedStep] = ()
     ) -> LeaseRequest:
-        """The wish for the next lease; what isn't in it is given up, for voters forget it.
+        """Return the request for the next lease.
 
-        `others`: what those decide by whom this router answers for: they go first.
+        Scopes that it does not include are given up, as voters forget them.
+
+        Args:
+            now: Time on this router's clock.
+            latest_decided: The latest state known to be decided.
+            others: Scopes of the members that this router asks for; they come first.
         """
         if self.current and self.target and self.valid_state(now) is None:
             self.current = None
-        wishes: dict[Scope, int] = {}
-        for wish in (*others, *(scoped_step_of(state) for state in (self.current, self.target) if state)):
-            if wish.scope in wishes or len(wishes) < MOST_SCOPES:
-                wishes[wish.scope] = max(wish.step, wishes.get(wish.scope, 0))
-        if known and known.scope in wishes:
-            wishes[known.scope] = known.step  # a state that came again by a change taken back
-        self._keep_only(tuple(wishes))
+        step_by_scope: dict[Scope, int] = {}
+        for scoped_step in (
+            *others,
+            *(scoped_step_of(state) for state in (self.current, self.target) if state),
+        ):
+            if scoped_step.scope in step_by_scope or len(step_by_scope) < MAX_SCOPES_PER_REQUEST:
+                step_by_scope[scoped_step.scope] = max(
+                    scoped_step.step, step_by_scope.get(scoped_step.scope, 0)
+                )
+        if latest_decided and latest_decided.scope in step_by_scope:
+            # the same scope is in force again, by a change that was withdrawn
+            step_by_scope[latest_decided.scope] = latest_decided.step
+        self._drop_other_scopes(tuple(step_by_scope))
         self.sequence += 1
-        self._asked[self.sequence] = (now, tuple(wishes))
-        self._asked.pop(self.sequence - MOST_ASKED, None)
-        notes = sorted(
-            (ScopedStep(step, scope) for scope, step in wishes.items()), key=lambda wish: wish.step
+        self._requests[self.sequence] = (now, tuple(step_by_scope))
+        self._requests.pop(self.sequence - MAX_PENDING_REQUESTS, None)
+        scoped_steps = sorted(
+            (ScopedStep(step, scope) for scope, step in step_by_scope.items()),
+            key=lambda scoped_step: scoped_step.step,
         )
-        low, high = (*notes, None, None)[:2]
-        return LeaseRequest(self.sequence, low, high, known.step if known else 0)
+        low, high = (*scoped_steps, None, None)[:2]
+        return LeaseRequest(self.sequence, low, high, latest_decided.step if latest_decided else 0)
 
     def is_renewed(self, sets: Iterable[Voters]) -> bool:
-        """What was asked for last is granted, by a majority of each set or by one who answers for it."""
-        if any(sequence == self.sequence for sequence, _ in self.delegated.values()):
+        """Return whether a majority of each set, or a head, granted the latest request."""
+        if any(sequence == self.sequence for sequence, _ in self.delegated_grants.values()):
             return True
-        by = {voter for voter, sequence in self._granted.items() if sequence == self.sequence}
-        return all(len(by & set(voters)) >= majority_size(voters) for voters in sets)
+        grantors = {voter for voter, sequence in self._granted_sequences.items() if sequence == self.sequence}
+        return all(len(grantors & set(voters)) >= majority_size(voters) for voters in sets)
 
-    def _keep_only(self, scopes: tuple[Scope, ...]) -> None:
-        """A voter's entry holds only what was last asked: an older grant of the rest is worth nothing."""
-        for sequence, (at, held) in self._asked.items():
-            self._asked[sequence] = (at, tuple(s for s in held if s in scopes))
+    def _drop_other_scopes(self, scopes: tuple[Scope, ...]) -> None:
+        """Drop all other scopes from earlier requests.
 
-    def on_granted(self, now: float, by: int, sequence: int, lasts: float = 0.0) -> bool:
-        """What was asked for is granted; whether this moves the router to its next state.
+        A voter's entry holds only the latest request, so earlier grants of other scopes are void.
+        """
+        for sequence, (requested_at, held_scopes) in self._requests.items():
+            self._requests[sequence] = (requested_at, tuple(s for s in held_scopes if s in scopes))
 
-        `lasts`: seconds, where a router grants it that answers for this one; a voter's lasts a lease.
+    def on_granted(self, now: float, grantor: int, sequence: int, delegated_seconds: float = 0.0) -> bool:
+        """Note a grant.
+
+        Args:
+            now: Time on this router's clock.
+            grantor: The voter or head that granted the request.
+            sequence: Sequence of the request.
+            delegated_seconds: How long the grant of a head lasts; 0 for a voter, whose lease is of
+                full length.
+
+        Returns:
+            Whether this router moves to its target state.
         """
-        before = self.delegated.get(by, (0, 0.0))[0] if lasts else self._granted.get(by, 0)
-        if sequence not in self._asked or sequence < before:
+        previous_sequence = (
+            self.delegated_grants.get(grantor, (0, 0.0))[0]
+            if delegated_seconds
+            else self._granted_sequences.get(grantor, 0)
+        )
+        if sequence not in self._requests or sequence < previous_sequence:
             return False
-        if lasts:
-            self.delegated[by] = (sequence, lasts)
+        if delegated_seconds:
+            self.delegated_grants[grantor] = (sequence, delegated_seconds)
         else:
-            self._granted[by] = sequence
+            self._granted_sequences[grantor] = sequence
         if not self.target or now >= self.expiry(self.target.scope):
             return False
         self.current, self.target = self.target, None
--- a/ironrail/peers/consensus/node_state.py
+++ b/ironrail/peers/consensus/node_state.py
@@ -1,4 +1,4 @@
-"""What one router knows, and the lease it decides by. Pure."""
+"""State of one router's part in the consensus, and the lease that it decides under. Pure."""
 
 from __future__ import annotations
 
@@ -19,199 +19,281 @@
 from ironrail.peers.consensus.proposer import Proposer
 from ironrail.peers.messages import Outgoing, Topic
 
-LOST_AFTER = 3  # renewals without a lease: a lease's time after one ended, 2 s after a start
-RENEWALS = 3  # in a lease: two in a row may be lost
-SOON = 0.3  # seconds until what had no answer is asked again, doubled each time: round trips of 0.2 fit in
-MOST_VAIN = 8  # doublings that are counted
-APART = 0.2  # of a renewal by which it may come early, drawn: those that learn together mustn't keep step
+# After these the voters may be gone: a lease's time after one expired, 2 s after a start.
+MAX_RENEWALS_WITHOUT_LEASE = 3
+RENEWALS_PER_LEASE = 3  # two in a row may be lost
+# Doubled with each request that is not granted. Round trips of 0.2 s are shorter.
+INITIAL_RETRY_SECONDS = 0.3
+MAX_BACKOFF_DOUBLINGS = 8
+# A renewal is early by a random fraction up to this one, so that routers that learn of a state
+# at the same time do not renew in step.
+RENEWAL_JITTER_FRACTION = 0.2
 
 
 class NodeState:
-    """Voter (of the few that are), holder of a lease, proposer and library of one router."""
+    """The parts of one router: lease holder, proposer, document store, and a voter's acceptor."""
 
     def __init__(
         self,
         conf: ConsensusConfig,
-        facts: p.Facts,
-        floor: p.Policy,
+        context: p.ValidationContext,
+        fallback: p.Policy,
         now: float,
         seed: int = 0,
         record: bytes | None = None,
     ) -> None:
-        """`floor`: obeyed where nothing is decided by; `record`: what a voter kept before, if it did."""
-        if error := p.check(floor, facts):
+        """Create the state.
+
+        Args:
+            conf: Configuration of this router.
+            context: What policies are validated against.
+            fallback: Policy to act on without a lease.
+            now: Time on this router's clock.
+            seed: Seed of all random choices.
+            record: The voter's record of an earlier process, if there is one.
+
+        Raises:
+            PolicyError: This router cannot act on the fallback policy.
+        """
+        if error := p.check(fallback, context):
             raise error
-        self.conf, self.library = conf, DocumentStore(facts, floor)
+        self.conf, self.document_store = conf, DocumentStore(context, fallback)
         self._seed, self._draws = seed, 0
-        self.holder = LeaseHolder(conf.lease_seconds)
-        self.path = LeaseRouting(conf, self._draw)
-        self.lent = LeaseTable(conf.max_lease_seconds)  # to those that this router answers for
-        me, start = conf.router, conf.start
-        self.voter: Acceptor | None = None
-        if me in conf.voters or record is not None:
-            self.voter = Acceptor(
-                me, start, conf.voters, now, conf.max_lease_seconds, record, conf.persists_records
+        self.lease_holder = LeaseHolder(conf.lease_seconds)
+        self.lease_routing = LeaseRouting(conf, self._draw)
+        # to the members that this router is a head of
+        self.delegated_leases = LeaseTable(conf.max_lease_seconds)
+        own_index, incarnation = conf.own_index, conf.incarnation
+        self.acceptor: Acceptor | None = None
+        if own_index in conf.voters or record is not None:
+            self.acceptor = Acceptor(
+                own_index,
+                incarnation,
+                conf.voters,
+                now,
+                conf.max_lease_seconds,
+                record,
+                conf.persists_records,
             )
-        self.bare = 0  # renewals in a row without a lease
-        self.proposer = Proposer(me, start, conf.voters, self._draw)
-        self.known: m.RegisterState | None = None  # the latest state that is decided, as far as heard
-        self._accepted = 0  # step that this voter accepted last
-        self._left_at = now  # since when something has been left unsettled or joint
-        # routers that start together don't ask together
-        self._renew_at = now + self._draw() * conf.lease_seconds / RENEWALS
-        self._fetch_at = now
-        self._vain = 0  # asks in a row that were not granted
-        self.unusable = 0  # messages that made no sense
-        self._awaited = b""  # digest of a document that was asked for before its state was accepted
-        self._early: p.Policy | None = None  # the latest that came unasked: its state may be right behind it
-        self._out: list[Outgoing] = []
-        self._own: list[m.Message] = []
+        self.renewals_without_lease = 0  # in a row
+        self.proposer = Proposer(own_index, incarnation, conf.voters, self._draw)
+        # the latest that this router knows to be decided
+        self.latest_decided: m.RegisterState | None = None
+        self._last_accepted_step = 0  # step that this acceptor accepted last
+        self._unsettled_since = now  # since when a state has been unsettled or joint
+        # routers that start together do not ask at the same time
+        self._next_renewal_at = now + self._draw() * conf.lease_seconds / RENEWALS_PER_LEASE
+        self._next_fetch_at = now
+        self._ungranted_requests = 0  # in a row
+        self.unusable = 0  # messages that could not be decoded
+        # digest of a document that was requested before its state was accepted
+        self._awaited_digest = b""
+        # the latest that arrived without a request: its state may follow at once
+        self._unrequested_document: p.Policy | None = None
+        self._outgoing: list[Outgoing] = []
+        self._loopback: list[m.Message] = []
 
     def _draw(self) -> float:
-        """From 0 to 1, the same for the same seed and place."""
+        """Return a random number from 0 to 1, determined by seed, router and incarnation."""
         self._draws += 1
-        text = f"{self._seed} {self.conf.router} {self.conf.start} {self._draws}"
+        text = f"{self._seed} {self.conf.own_index} {self.conf.incarnation} {self._draws}"
         return int.from_bytes(hashlib.blake2b(text.encode(), digest_size=6).digest()) / 2**48
 
-    def _states(self) -> list[m.RegisterState | None]:
-        """All that documents are needed for."""
-        found = [self.known, self.holder.current, self.holder.target]
-        return [*found, self.voter.vouched.accepted, self.voter.offer] if self.voter else found
+    def _referenced_states(self) -> list[m.RegisterState | None]:
+        """Return all states whose documents are needed."""
+        states = [self.latest_decided, self.lease_holder.current, self.lease_holder.target]
+        return (
+            [*states, self.acceptor.acceptor_state.accepted, self.acceptor.offered_state]
+            if self.acceptor
+            else states
+        )
 
-    # sending, also to itself
+    # sending, also to this router itself
 
-    def _post(self, to: int, message: m.Message) -> None:
-        if to == self.conf.router:
-            self._own.append(message)
+    def _send(self, to: int, message: m.Message) -> None:
+        if to == self.conf.own_index:
+            self._loopback.append(message)
         else:
-            self._out.append(Outgoing(to, Topic.CONSENSUS, m.encode(message), m.priority(message)))
+            self._outgoing.append(Outgoing(to, Topic.CONSENSUS, m.encode(message), m.priority(message)))
+
+    def _send_to_voters(self, message: m.Message) -> None:
+        for voter in self.lease_routing.voters:
+            self._send(voter, message)
 
-    def _to_voters(self, message: m.Message) -> None:
-        for voter in self.path.voters:
-            self._post(voter, message)
+    def _become_voter(self, now: float) -> None:
+        """Create the acceptor of a router that was named as a voter.
 
-    def _be_voter(self, now: float) -> None:
-        """It was named as one: without a memory, and quiet for a lease's time like any that lost it."""
-        if not self.voter:
+        It has no state and grants no leases for a lease's time, like a voter that lost its state.
+        """
+        if not self.acceptor:
             conf = self.conf
-            self.voter = Acceptor(
-                conf.router,
-                conf.start,
-                self.path.voters,
+            self.acceptor = Acceptor(
+                conf.own_index,
+                conf.incarnation,
+                self.lease_routing.voters,
                 now,
                 conf.max_lease_seconds,
                 None,
                 conf.persists_records,
             )
-            if self.known:
-                self.voter.learned(self.known)
+            if self.latest_decided:
+                self.acceptor.on_decided(self.latest_decided)
+
+    # learning of states and documents
 
-    # what is known
+    def _on_decided(self, now: float, state: m.RegisterState) -> None:
+        """Handle a decided state.
 
-    def _learn(self, now: float, state: m.RegisterState) -> None:
-        """A state that is decided. Its documents are mostly right behind it; else they are asked for."""
-        if self.known and state.step <= self.known.step:
+        Its documents usually follow at once; otherwise they are requested.
+        """
+        if self.latest_decided and state.step <= self.latest_decided.step:
             return
-        told = self._own_part(self.voter.grants.live_processes(now)) if self.voter else []
-        self.known, self._left_at = state, now
-        self.proposer.known, self.proposer.epoch = state, state.step // m.EPOCH
-        self.holder.on_decided(state)
-        self.path.follow(state.grantors)
-        if self.conf.router in state.grantors:
-            self._be_voter(now)
-        if self.voter:
-            self.voter.learned(state)
-        self.library.keep_only(self._needed())
-        self._fetch_at = now + SOON
-        self._pass_on(state, told)
-
-    def _needed(self) -> set[bytes]:
-        """Digests of the documents that may not go."""
-        change = self.proposer.change
-        needed = {ref.digest for s in self._states() if s for ref in s.refs()}
-        return needed | {change.ref.digest} if change and change.ref else needed
-
-    def _have(self, policy: p.Policy) -> m.PolicyRef:
-        """Keep a document. Whoever names many to a voter, or proposes many in vain, must not fill it up."""
-        ref = self.library.add(policy)
-        self.library.evict_beyond_limit(self._needed() | {ref.digest})
+        routers_to_notify = (
+            self._routers_to_notify(self.acceptor.granted_leases.live_processes(now)) if self.acceptor else []
+        )
+        self.latest_decided, self._unsettled_since = state, now
+        self.proposer.latest_decided, self.proposer.epoch = state, state.step // m.STEPS_PER_EPOCH
+        self.lease_holder.on_decided(state)
+        self.lease_routing.set_voters(state.grantors)
+        if self.conf.own_index in state.grantors:
+            self._become_voter(now)
+        if self.acceptor:
+            self.acceptor.on_decided(state)
+        self.document_store.keep_only(self._needed_digests())
+        self._next_fetch_at = now + INITIAL_RETRY_SECONDS
+        self._forward_decision(state, routers_to_notify)
+
+    def _needed_digests(self) -> set[bytes]:
+        """Return the digests of the documents that must not be evicted."""
+        proposal = self.proposer.proposal
+        needed = {ref.digest for s in self._referenced_states() if s for ref in s.refs()}
+        return needed | {proposal.ref.digest} if proposal and proposal.ref else needed
+
+    def _store_document(self, policy: p.Policy) -> m.PolicyRef:
+        """Store a document.
+
+        The number of documents stays bounded, however many are named to a voter or proposed
+        without success.
+        """
+        ref = self.document_store.add(policy)
+        self.document_store.evict_beyond_limit(self._needed_digests() | {ref.digest})
         return ref
 
-    def _own_part(self, lives: Iterable[tuple[int, int]]) -> list[int]:
-        """Of those that ask all voters, the ones that this voter tells: an even part, not each one thrice.
+    def _routers_to_notify(self, processes: Iterable[tuple[int, int]]) -> list[int]:
+        """Return which of these routers this voter notifies, as they ask all voters.
 
-        By the voters of before: of new ones nobody has asked for a lease yet.
+        Each is notified by one voter only. The voters before the change are used: nobody has asked
+        a new voter for a lease yet.
         """
-        voters = self.path.voters
-        return [router for router, _ in lives if voters[router % len(voters)] == self.conf.router]
-
-    def _pass_on(self, state: m.RegisterState, routers: Iterable[int]) -> None:
-        """Tell at once what they would learn by their next renewal, and a new document with it."""
-        for router in {*routers} - {self.conf.router}:
-            self._post(router, m.Decided(state))
-            self._send_new(state, router)
-
-    def _send_new(self, state: m.RegisterState, to: int) -> None:
-        """The document that is new in it."""
-        document = self.library.get(state.new.digest) if state.new else None
-        if document and to != self.conf.router:
-            self._post(to, m.Document(document))
-
-    def _aim(self, now: float) -> None:
-        """Go on to the state that is known, once its documents are here and can be worked by."""
-        before = (self.holder.current, self.holder.target)
-        if self.known is self.holder.current:
+        voters = self.lease_routing.voters
+        return [router for router, _ in processes if voters[router % len(voters)] == self.conf.own_index]
+
+    def _forward_decision(self, state: m.RegisterState, routers: Iterable[int]) -> None:
+        """Send a state and its new document at once, before the routers' next renewal."""
+        for router in {*routers} - {self.conf.own_index}:
+            self._send(router, m.Decided(state))
+            self._send_new_document(state, router)
+
+    def _send_new_document(self, state: m.RegisterState, to: int) -> None:
+        """Send the document that is new in a state."""
+        document = self.document_store.get(state.new.digest) if state.new else None
+        if document and to != self.conf.own_index:
+            self._send(to, m.Document(document))
+
+    def _move_to_latest(self, now: float) -> None:
+        """Move to the latest decided state, once its documents are stored and valid."""
+        before = (self.lease_holder.current, self.lease_holder.target)
+        if self.latest_decided is self.lease_holder.current:
             return
         if (
-            self.known
-            and not self.library.missing([self.known])
-            and not self.library.rejection_of(self.known)
+            self.latest_decided
+            and not self.document_store.missing([self.latest_decided])
+            and not self.document_store.rejection_of(self.latest_decided)
         ):
-            self.holder.move_towards(self.known, now)
-        if before != (self.holder.current, self.holder.target):
-            self._renew(now)
-
-    def _renew(self, now: float) -> None:
-        period = self.conf.lease_seconds / RENEWALS
-        before, targets = self.path.place, self.path.targets(now)
-        if self.path.place != before:
-            self._vain = 0  # another head may be gone as well, and is found out as soon
-        self._renew_at = now + min(period, SOON * 2**self._vain)
-        self._vain = min(self._vain + 1, MOST_VAIN)
-        others = self.lent.live_scoped_steps(now)
-        ask = self.holder.next_request(now, self.known, others)
-        if known := self.known:
-            epoch = known.step // m.EPOCH * m.EPOCH
-            refuses = self.lent.rejection_of(now, known.scope[-1])
-            if refused := self.library.rejection_of(known):
-                refuses = (self.conf.router, epoch + refused[0].version, str(refused[1])[:80])
-            behind = self.lent.holders_against(now, known.scope[-1:]) if others else []
-            ask = msgspec.structs.replace(ask, refuses=refuses, behind=behind[0] if behind else None)
-        for to in targets:
-            self._post(to, ask)
-        self.bare = 0 if self.holder.valid_state(now) else self.bare + 1
-        if self.bare > LOST_AFTER:  # the voters it knows may be gone: any router tells it who they are now
-            # one at a time, drawn anew: in a fleet that lost its voters all ask, and none is asked by all
-            self._post(int(self._draw() * self.conf.routers), m.StateQuery(known.step if known else 0))
-
-    def _renewed(self, now: float) -> None:
-        """The latest ask was granted: the next has time."""
-        self._vain = 0
-        self._renew_at = now + self.conf.lease_seconds / RENEWALS * (1 - APART * self._draw())
-
-    def _lend(self, now: float, life: tuple[int, int], ask: m.LeaseRequest) -> None:
-        """Another router asks for a part of this lease, as long as that lasts by the slower clock."""
-        new = self.path.asked(now)
-        until = min((self.holder.own_expiry(w.scope) for w in (ask.low, ask.high) if w), default=-math.inf)
-        behind = self._behind(now)
-        granted = self.lent.request(now, life, ask, 0, until)
+            self.lease_holder.move_towards(self.latest_decided, now)
+        if before != (self.lease_holder.current, self.lease_holder.target):
+            self._send_lease_request(now)
+
+    def _send_lease_request(self, now: float) -> None:
+        period = self.conf.lease_seconds / RENEWALS_PER_LEASE
+        before, request_targets = self.lease_routing.head_index, self.lease_routing.request_targets(now)
+        if self.lease_routing.head_index != before:
+            # another head may be unresponsive as well, and is then found out as soon
+            self._ungranted_requests = 0
+        self._next_renewal_at = now + min(period, INITIAL_RETRY_SECONDS * 2**self._ungranted_requests)
+        self._ungranted_requests = min(self._ungranted_requests + 1, MAX_BACKOFF_DOUBLINGS)
+        others = self.delegated_leases.live_scoped_steps(now)
+        lease_request = self.lease_holder.next_request(now, self.latest_decided, others)
+        if known := self.latest_decided:
+            epoch = known.step // m.STEPS_PER_EPOCH * m.STEPS_PER_EPOCH
+            rejection = self.delegated_leases.rejection_of(now, known.scope[-1])
+            if own_rejection := self.document_store.rejection_of(known):
+                rejection = (
+                    self.conf.own_index,
+                    epoch + own_rejection[0].version,
+                    str(own_rejection[1])[:80],
+                )
+            lagging_routers = (
+                self.delegated_leases.conflicting_holders(now, known.scope[-1:]) if others else []
+            )
+            lease_request = msgspec.structs.replace(
+                lease_request,
+                rejection=rejection,
+                lagging_router=lagging_routers[0] if lagging_routers else None,
+            )
+        for to in request_targets:
+            self._send(to, lease_request)
+        self.renewals_without_lease = (
+            0 if self.lease_holder.valid_state(now) else self.renewals_without_lease + 1
+        )
+        # the known voters may be gone: any router can tell the current ones
+        if self.renewals_without_lease > MAX_RENEWALS_WITHOUT_LEASE:
+            # one router at a time, drawn anew: if a whole fleet loses its voters, no router is
+            # asked by all
+            self._send(int(self._draw() * self.conf.routers), m.StateQuery(known.step if known else 0))
+
+    def _on_lease_renewed(self, now: float) -> None:
+        """Schedule the next renewal, after the latest request was granted."""
+        self._ungranted_requests = 0
+        self._next_renewal_at = now + self.conf.lease_seconds / RENEWALS_PER_LEASE * (
+            1 - RENEWAL_JITTER_FRACTION * self._draw()
+        )
+
+    def _on_member_request(self, now: float, process: tuple[int, int], lease_request: m.LeaseRequest) -> None:
+        """Handle a member's request for a part of this router's lease.
+
+        The part ends with this router's lease, also if the member's clock is slow.
+        """
+        is_new_head = self.lease_routing.on_member_request(now)
+        expires_at = min(
+            (
+                self.lease_holder.own_expiry(step.scope)
+                for step in (lease_request.low, lease_request.high)
+                if step
+            ),
+            default=-math.inf,
+        )
+        had_lagging_member = self._has_lagging_member(now)
+        granted = self.delegated_leases.request(now, process, lease_request, 0, expires_at)
         if granted is not None:
-            lasts = (until - now) * self.conf.lease_seconds / self.conf.max_lease_seconds if granted else 0.0
-            news = self.known if self.known and self.known.step > ask.knows else None
-            self._post(life[0], m.LeaseReply(ask.sequence, granted, False, 0, news, lasts))
-        if new or (behind and not self._behind(now)):
-            self._renew(now)  # the voters hear at once that nobody here is behind any more
-
-    def _behind(self, now: float) -> bool:
-        """Whether one whom this router answers for may decide by what is apart from the latest policy."""
-        return self.known is not None and bool(self.lent.holders_against(now, self.known.scope[-1:]))
+            delegated_seconds = (
+                (expires_at - now) * self.conf.lease_seconds / self.conf.max_lease_seconds if granted else 0.0
+            )
+            newer_state = (
+                self.latest_decided
+                if self.latest_decided and self.latest_decided.step > lease_request.known_step
+                else None
+            )
+            self._send(
+                process[0],
+                m.LeaseReply(lease_request.sequence, granted, False, 0, newer_state, delegated_seconds),
+            )
+        if is_new_head or (had_lagging_member and not self._has_lagging_member(now)):
+            # tells the voters at once that no member lags behind any more
+            self._send_lease_request(now)
+
+    def _has_lagging_member(self, now: float) -> bool:
+        """Return whether a member may still decide in conflict with the latest policy."""
+        return self.latest_decided is not None and bool(
+            self.delegated_leases.conflicting_holders(now, self.latest_decided.scope[-1:])
+        )
--- a/ironrail/peers/consensus/proposer.py
+++ b/ironrail/peers/consensus/proposer.py
@@ -1,7 +1,8 @@
-"""A router that was asked for a change: rounds of the register until it is in force, or taken back. Pure.
+"""Proposer: attempts to write the register until a change is in force or withdrawn. Pure.
 
-Only the process that began a change ever takes it forward; whoever else finds it left behind takes it back.
-So a ticket that ends before the last step was sent out tells for certain that nobody goes on with the change.
+Only the process that began a change ever carries it forward; any other one that finds it abandoned
+withdraws it. So if a handle ends before the final step was sent, the change certainly does not
+take effect.
 """
 
 from __future__ import annotations
@@ -15,206 +16,248 @@
 from ironrail.peers.consensus.proposal import Proposal, TargetState
 from ironrail.peers.consensus.quorum import QuorumReply, find_quorum
 
-# seconds until an attempt is repeated, by up to twice that as drawn: two at once mustn't keep step
-AGAIN = 0.4
-PATIENCE = 2.0  # times its deadline that a ticket whose last step was sent out waits to hear what came of it
+# An attempt is repeated after this time and a random delay of up to as long, so that two
+# proposers do not keep colliding.
+ATTEMPT_TIMEOUT_SECONDS = 0.4
+# A handle whose final step was sent waits this many deadlines to learn the outcome.
+OUTCOME_WAIT_FACTOR = 2.0
 
 
-def _held(reply: QuorumReply) -> bool:
-    return isinstance(reply.message, m.Promise) and bool(reply.message.held)
+def _is_blocked(reply: QuorumReply) -> bool:
+    return isinstance(reply.message, m.Promise) and bool(reply.message.blocking_routers)
 
 
 class Proposer:
-    """Runs one change at a time."""
-
-    def __init__(self, me: int, start: int, voters: tuple[int, ...], draw: Callable[[], float]) -> None:
-        """`voters`: of the operator's file; `draw`: from 0 to 1."""
-        self.me, self.start, self.voters, self._draw = me, start, voters, draw
-        self.epoch = self._number = 0
-        self.known: m.RegisterState | None = None  # the latest that is decided, as the room tells
-        self.change: Proposal | None = None
-        self.out: m.Out = []
-        self.decided: list[m.RegisterState] = []  # by this one; the room takes them
-
-    def begin(self, now: float, change: Proposal) -> None:
-        """Take it up, in place of what is under way."""
-        self.change, change.began_at = change, now
-        self._prepare(now)
-
-    def _prepare(self, now: float) -> None:
-        change = self.change
-        if change:
-            self._number += 1
-            change.ballot = m.Ballot(self.epoch, self._number, self.me, self.start)
-            change.value, change.replies = None, {}
-            change.retry_at = now + AGAIN * (1 + self._draw())
-            known = self.known.named if self.known else self.voters
-            change.asked_voters = tuple(
-                dict.fromkeys((*known, *change.new_voters, *change.discovered_voters))
+    """Runs one proposal at a time."""
+
+    def __init__(
+        self, own_index: int, incarnation: int, voters: tuple[int, ...], draw: Callable[[], float]
+    ) -> None:
+        """Create an idle proposer.
+
+        Args:
+            own_index: Number of this router.
+            incarnation: Incarnation of this process.
+            voters: The voters in the operator's file.
+            draw: Returns a random number from 0 to 1.
+        """
+        self.own_index, self.incarnation, self.voters, self._draw = own_index, incarnation, voters, draw
+        self.epoch = self._ballot_number = 0
+        # the latest that this router knows to be decided
+        self.latest_decided: m.RegisterState | None = None
+        self.proposal: Proposal | None = None
+        self.outgoing: m.OutgoingMessages = []
+        # by this proposer; the node takes them from here
+        self.newly_decided: list[m.RegisterState] = []
+
+    def begin(self, now: float, proposal: Proposal) -> None:
+        """Start a proposal, in place of one that is under way."""
+        self.proposal, proposal.began_at = proposal, now
+        self._send_prepare(now)
+
+    def _send_prepare(self, now: float) -> None:
+        proposal = self.proposal
+        if proposal:
+            self._ballot_number += 1
+            proposal.ballot = m.Ballot(self.epoch, self._ballot_number, self.own_index, self.incarnation)
+            proposal.value, proposal.replies = None, {}
+            proposal.retry_at = now + ATTEMPT_TIMEOUT_SECONDS * (1 + self._draw())
+            known = self.latest_decided.all_voters if self.latest_decided else self.voters
+            proposal.asked_voters = tuple(
+                dict.fromkeys((*known, *proposal.new_voters, *proposal.discovered_voters))
             )
-            self.out += [
-                (voter, m.Prepare(change.ballot, change.asked_voters)) for voter in change.asked_voters
+            self.outgoing += [
+                (voter, m.Prepare(proposal.ballot, proposal.asked_voters)) for voter in proposal.asked_voters
             ]
 
-    def outvoted(self, now: float, promised: m.Ballot) -> None:
-        """A higher ballot: at first only news, for it may be long past; later somebody else is faster."""
-        self.epoch = max(self.epoch, promised.epoch) if self.known is None else self.epoch
+    def on_ballot_rejected(self, now: float, promised: m.Ballot) -> None:
+        """Handle a higher ballot.
+
+        The first one may be long past, so the attempt is repeated at once. Later ones mean that
+        another proposer is faster.
+        """
+        self.epoch = max(self.epoch, promised.epoch) if self.latest_decided is None else self.epoch
         if promised.epoch == self.epoch:
-            self._number = max(self._number, promised.number)
-        if self.change and self.change.may_restart_at_once:
-            self.change.may_restart_at_once = False
-            self._prepare(now)
-
-    def promised(self, now: float, voter: int, start: int, message: m.Promise) -> None:
-        """A voter's promise; with a majority of them a state is chosen and sent out."""
-        change = self.change
-        if not change or change.value or message.ballot != change.ballot or voter not in change.asked_voters:
+            self._ballot_number = max(self._ballot_number, promised.number)
+        if self.proposal and self.proposal.may_restart_at_once:
+            self.proposal.may_restart_at_once = False
+            self._send_prepare(now)
+
+    def on_promise(self, now: float, voter: int, incarnation: int, message: m.Promise) -> None:
+        """Handle a voter's promise; with a majority of promises a state is chosen and sent."""
+        proposal = self.proposal
+        if (
+            not proposal
+            or proposal.value
+            or message.ballot != proposal.ballot
+            or voter not in proposal.asked_voters
+        ):
             return
-        change.replies[voter] = QuorumReply(start, message.seen, message)
-        told = [r.message for r in change.replies.values() if isinstance(r.message, m.Promise)]
-        best = max((p.vouched for p in told), key=lambda v: v.ballot).accepted
-        sets = self._asked(change, best)
-        if wider := tuple({v for s in sets for v in s if v not in change.asked_voters}):
-            change.discovered_voters, change.retry_at = change.discovered_voters + wider, now
+        proposal.replies[voter] = QuorumReply(incarnation, message.seen_incarnations, message)
+        promises = [r.message for r in proposal.replies.values() if isinstance(r.message, m.Promise)]
+        latest = max((p.acceptor_state for p in promises), key=lambda v: v.accepted_ballot).accepted
+        sets = self._required_voter_sets(proposal, latest)
+        if more_voters := tuple({v for s in sets for v in s if v not in proposal.asked_voters}):
+            proposal.discovered_voters, proposal.retry_at = proposal.discovered_voters + more_voters, now
             return
-        # any majorities without leases against it will do: each lease needs one of each set it is granted by
-        clear = {v: r for v, r in change.replies.items() if not _held(r)}
-        group = find_quorum(clear, sets) or find_quorum(change.replies, sets)
-        if not group:
+        # Any majorities without conflicting leases will do: each lease needs one of each set that
+        # grants it.
+        unblocked = {v: r for v, r in proposal.replies.items() if not _is_blocked(r)}
+        quorum = find_quorum(unblocked, sets) or find_quorum(proposal.replies, sets)
+        if not quorum:
             return
-        change.refusal = next((promise.refusal for promise in told if promise.refusal), None)
-        decided = max((p.decided for p in told), default=0)
-        if self.known:
-            decided = max(decided, self.known.step)
-        if best is None or best.step < decided:
-            return  # a voter that is behind its own word: can't be, and isn't built upon
-        if best.step > decided:
-            self._accept(change, best, final=False)
+        proposal.rejection = next((promise.rejection for promise in promises if promise.rejection), None)
+        decided = max((p.decided_step for p in promises), default=0)
+        if self.latest_decided:
+            decided = max(decided, self.latest_decided.step)
+        if latest is None or latest.step < decided:
+            return  # a voter contradicts its own report; cannot happen, and nothing is built on it
+        if latest.step > decided:
+            self._send_accept(proposal, latest, is_target=False)
             return
-        clearest = [p for v in group if isinstance(p := change.replies[v].message, m.Promise)]
-        value = self._next(change, best, clearest)
-        if value and self.change is change:
-            change.final_step_sent |= change.target is TargetState.NEW
-            self._accept(change, value, final=True)
-
-    def _asked(self, change: Proposal, best: m.RegisterState | None) -> list[m.Voters]:
-        """The sets whose majorities have to have promised: none may have decided what isn't seen."""
-        sets = [self.known.voters] if self.known else []
-        if best and not (self.known and best.step <= self.known.step):
-            sets += best.needed
-        # those that are to come have to be there, or nothing is begun that needs them
-        if change.target is TargetState.JOINT:
-            sets += [change.new_voters] if change.new_voters else []
-        elif change.target is TargetState.NEW and best and best.new:
-            sets.append(best.new.voters)
+        quorum_promises = [p for v in quorum if isinstance(p := proposal.replies[v].message, m.Promise)]
+        value = self._next_state(proposal, latest, quorum_promises)
+        if value and self.proposal is proposal:
+            proposal.final_step_sent |= proposal.target is TargetState.NEW
+            self._send_accept(proposal, value, is_target=True)
+
+    def _required_voter_sets(self, proposal: Proposal, latest: m.RegisterState | None) -> list[m.Voters]:
+        """Return the sets that each have to promise by a majority.
+
+        With them no decision goes unseen.
+        """
+        sets = [self.latest_decided.voters] if self.latest_decided else []
+        if latest and not (self.latest_decided and latest.step <= self.latest_decided.step):
+            sets += latest.required_voter_sets
+        # the new voters have to be reachable, or no step is begun that needs them
+        if proposal.target is TargetState.JOINT:
+            sets += [proposal.new_voters] if proposal.new_voters else []
+        elif proposal.target is TargetState.NEW and latest and latest.new:
+            sets.append(latest.new.voters)
         return sets
 
-    def _accept(self, change: Proposal, value: m.RegisterState, final: bool) -> None:
-        change.value, change.value_is_target, change.replies = value, final, {}
-        self.out += [(voter, m.Accept(change.ballot, value)) for voter in value.named]
+    def _send_accept(self, proposal: Proposal, value: m.RegisterState, is_target: bool) -> None:
+        proposal.value, proposal.value_is_target, proposal.replies = value, is_target, {}
+        self.outgoing += [(voter, m.Accept(proposal.ballot, value)) for voter in value.all_voters]
 
-    def _next(
-        self, change: Proposal, state: m.RegisterState, told: list[m.Promise]
+    def _next_state(
+        self, proposal: Proposal, state: m.RegisterState, promises: list[m.Promise]
     ) -> m.RegisterState | None:
-        """What follows a decided state, if it is the goal's to change it; else the change has ended."""
-        ref = change.ref
-        mine = ref is not None and ref.same(state.new) and state.by == (self.me, self.start)
-        match change.target:
-            case TargetState.JOINT if ref and state.new is None and ref.version > state.tried:
-                new = m.PolicyRef(ref.version, ref.digest, change.new_voters or state.voters)
-                return state.next(state.old, new, (self.me, self.start))
-            case TargetState.JOINT | TargetState.NEW if ref and ref.same(state.old):
-                self._end()  # another may have finished its last step, and begun a change from it
-            case TargetState.JOINT if mine:
-                change.target = TargetState.NEW
-                return self._next(change, state, told)
+        """Return the state to follow a decided one, or None.
+
+        Ends the proposal if no further step is its own to take.
+        """
+        ref = proposal.ref
+        is_own = (
+            ref is not None
+            and ref.is_same_document(state.new)
+            and state.proposer == (self.own_index, self.incarnation)
+        )
+        match proposal.target:
+            case TargetState.JOINT if ref and state.new is None and ref.version > state.max_tried_version:
+                new = m.PolicyRef(ref.version, ref.digest, proposal.new_voters or state.voters)
+                return state.successor(state.old, new, (self.own_index, self.incarnation))
+            case TargetState.JOINT | TargetState.NEW if ref and ref.is_same_document(state.old):
+                # another router may have finished the final step, and begun a change from there
+                self._finish()
+            case TargetState.JOINT if is_own:
+                proposal.target = TargetState.NEW
+                return self._next_state(proposal, state, promises)
             case TargetState.JOINT if state.new:
-                self._end(errors.BusyError(f"version {state.new.version} is on its way", "policy"))
+                self._finish(errors.BusyError(f"version {state.new.version} is under way", "policy"))
             case TargetState.JOINT:
-                self._end(errors.VersionError(f"version {state.tried} was tried already", "policy"))
-            case TargetState.NEW if mine and ref:
-                change.unacknowledged = tuple(sorted({router for p in told for router in p.held}))
-                if change.refusal:
-                    router, _, why = change.refusal
-                    self._back(errors.RefusedByError(why, f"router {router}"))
-                elif not change.unacknowledged:
-                    return state.next(state.new or ref)
-            case TargetState.NEW if ref and change.final_step_sent and state.old.version > ref.version:
-                self._end(errors.OpenError("the last step was sent out, its fate is not known", "policy"))
+                self._finish(
+                    errors.VersionError(f"version {state.max_tried_version} was proposed already", "policy")
+                )
+            case TargetState.NEW if is_own and ref:
+                proposal.unacknowledged = tuple(
+                    sorted({router for p in promises for router in p.blocking_routers})
+                )
+                if proposal.rejection:
+                    router, _, reason = proposal.rejection
+                    self._withdraw(errors.RefusedByError(reason, f"router {router}"))
+                elif not proposal.unacknowledged:
+                    return state.successor(state.new or ref)
+            case TargetState.NEW if ref and proposal.final_step_sent and state.old.version > ref.version:
+                self._finish(errors.OpenError("the last step was sent, its outcome is unknown", "policy"))
             case TargetState.NEW:
-                self._end(errors.WithdrawnError("was taken back", "policy"))
+                self._finish(errors.WithdrawnError("was withdrawn", "policy"))
             case TargetState.OLD if state.new:
-                return state.next(state.old)
+                return state.successor(state.old)
             case _:
-                self._end(None if ref and ref.same(state.old) else change.withdrawal_cause)
+                self._finish(None if ref and ref.is_same_document(state.old) else proposal.withdrawal_cause)
         return None
 
-    def accepted(self, now: float, voter: int, start: int, message: m.Accepted) -> None:
-        """A voter's vote; with a majority of them the state is decided."""
-        change = self.change
-        if not change or not change.value or message.ballot != change.ballot:
+    def on_accepted(self, now: float, voter: int, incarnation: int, message: m.Accepted) -> None:
+        """Handle an accept; with a majority of them the state is decided."""
+        proposal = self.proposal
+        if not proposal or not proposal.value or message.ballot != proposal.ballot:
             return
-        change.replies[voter] = QuorumReply(start, message.seen, message)
-        if not find_quorum(change.replies, change.value.needed):
+        proposal.replies[voter] = QuorumReply(incarnation, message.seen_incarnations, message)
+        if not find_quorum(proposal.replies, proposal.value.required_voter_sets):
             return
-        state, final = change.value, change.value_is_target
-        self.decided.append(state)
-        self.out += [(v, m.Decided(state)) for v in change.asked_voters]
-        change.value, change.ballot = None, m.Ballot()  # late votes count no more
-        if not final:
-            change.retry_at = now
-        elif change.target is TargetState.JOINT:
-            change.target, change.retry_at = TargetState.NEW, now  # voters answer once nobody holds it back
+        state, is_target = proposal.value, proposal.value_is_target
+        self.newly_decided.append(state)
+        self.outgoing += [(v, m.Decided(state)) for v in proposal.asked_voters]
+        proposal.value, proposal.ballot = None, m.Ballot()  # ignores late accepts
+        if not is_target:
+            proposal.retry_at = now
+        elif proposal.target is TargetState.JOINT:
+            # voters reply once no lease conflicts any more
+            proposal.target, proposal.retry_at = TargetState.NEW, now
         else:
-            self._end(change.withdrawal_cause)
-
-    def _end(self, error: IronrailError | None = None) -> None:
-        """Over; a ticket ends with it, if it hasn't ended before."""
-        ticket = self.change.handle if self.change else None
-        if ticket and ticket.is_open:
-            ticket.error, ticket.in_force = error, error is None
-        self.change = None
-
-    def _back(self, error: IronrailError) -> None:
-        """The ticket ends, if the last step was never sent out; the register goes back to the old state."""
-        change = self.change
-        if change:
-            if change.handle and change.handle.is_open and not change.final_step_sent:
-                change.handle.error = error
-            change.target, change.value, change.ballot = TargetState.OLD, None, m.Ballot()
-            change.withdrawal_cause = error
-
-    def wake(self, now: float) -> None:
-        """Repeat what had no answer; give up at the deadline."""
-        change = self.change
-        if not change:
+            self._finish(proposal.withdrawal_cause)
+
+    def _finish(self, error: IronrailError | None = None) -> None:
+        """End the proposal, and its handle if that has not ended yet."""
+        handle = self.proposal.handle if self.proposal else None
+        if handle and handle.is_open:
+            handle.error, handle.in_force = error, error is None
+        self.proposal = None
+
+    def _withdraw(self, error: IronrailError) -> None:
+        """Withdraw the change: the register goes back to the old state.
+
+        Ends the handle if the final step was not sent yet.
+        """
+        proposal = self.proposal
+        if proposal:
+            if proposal.handle and proposal.handle.is_open and not proposal.final_step_sent:
+                proposal.handle.error = error
+            proposal.target, proposal.value, proposal.ballot = TargetState.OLD, None, m.Ballot()
+            proposal.withdrawal_cause = error
+
+    def on_timer(self, now: float) -> None:
+        """Repeat attempts that were not answered, and give up at the deadline."""
+        proposal = self.proposal
+        if not proposal:
             return
-        if now >= change.deadline and change.handle and change.handle.is_open:
-            error = self._late(change)
-            if not change.final_step_sent:
-                self._back(error)
-                change.retry_at = now
-            elif now >= change.began_at + PATIENCE * (change.deadline - change.began_at):
-                change.handle.error = errors.OpenError(
-                    "the last step was sent out, its fate is not known", "policy"
+        if now >= proposal.deadline and proposal.handle and proposal.handle.is_open:
+            error = self._deadline_error(proposal)
+            if not proposal.final_step_sent:
+                self._withdraw(error)
+                proposal.retry_at = now
+            elif now >= proposal.began_at + OUTCOME_WAIT_FACTOR * (proposal.deadline - proposal.began_at):
+                proposal.handle.error = errors.OpenError(
+                    "the last step was sent, its outcome is unknown", "policy"
                 )
-        if now >= change.retry_at:
-            self._prepare(now)
+        if now >= proposal.retry_at:
+            self._send_prepare(now)
 
-    def _late(self, change: Proposal) -> errors.NoMajorityError:
-        if change.unacknowledged:
-            return errors.NoMajorityError("didn't acknowledge in time", f"routers {change.unacknowledged}")
+    def _deadline_error(self, proposal: Proposal) -> errors.NoMajorityError:
+        if proposal.unacknowledged:
+            return errors.NoMajorityError("didn't acknowledge in time", f"routers {proposal.unacknowledged}")
         return errors.NoMajorityError("no majority answered in time", "voters")
 
-    def wake_at(self) -> float:
-        """When it wants to be asked again."""
-        change = self.change
-        if not change:
+    def next_timer_at(self) -> float:
+        """Return when `on_timer` is due."""
+        proposal = self.proposal
+        if not proposal:
             return math.inf
-        waiting = change.handle is not None and change.handle.is_open
-        late = (
-            change.began_at + PATIENCE * (change.deadline - change.began_at)
-            if change.final_step_sent
-            else change.deadline
+        is_handle_open = proposal.handle is not None and proposal.handle.is_open
+        expires_at = (
+            proposal.began_at + OUTCOME_WAIT_FACTOR * (proposal.deadline - proposal.began_at)
+            if proposal.final_step_sent
+            else proposal.deadline
         )
-        return min(change.retry_at, late if waiting else math.inf)
+        return min(proposal.retry_at, expires_at if is_handle_open else math.inf)
--- a/ironrail/peers/consensus/quorum.py
+++ b/ironrail/peers/consensus/quorum.py
@@ -1,4 +1,4 @@
-"""Which replies make a majority of each set of voters. Pure."""
+"""Quorums: which replies form a majority of each set of voters. Pure."""
 
 from __future__ import annotations
 
@@ -11,26 +11,33 @@
 
 @dataclass(frozen=True, slots=True)
 class QuorumReply:
-    """A voter's word, the process that gave it, and which processes that one had heard last."""
+    """A voter's reply, the process that sent it, and the processes that this one had seen."""
 
-    start: int
-    seen: m.Seen
+    incarnation: int
+    seen_incarnations: m.SeenIncarnations
     message: m.Promise | m.Accepted | m.RecoveryReport
 
 
 def majority_size(voters: m.Voters) -> int:
-    """How many of them."""
+    """Return how many voters form a majority."""
     return len(voters) // 2 + 1
 
 
 def find_quorum(replies: Mapping[int, QuorumReply], sets: Iterable[m.Voters]) -> list[int]:
-    """Majorities of all these sets in which none knows another one's process as replaced; else empty."""
+    """Find majorities of all sets whose replies are consistent with each other.
+
+    Replies are inconsistent if one of the voters has seen a different, newer process of another
+    voter than the one that sent the reply.
+
+    Returns:
+        The voters of these majorities, or an empty list.
+    """
     parts = [
         list(combinations(sorted(replies.keys() & set(s)), majority_size(s))) for s in dict.fromkeys(sets)
     ]
-    seen = {voter: dict(reply.seen) for voter, reply in replies.items()}
+    seen = {voter: dict(reply.seen_incarnations) for voter, reply in replies.items()}
     for choice in product(*parts) if parts else ():
         group = sorted({voter for part in choice for voter in part})
-        if all(seen[a].get(b) == replies[b].start for a, b in permutations(group, 2)):
+        if all(seen[a].get(b) == replies[b].incarnation for a, b in permutations(group, 2)):
             return group
     return []
--- a/ironrail/rehearsal/links/accord_launch.py
+++ b/ironrail/rehearsal/links/accord_launch.py
@@ -17,10 +17,13 @@
     """Have this process use these."""
     constants = vars(message_handler)
     usual, *rest = ConsensusNode.propose.__defaults__ or ()
-    assert usual == constants["DEADLINE"], "the deadline stands elsewhere now"
+    assert usual == constants["DEFAULT_DEADLINE_SECONDS"], "the deadline stands elsewhere now"
     ConsensusNode.propose.__defaults__ = (deadline, *rest)
-    constants["DEADLINE"], constants["LEFT_BEHIND"] = deadline, left_behind / deadline
-    constants["UNSETTLED"] = unsettled
+    constants["DEFAULT_DEADLINE_SECONDS"], constants["ABANDONED_DEADLINE_FACTOR"] = (
+        deadline,
+        left_behind / deadline,
+    )
+    constants["UNSETTLED_TIMEOUT_SECONDS"] = unsettled
 
 
 if __name__ == "__main__":
--- a/ironrail/rehearsal/links/tierrouter.py
+++ b/ironrail/rehearsal/links/tierrouter.py
@@ -17,8 +17,7 @@
 from ironrail.net.peers.runtime import PeerRuntime
 from ironrail.net.system import System
 from ironrail.operator_file import OperatorSettings
-from ironrail.peers.consensus.messages import EPOCH as EPOCH_STEPS
-from ironrail.peers.consensus.messages import Scope
+from ironrail.peers.consensus.messages import STEPS_PER_EPOCH, Scope
 from ironrail.rehearsal.draws import stream
 from ironrail.rehearsal.links.switch import Drifting, Slot, Switch
 from ironrail.rehearsal.links.tierdisk import MemoryDisk, VirtualKeeper, faulty
@@ -163,4 +162,4 @@
 
     def versions(self) -> tuple[int, ...]:
         """The versions of it, nothing where no process goes on."""
-        return tuple(version % EPOCH_STEPS for version in self.scope()) if self.up else ()
+        return tuple(version % STEPS_PER_EPOCH for version in self.scope()) if self.up else ()
--- a/ironrail/rehearsal/links/tierwatch.py
+++ b/ironrail/rehearsal/links/tierwatch.py
@@ -12,8 +12,8 @@
 
 from ironrail.net.peers.policies import Policies
 from ironrail.net.system import System
-from ironrail.peers.consensus.lease import are_disjoint
-from ironrail.peers.consensus.messages import EPOCH, RegisterState, Scope
+from ironrail.peers.consensus.lease import are_incompatible
+from ironrail.peers.consensus.messages import STEPS_PER_EPOCH, RegisterState, Scope
 
 MOST_KEPT = 100  # mixed instants of which the words are kept
 
@@ -62,15 +62,15 @@
                 self._by.setdefault(scope, {})[router.number] = router
                 self.began[router.number, scope] = self._clock()
                 self._compare(router, scope)
-        if policies.room.known is not None:
-            self._register(router, policies.room.known)
+        if policies.room.latest_decided is not None:
+            self._register(router, policies.room.latest_decided)
 
     def _compare(self, router: Watched, scope: Scope) -> None:
         for other, them in self._by.items():
-            if not are_disjoint(scope, other):
+            if not are_incompatible(scope, other):
                 continue
             for one in list(them.values()):
-                if are_disjoint(scope, one.scope()):
+                if are_incompatible(scope, one.scope()):
                     self._note(f"{router.name} decides by {scope}, {one.name} by {other}")
                     self.mixed += 1
 
@@ -81,7 +81,7 @@
             self.conflicts += 1
             self._note(f"{router.name}: step {known.step} is {known}, and {held}")
         for ref in known.refs():
-            version = known.step // EPOCH * EPOCH + ref.version
+            version = known.step // STEPS_PER_EPOCH * STEPS_PER_EPOCH + ref.version
             if self._documents.setdefault(version, ref.digest) != ref.digest:
                 self.conflicts += 1
                 self._note(f"{router.name}: version {ref.version} has two documents")
--- a/tests/peers/consensus/mistakes.py
+++ b/tests/peers/consensus/mistakes.py
@@ -1,4 +1,4 @@
-"""Mistakes to be planted: each turns one line of the argument off."""
+"""Mistakes to plant: each disables one condition that the proof of correctness relies on."""
 
 from __future__ import annotations
 
@@ -22,185 +22,222 @@
 Patch = pytest.MonkeyPatch
 
 
-def votes_after_amnesia(patch: Patch) -> None:
-    """It takes the first word about where things stand."""
-    before = Acceptor.report
+def votes_without_recovery(patch: Patch) -> None:
+    """A voter that lost its state takes over the first report that arrives."""
+    original = Acceptor.on_recovery_report
 
-    def report(self: Acceptor, sender: int, start: int, message: m.RecoveryReport) -> None:
-        if message.standing and not self.standing and message.nonce == self.nonce:
-            self._stand(message.vouched)
-        before(self, sender, start, message)
+    def on_recovery_report(self: Acceptor, sender: int, incarnation: int, message: m.RecoveryReport) -> None:
+        if message.is_voting and not self.is_voting and message.nonce == self.nonce:
+            self._start_voting(message.acceptor_state)
+        original(self, sender, incarnation, message)
 
-    patch.setattr(Acceptor, "report", report)
+    patch.setattr(Acceptor, "on_recovery_report", on_recovery_report)
 
 
-def believes_replaced(patch: Patch) -> None:
-    """Replies of processes that others know to be replaced make a majority."""
+def accepts_replies_of_replaced_processes(patch: Patch) -> None:
+    """Replies of processes that others know to be replaced count for a majority."""
 
-    def sound(replies: Any, sets: Any) -> list[int]:
+    def find_quorum(replies: Any, sets: Any) -> list[int]:
         parts = [next(combinations(sorted(replies.keys() & set(s)), majority_size(s)), ()) for s in sets]
         return sorted({voter for part in parts for voter in part}) if all(parts) else []
 
-    patch.setattr(acceptor_recovery, "find_quorum", sound)
-    patch.setattr(proposer, "find_quorum", sound)
+    patch.setattr(acceptor_recovery, "find_quorum", find_quorum)
+    patch.setattr(proposer, "find_quorum", find_quorum)
 
 
-def lease_kept_over_pause(patch: Patch) -> None:
-    """The end of the lease is looked at when woken, not when deciding."""
-    before = LeaseHolder.next_request
+def keeps_lease_over_pause(patch: Patch) -> None:
+    """The expiry of the lease is checked at the last renewal, not at each decision."""
+    original = LeaseHolder.next_request
 
-    def ask(self: LeaseHolder, now: float, *rest: Any) -> m.LeaseRequest:
-        self.looked = now  # type: ignore[attr-defined]
-        return before(self, now, *rest)
+    def request(self: LeaseHolder, now: float, *rest: Any) -> m.LeaseRequest:
+        self.checked_at = now  # type: ignore[attr-defined]
+        return original(self, now, *rest)
 
-    def decides(self: LeaseHolder, now: float) -> m.RegisterState | None:
-        looked = getattr(self, "looked", now)
-        return self.current if self.current and looked < self.expiry(self.current.scope) else None
+    def valid_state(self: LeaseHolder, now: float) -> m.RegisterState | None:
+        checked_at = getattr(self, "checked_at", now)
+        return self.current if self.current and checked_at < self.expiry(self.current.scope) else None
 
-    patch.setattr(LeaseHolder, "next_request", ask)
-    patch.setattr(LeaseHolder, "valid_state", decides)
+    patch.setattr(LeaseHolder, "next_request", request)
+    patch.setattr(LeaseHolder, "valid_state", valid_state)
 
 
-def lease_from_answer(patch: Patch) -> None:
-    """A lease lasts from when the answer came."""
-    before = LeaseHolder.on_granted
+def counts_lease_from_reply(patch: Patch) -> None:
+    """A lease lasts from when the reply arrived rather than from when it was requested."""
+    original = LeaseHolder.on_granted
 
-    def granted(self: LeaseHolder, now: float, voter: int, sequence: int, lasts: float = 0.0) -> bool:
-        if sequence in self._asked:
-            self._asked[sequence] = (now, self._asked[sequence][1])
-        return before(self, now, voter, sequence, lasts)
+    def on_granted(
+        self: LeaseHolder, now: float, voter: int, sequence: int, delegated_seconds: float = 0.0
+    ) -> bool:
+        if sequence in self._requests:
+            self._requests[sequence] = (now, self._requests[sequence][1])
+        return original(self, now, voter, sequence, delegated_seconds)
 
-    patch.setattr(LeaseHolder, "on_granted", granted)
+    patch.setattr(LeaseHolder, "on_granted", on_granted)
 
 
-def old_grants_kept(patch: Patch) -> None:
-    """A grant of what was given up meanwhile counts when it is asked for again."""
-    patch.setattr(LeaseHolder, "_keep_only", lambda self, scopes: None)
+def keeps_grants_of_dropped_scopes(patch: Patch) -> None:
+    """A grant of a scope that was given up counts when the scope is requested again."""
+    patch.setattr(LeaseHolder, "_drop_other_scopes", lambda self, scopes: None)
 
 
 def moves_without_grant(patch: Patch) -> None:
-    """A router goes on to the next state as soon as it hears of it."""
-    before = LeaseHolder.move_towards
+    """A router moves to the next state as soon as it learns of it."""
+    original = LeaseHolder.move_towards
 
-    def aim(self: LeaseHolder, state: m.RegisterState, now: float) -> None:
-        before(self, state, now)
+    def move_towards(self: LeaseHolder, state: m.RegisterState, now: float) -> None:
+        original(self, state, now)
         if self.current and self.target:
             self.current, self.target = self.target, None
-            for sequence, (at, scopes) in self._asked.items():
-                self._asked[sequence] = (at, (*scopes, state.scope))
+            for sequence, (at, scopes) in self._requests.items():
+                self._requests[sequence] = (at, (*scopes, state.scope))
 
-    patch.setattr(LeaseHolder, "move_towards", aim)
+    patch.setattr(LeaseHolder, "move_towards", move_towards)
 
 
-def no_meet(patch: Patch) -> None:
-    """In the joint state it goes by the new policy alone."""
+def uses_new_policy_in_joint_state(patch: Patch) -> None:
+    """In the joint state a router obeys only the new policy."""
     patch.setattr(DocumentStore, "effective", lambda self, state: self._documents[state.refs()[-1].digest])
 
 
-def told_before_kept(patch: Patch) -> None:
-    """A vote is told while its record is still being written."""
-    patch.setattr(Acceptor, "_tell", lambda self, to, message: self.out.append((to, message)))
+def sends_before_record_is_written(patch: Patch) -> None:
+    """An acceptor replies while its record is still being written."""
+    patch.setattr(
+        Acceptor, "_send_when_persisted", lambda self, to, message: self.outgoing.append((to, message))
+    )
 
 
-def old_life_replaced(patch: Patch) -> None:
-    """A new process's word stands for the old one's, which was only stopped."""
-    before = LeaseTable.request
+def drops_lease_of_replaced_process(patch: Patch) -> None:
+    """The lease of a new process replaces that of the former one, which was only paused."""
+    original = LeaseTable.request
 
-    def ask(self: LeaseTable, now: float, life: tuple[int, int], *rest: Any) -> bool | None:
-        for router, start in [other for other in self.entries if other[0] == life[0] and other != life]:
-            del self.entries[router, start]
-        return before(self, now, life, *rest)
+    def request(self: LeaseTable, now: float, process: tuple[int, int], *rest: Any) -> bool | None:
+        for router, incarnation in [
+            other for other in self.entries if other[0] == process[0] and other != process
+        ]:
+            del self.entries[router, incarnation]
+        return original(self, now, process, *rest)
 
-    patch.setattr(LeaseTable, "request", ask)
+    patch.setattr(LeaseTable, "request", request)
 
 
-def no_acknowledgements(patch: Patch) -> None:
-    """The next state begins without waiting for acknowledgements and leases."""
-    patch.setattr(LeaseTable, "holders_against", lambda self, now, scope: [])
+def ignores_conflicting_leases(patch: Patch) -> None:
+    """The next state begins without waiting for leases that conflict with it."""
+    patch.setattr(LeaseTable, "conflicting_holders", lambda self, now, scope: [])
 
 
-def forgets_leases(patch: Patch) -> None:
-    """A voter that started anew doesn't wait for leases that it granted before."""
-    before = Acceptor.__init__
+def forgets_leases_on_restart(patch: Patch) -> None:
+    """A restarted voter does not wait for the expiry of leases that it granted before."""
+    original = Acceptor.__init__
 
-    def begin(self: Acceptor, *given: Any) -> None:
-        before(self, *given)
-        self.quiet_until = -1e9
+    def init(self: Acceptor, *args: Any) -> None:
+        original(self, *args)
+        self.old_leases_expire_at = -1e9
 
-    patch.setattr(Acceptor, "__init__", begin)
+    patch.setattr(Acceptor, "__init__", init)
 
 
-def skips_joint(patch: Patch) -> None:
-    """A proposal goes from the old policy to the new one at once."""
-    before = Proposer._next
+def skips_joint_state(patch: Patch) -> None:
+    """A proposal goes from the old policy to the new one without the joint state."""
+    original = Proposer._next_state
 
-    def following(self: Proposer, change: Any, state: m.RegisterState, told: Any) -> m.RegisterState | None:
-        value = before(self, change, state, told)
-        if value and change.target is TargetState.JOINT and value.new:
-            return m.RegisterState(value.step, value.new, None, value.tried, value.by)
+    def next_state(
+        self: Proposer, proposal: Any, state: m.RegisterState, promises: Any
+    ) -> m.RegisterState | None:
+        value = original(self, proposal, state, promises)
+        if value and proposal.target is TargetState.JOINT and value.new:
+            return m.RegisterState(value.step, value.new, None, value.max_tried_version, value.proposer)
         return value
 
-    patch.setattr(Proposer, "_next", following)
+    patch.setattr(Proposer, "_next_state", next_state)
 
 
-def ballot_again(patch: Patch) -> None:
-    """A process that starts anew uses the ballots of the one before."""
-    before = Proposer.__init__
+def reuses_ballots(patch: Patch) -> None:
+    """A restarted process uses the ballots of the former one."""
+    original = Proposer.__init__
 
-    def begin(self: Proposer, me: int, start: int, *rest: Any) -> None:
-        before(self, me, 0, *rest)
+    def init(self: Proposer, own_index: int, incarnation: int, *rest: Any) -> None:
+        original(self, own_index, 0, *rest)
 
-    patch.setattr(Proposer, "__init__", begin)
+    patch.setattr(Proposer, "__init__", init)
 
 
-def others_go_forward(patch: Patch) -> None:
-    """Whoever finds a joint state left behind completes it."""
-    before = Proposer._next
+def completes_abandoned_change(patch: Patch) -> None:
+    """A router that finds an abandoned joint state completes it."""
+    original = Proposer._next_state
 
-    def following(self: Proposer, change: Any, state: m.RegisterState, told: Any) -> m.RegisterState | None:
-        value = before(self, change, state, told)
-        if value and change.target is TargetState.OLD and state.new and state.by != (self.me, self.start):
-            return state.next(state.new) if not any(promise.held for promise in told) else None
+    def next_state(
+        self: Proposer, proposal: Any, state: m.RegisterState, promises: Any
+    ) -> m.RegisterState | None:
+        value = original(self, proposal, state, promises)
+        if (
+            value
+            and proposal.target is TargetState.OLD
+            and state.new
+            and state.proposer != (self.own_index, self.incarnation)
+        ):
+            return (
+                state.successor(state.new)
+                if not any(promise.blocking_routers for promise in promises)
+                else None
+            )
         return value
 
-    patch.setattr(Proposer, "_next", following)
+    patch.setattr(Proposer, "_next_state", next_state)
 
 
 def head_forgets_members(patch: Patch) -> None:
-    """A router that answers for others asks for what it decides by itself."""
+    """A head requests only the scopes that it decides by itself."""
     patch.setattr(LeaseTable, "live_scoped_steps", lambda self, now: [])
 
 
-def head_lends_whole_lease(patch: Patch) -> None:
-    """It grants them a lease of full length, whatever is left of its own."""
-    before = LeaseHolder.on_granted
+def head_grants_full_lease(patch: Patch) -> None:
+    """A head grants its members a lease of full length, whatever is left of its own."""
+    original = LeaseHolder.on_granted
 
-    def granted(self: LeaseHolder, now: float, voter: int, sequence: int, lasts: float = 0.0) -> bool:
-        return before(self, now, voter, sequence, self.lease if lasts else 0.0)
+    def on_granted(
+        self: LeaseHolder, now: float, voter: int, sequence: int, delegated_seconds: float = 0.0
+    ) -> bool:
+        return original(self, now, voter, sequence, self.lease_seconds if delegated_seconds else 0.0)
 
-    patch.setattr(LeaseHolder, "on_granted", granted)
+    patch.setattr(LeaseHolder, "on_granted", on_granted)
 
 
-def wait_without_drift(patch: Patch) -> None:
-    """A voter waits for a lease's length by its own clock."""
+def ignores_clock_drift(patch: Patch) -> None:
+    """A voter waits for the nominal duration of a lease by its own clock."""
     patch.setattr(ConsensusConfig, "max_lease_seconds", property(lambda self: self.lease_seconds))
 
 
-def lower_ballot(patch: Patch) -> None:
+def forgets_promise_on_accept(patch: Patch) -> None:
     """A voter forgets its promise when it accepts."""
-    before = Acceptor._change
+    original = Acceptor._update_state
 
-    def change(self: Acceptor, vouched: m.AcceptorState) -> None:
-        if vouched.ballot == self.vouched.ballot:  # a promise only
-            vouched = m.AcceptorState(self.vouched.promised, vouched.ballot, vouched.accepted)
-        before(self, vouched)
+    def update_state(self: Acceptor, acceptor_state: m.AcceptorState) -> None:
+        if acceptor_state.accepted_ballot == self.acceptor_state.accepted_ballot:  # only a promise
+            acceptor_state = m.AcceptorState(
+                self.acceptor_state.promised, acceptor_state.accepted_ballot, acceptor_state.accepted
+            )
+        original(self, acceptor_state)
 
-    patch.setattr(Acceptor, "_change", change)
+    patch.setattr(Acceptor, "_update_state", update_state)
 
 
 ALL: list[Callable[[Patch], None]] = [
-    votes_after_amnesia, believes_replaced, lease_kept_over_pause, lease_from_answer, old_grants_kept,
-    moves_without_grant, no_meet, told_before_kept, old_life_replaced, no_acknowledgements, forgets_leases,
-    skips_joint, ballot_again, others_go_forward, wait_without_drift, lower_ballot,
-    head_forgets_members, head_lends_whole_lease,
-]  # fmt: skip
+    votes_without_recovery,
+    accepts_replies_of_replaced_processes,
+    keeps_lease_over_pause,
+    counts_lease_from_reply,
+    keeps_grants_of_dropped_scopes,
+    moves_without_grant,
+    uses_new_policy_in_joint_state,
+    sends_before_record_is_written,
+    drops_lease_of_replaced_process,
+    ignores_conflicting_leases,
+    forgets_leases_on_restart,
+    skips_joint_state,
+    reuses_ballots,
+    completes_abandoned_change,
+    ignores_clock_drift,
+    forgets_promise_on_accept,
+    head_forgets_members,
+    head_grants_full_lease,
+]
--- a/tests/peers/consensus/moves.py
+++ b/tests/peers/consensus/moves.py
@@ -1,4 +1,4 @@
-"""The register alone while its voters change: as `votes.py`, from the joint state on."""
+"""Exploration of the register while its voters change, from the joint state on."""
 
 from __future__ import annotations
 
@@ -8,72 +8,84 @@
 from ironrail.peers.consensus import policy as p
 from ironrail.peers.consensus.configuration import ConsensusConfig
 from ironrail.peers.consensus.proposal import Proposal, ProposalHandle, TargetState
-from tests.peers.consensus.votes import BEFORE, NOW, VOTERS, State, Votes
-from tests.peers.consensus.watching import FACTS, FLOOR, policy
+from tests.peers.consensus.votes import NOW, PAST, VOTERS, RegisterExplorer, State
+from tests.peers.consensus.watching import CONTEXT, FALLBACK, policy
 
-PLAIN = m.RegisterState(m.EPOCH, m.PolicyRef(1, p.digest(policy(1)), VOTERS), tried=1)
+INITIAL_STATE = m.RegisterState(
+    m.STEPS_PER_EPOCH, m.PolicyRef(1, p.digest(policy(1)), VOTERS), max_tried_version=1
+)
 
 
-class Moves(Votes):
-    """`named`: the new voters; `goals`: what a router, by its number, asks of the register.
+class VoterChangeExplorer(RegisterExplorer):
+    """Explores a change to `new_voters`.
 
-    A proposal to go forward comes from the process that began the change. `moved`: the new voters have taken
-    over already; `late`: routers that know only of the state before that one.
+    Args:
+        new_voters: The voters that the change names.
+        targets: What each of these routers proposes. The first one has begun the change.
+        lagging_routers: Routers that know only the state before the latest one.
+        is_complete: Whether the new voters are in force already.
+        **kwargs: Arguments of `RegisterExplorer`.
     """
 
     def __init__(
         self,
-        named: tuple[int, ...],
-        goals: dict[int, TargetState],
-        late: tuple[int, ...] = (),
-        moved: bool = False,
-        **how: Any,
+        new_voters: tuple[int, ...],
+        targets: dict[int, TargetState],
+        lagging_routers: tuple[int, ...] = (),
+        is_complete: bool = False,
+        **kwargs: Any,
     ) -> None:
-        super().__init__(how.pop("again", 0), how.pop("crashes", 0), tuple(goals), **how)
-        self.named, self.goals, self.late = named, goals, late
-        self.size = max(*goals, *VOTERS, *named) + 1
-        first = next(iter(goals))
-        new = m.PolicyRef(2, p.digest(policy(2)), named)
-        joint = PLAIN.next(PLAIN.old, new, (first, first + 1))
-        self.before, self.latest = (joint, joint.next(new)) if moved else (PLAIN, joint)
+        super().__init__(kwargs.pop("max_retries", 0), kwargs.pop("max_crashes", 0), tuple(targets), **kwargs)
+        self.new_voters, self.targets, self.lagging_routers = new_voters, targets, lagging_routers
+        self.num_routers = max(*targets, *VOTERS, *new_voters) + 1
+        proposer = next(iter(targets))
+        new = m.PolicyRef(2, p.digest(policy(2)), new_voters)
+        joint = INITIAL_STATE.successor(INITIAL_STATE.old, new, (proposer, proposer + 1))
+        self.state_before, self.latest_state = (
+            (joint, joint.successor(new)) if is_complete else (INITIAL_STATE, joint)
+        )
 
-    def start(self, me: int, start: int, record: bytes | None = None) -> Any:
-        """All files still name the old voters."""
-        conf = ConsensusConfig(me, start, self.size, VOTERS, 1.0, 0.0)
-        room = self.room(conf, FACTS, FLOOR, BEFORE, record=record)
-        room.record, room.writing = record, ()
-        return room
+    def start(self, index: int, incarnation: int, record: bytes | None = None) -> Any:
+        """Start a process; all operator's files still name the old voters."""
+        conf = ConsensusConfig(index, incarnation, self.num_routers, VOTERS, 1.0, 0.0)
+        protocol = self.make_protocol(conf, CONTEXT, FALLBACK, PAST, record=record)
+        protocol.record, protocol.pending_records = record, ()
+        return protocol
 
-    def told(self, room: Any) -> None:
-        """The state in which all this begins."""
-        room._learn(BEFORE, self.latest)
+    def notify_decided(self, protocol: Any) -> None:
+        """Notify a restarted process of the latest state."""
+        protocol._on_decided(PAST, self.latest_state)
 
-    def propose(self, room: Any, version: int) -> None:
-        """What this one asks for."""
-        goal, ref = self.goals[room.conf.router], m.PolicyRef(2, p.digest(policy(2)))
-        if goal is TargetState.JOINT:
-            ref = room.library.add(policy(version + 10))
-        room.proposer.epoch = 1
-        room.proposer.begin(NOW, Proposal(goal, ref, ProposalHandle(ref), may_restart_at_once=False))
-        room._settle(NOW)
+    def propose(self, protocol: Any, version: int) -> None:
+        """Start the proposal of this router."""
+        target, ref = self.targets[protocol.conf.own_index], m.PolicyRef(2, p.digest(policy(2)))
+        if target is TargetState.JOINT:
+            ref = protocol.document_store.add(policy(version + 10))
+        protocol.proposer.epoch = 1
+        protocol.proposer.begin(NOW, Proposal(target, ref, ProposalHandle(ref), may_restart_at_once=False))
+        protocol._drain(NOW)
 
-    def begin(self) -> State:
-        """All voters, the old and the new, have accepted the state that it begins with."""
-        rooms = []
-        for me in range(self.size):
-            room = self.start(me, me + 1)
-            room._learn(BEFORE, self.before if me in self.late else self.latest)
-            if room.voter:
+    def initial_state(self) -> State:
+        """Return the state after all voters, old and new, have accepted the latest state."""
+        protocols = []
+        for index in range(self.num_routers):
+            protocol = self.start(index, index + 1)
+            protocol._on_decided(
+                PAST, self.state_before if index in self.lagging_routers else self.latest_state
+            )
+            if protocol.acceptor:
                 ballot = m.Ballot(1, 1)
-                room.voter.vouched = m.AcceptorState(ballot, ballot, self.latest)
-                room.voter.standing = True
-                room.voter.seen = {v: v + 1 for v in (*VOTERS, *self.named)}
-            room._settle(BEFORE)
-            if me in self.askers:
-                self.propose(room, 2 + me)
-            rooms.append(room)
+                protocol.acceptor.acceptor_state = m.AcceptorState(ballot, ballot, self.latest_state)
+                protocol.acceptor.is_voting = True
+                protocol.acceptor.incarnations = {v: v + 1 for v in (*VOTERS, *self.new_voters)}
+            protocol._drain(PAST)
+            if index in self.proposers:
+                self.propose(protocol, 2 + index)
+            protocols.append(protocol)
         mail = frozenset(
-            (r.conf.router, r.conf.start, say.to, say.body) for r in rooms for say in r.take_outgoing()
+            (r.conf.own_index, r.conf.incarnation, outgoing.to, outgoing.body)
+            for r in protocols
+            for outgoing in r.take_outgoing()
         )
-        nodes = tuple(self.rooms.save(r) for r in rooms)
-        return State(nodes, (frozenset(),) * len(rooms), mail, len(rooms), *self.bounds, frozenset())
+        nodes = tuple(self.snapshots.save(r) for r in protocols)
+        return State(nodes, (frozenset(),) * len(protocols), mail, len(protocols), *self.bounds, frozenset())
--- a/tests/peers/consensus/still.py
+++ b/tests/peers/consensus/still.py
@@ -1,4 +1,4 @@
-"""Rooms without chance, in a form that many states of a world can share."""
+"""Deterministic nodes, and snapshots of them that many explored states share."""
 
 from __future__ import annotations
 
@@ -8,68 +8,68 @@
 from ironrail.peers.consensus import acceptor_recovery, message_handler, node_state, proposer
 from ironrail.peers.consensus.consensus_node import ConsensusNode
 from ironrail.peers.consensus.document_store import DocumentStore
-from tests.peers.consensus.watching import FACTS, FLOOR
-
-LEASE, DRIFT = 2.0, 0.1
-EVERY_TICK = {
-    (node_state, "RENEWALS"): 2,
-    (node_state, "SOON"): 1.0,
-    (node_state, "MOST_VAIN"): 0,
-    (message_handler, "FETCH_EVERY"): 1.0,
-    (message_handler, "UNSETTLED"): 4.0,
-    (message_handler, "LEFT_BEHIND"): 0.3,
-    (proposer, "AGAIN"): 0.9,
-    (acceptor_recovery, "RECOVER_EVERY"): 0.9,
+from tests.peers.consensus.watching import CONTEXT, FALLBACK
+
+LEASE_TICKS, DRIFT_RATIO = 2.0, 0.1
+TICK_CONSTANTS = {
+    (node_state, "RENEWALS_PER_LEASE"): 2,
+    (node_state, "INITIAL_RETRY_SECONDS"): 1.0,
+    (node_state, "MAX_BACKOFF_DOUBLINGS"): 0,
+    (message_handler, "DOCUMENT_RETRY_SECONDS"): 1.0,
+    (message_handler, "UNSETTLED_TIMEOUT_SECONDS"): 4.0,
+    (message_handler, "ABANDONED_DEADLINE_FACTOR"): 0.3,
+    (proposer, "ATTEMPT_TIMEOUT_SECONDS"): 0.9,
+    (acceptor_recovery, "RECOVERY_RETRY_SECONDS"): 0.9,
 }
 
 
-class Still(ConsensusNode):
-    """Without chance; it remembers its tickets."""
+class DeterministicNode(ConsensusNode):
+    """A node without random choices, which remembers its handles."""
 
-    tickets: tuple[Any, ...] = ()
+    handles: tuple[Any, ...] = ()
 
     def _draw(self) -> float:
         return 0.0
 
 
-class Shelf(DocumentStore):
-    """It has every document."""
+class CompleteDocumentStore(DocumentStore):
+    """A store that has every document."""
 
     def missing(self, states: Any) -> list[bytes]:
-        """Nothing."""
+        """Return nothing."""
         return []
 
 
-class Bare(ConsensusNode):
-    """Without leases and chance."""
+class RegisterOnlyNode(ConsensusNode):
+    """A node without leases and random choices."""
 
-    def __init__(self, *given: Any, **named: Any) -> None:
-        super().__init__(*given, **named)
-        self.library = Shelf(FACTS, FLOOR)
+    def __init__(self, *args: Any, **kwargs: Any) -> None:
+        super().__init__(*args, **kwargs)
+        self.document_store = CompleteDocumentStore(CONTEXT, FALLBACK)
 
     def _draw(self) -> float:
         return 0.0
 
-    def _renew(self, now: float) -> None:
-        """No leases here."""
+    def _send_lease_request(self, now: float) -> None:
+        """Send nothing: there are no leases."""
 
 
-class Saved:
-    """Each state of a room once, by its number; 0 is none."""
+class Snapshots:
+    """Snapshots of nodes, each stored once, by number; 0 is no node."""
 
     def __init__(self) -> None:
-        self.blobs: list[bytes] = [b""]
-        self.ids: dict[bytes, int] = {b"": 0}
-
-    def save(self, room: Any) -> int:
-        """Its number."""
-        blob = pickle.dumps(room, 5)
-        found = self.ids.get(blob)
-        if found is None:
-            found = self.ids[blob] = len(self.blobs)
-            self.blobs.append(blob)
-        return found
+        self.snapshots: list[bytes] = [b""]
+        self.numbers: dict[bytes, int] = {b"": 0}
+
+    def save(self, protocol: Any) -> int:
+        """Return the number of the node's snapshot."""
+        snapshot = pickle.dumps(protocol, 5)
+        number = self.numbers.get(snapshot)
+        if number is None:
+            number = self.numbers[snapshot] = len(self.snapshots)
+            self.snapshots.append(snapshot)
+        return number
 
     def load(self, number: int) -> Any:
-        """A room of its own."""
-        return pickle.loads(self.blobs[number])
+        """Return a new node from a snapshot."""
+        return pickle.loads(self.snapshots[number])
--- a/tests/peers/consensus/test_checks.py
+++ b/tests/peers/consensus/test_checks.py
@@ -1,4 +1,4 @@
-"""The promises over all that can happen within bounds, over walks, and with mistakes planted."""
+"""The invariants: in all states within bounds, on random walks, and with planted mistakes."""
 
 from __future__ import annotations
 
@@ -10,90 +10,92 @@
 from ironrail.peers.consensus import message_handler
 from tests.peers.consensus import mistakes, runs
 from tests.peers.consensus.explorer import Bounds, Explorer
-from tests.peers.consensus.still import EVERY_TICK
-from tests.peers.consensus.votes import Votes
+from tests.peers.consensus.still import TICK_CONSTANTS
+from tests.peers.consensus.votes import RegisterExplorer
 from tests.peers.consensus.walk import walk
-from tests.peers.consensus.watching import Broken
+from tests.peers.consensus.watching import InvariantViolation
 
 
 @pytest.fixture
 def ticks(monkeypatch: pytest.MonkeyPatch) -> Iterator[None]:
-    """Whatever a room does from time to time, it does at each tick."""
-    for (module, name), value in EVERY_TICK.items():
+    """Make all periodic actions happen at each tick."""
+    for (module, name), value in TICK_CONSTANTS.items():
         monkeypatch.setattr(module, name, value)
     yield
 
 
-# bounds, and states that were there when this was written: far fewer would mean that nothing is looked at
-VOTES: list[tuple[dict[str, Any], int]] = [
-    ({"again": 1, "crashes": 0}, 3_171),
-    ({"again": 0, "crashes": 1, "victims": (2,)}, 17_373),
-    ({"again": 0, "crashes": 1, "victims": (0,), "askers": (0,)}, 19_687),
+# bounds, and the known number of states: far fewer would mean that the search covers too little
+REGISTER_BOUNDS: list[tuple[dict[str, Any], int]] = [
+    ({"max_retries": 1, "max_crashes": 0}, 3_171),
+    ({"max_retries": 0, "max_crashes": 1, "crashing_routers": (2,)}, 17_373),
+    ({"max_retries": 0, "max_crashes": 1, "crashing_routers": (0,), "proposers": (0,)}, 19_687),
 ]
-ROOMS: list[tuple[dict[str, Any], int]] = [
+NODE_BOUNDS: list[tuple[dict[str, Any], int]] = [
     ({"faults": 1}, 22_070),
-    ({"faults": 0, "slips": 1}, 24_640),
-    ({"faults": 1, "disk": True, "kinds": "crash forget"}, 5_000),
+    ({"faults": 0, "message_faults": 1}, 24_640),
+    ({"faults": 1, "persists_records": True, "fault_kinds": "crash forget"}, 5_000),
 ]
 
 
-@pytest.mark.parametrize(("bounds", "states"), VOTES)
+@pytest.mark.parametrize(("bounds", "states"), REGISTER_BOUNDS)
 def test_register_decides_once(bounds: dict[str, Any], states: int) -> None:
-    assert Votes(**bounds).run() > 0.8 * states
+    assert RegisterExplorer(**bounds).run() > 0.8 * states
 
 
 @pytest.mark.usefixtures("ticks")
-@pytest.mark.parametrize(("bounds", "states"), ROOMS)
-def test_never_old_beside_new(bounds: dict[str, Any], states: int) -> None:
+@pytest.mark.parametrize(("bounds", "states"), NODE_BOUNDS)
+def test_no_router_decides_by_the_old_policy_beside_the_new_one(bounds: dict[str, Any], states: int) -> None:
     explorer = Explorer(Bounds(**bounds))
     assert explorer.run() > 0.8 * states
-    assert explorer.ended["in force"] and explorer.ended["BusyError"]
+    assert explorer.outcomes["in force"] and explorer.outcomes["BusyError"]
 
 
 @pytest.mark.parametrize("seed", range(12))
-def test_walks(seed: int) -> None:
+def test_invariants_hold_on_random_walks(seed: int) -> None:
     walk(seed)
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_walks_of_five_voters(seed: int) -> None:
+def test_invariants_hold_on_random_walks_with_five_voters(seed: int) -> None:
     walk(seed, voters=(0, 1, 2, 3, 4))
 
 
-def followed(plan: str, disk: bool = False) -> Callable[[], object]:
-    return lambda: Votes(0, 1, askers=(3, 4), disk=disk).follow(plan)
+def schedule_run(schedule: str, persists_records: bool = False) -> Callable[[], object]:
+    return lambda: RegisterExplorer(
+        0, 1, proposers=(3, 4), persists_records=persists_records
+    ).follow_schedule(schedule)
 
 
-def explored(**bounds: Any) -> Callable[[], object]:
+def exploration(**bounds: Any) -> Callable[[], object]:
     return lambda: Explorer(Bounds(**bounds)).run()
 
 
-def left_soon() -> object:
-    """The voters come before the proposer, which was cut off, is back."""
+def explore_with_early_withdrawal() -> object:
+    """Explore with voters that withdraw a change before its disconnected proposer is back."""
     with pytest.MonkeyPatch.context() as patch:
-        patch.setattr(message_handler, "LEFT_BEHIND", 0.15)
-        return Explorer(Bounds(kinds="cut", deadline=2.0)).run()
+        patch.setattr(message_handler, "ABANDONED_DEADLINE_FACTOR", 0.15)
+        return Explorer(Bounds(fault_kinds="cut", deadline=2.0)).run()
 
 
 FOUND: list[tuple[Callable[[pytest.MonkeyPatch], None], Callable[[], object]]] = [
-    (mistakes.votes_after_amnesia, followed(runs.AMNESIA)),
-    (mistakes.told_before_kept, followed(runs.UNKEPT, disk=True)),
-    (mistakes.believes_replaced, followed(runs.REPLACED)),
-    (mistakes.ballot_again, followed(runs.BALLOT)),
-    (mistakes.lower_ballot, lambda: Votes(1, 0).run()),
-    (mistakes.lease_kept_over_pause, explored(kinds="cut stop")),
-    (mistakes.no_acknowledgements, explored(kinds="cut stop")),
-    (mistakes.others_go_forward, left_soon),
-    (mistakes.no_meet, lambda: walk(0)),
-    (mistakes.skips_joint, lambda: walk(0)),
+    (mistakes.votes_without_recovery, schedule_run(runs.RESTARTED_VOTER)),
+    (mistakes.sends_before_record_is_written, schedule_run(runs.UNWRITTEN_RECORD, persists_records=True)),
+    (mistakes.accepts_replies_of_replaced_processes, schedule_run(runs.REPLACED_PROCESS)),
+    (mistakes.reuses_ballots, schedule_run(runs.REUSED_BALLOT)),
+    (mistakes.forgets_promise_on_accept, lambda: RegisterExplorer(1, 0).run()),
+    (mistakes.keeps_lease_over_pause, exploration(fault_kinds="cut stop")),
+    (mistakes.ignores_conflicting_leases, exploration(fault_kinds="cut stop")),
+    (mistakes.completes_abandoned_change, explore_with_early_withdrawal),
+    (mistakes.uses_new_policy_in_joint_state, lambda: walk(0)),
+    (mistakes.skips_joint_state, lambda: walk(0)),
     (mistakes.moves_without_grant, lambda: walk(0)),
-    (mistakes.lease_from_answer, lambda: walk(0)),
-    (mistakes.wait_without_drift, lambda: walk(24)),
-    (mistakes.forgets_leases, lambda: walk(4)),
-    (mistakes.old_life_replaced, lambda: walk(0)),
-    (mistakes.old_grants_kept, lambda: walk(56)),
+    (mistakes.counts_lease_from_reply, lambda: walk(0)),
+    (mistakes.ignores_clock_drift, lambda: walk(24)),
+    (mistakes.forgets_leases_on_restart, lambda: walk(4)),
+    (mistakes.drops_lease_of_replaced_process, lambda: walk(0)),
+    (mistakes.keeps_grants_of_dropped_scopes, lambda: walk(56)),
     (mistakes.head_forgets_members, lambda: walk(5)),
-    (mistakes.head_lends_whole_lease, lambda: walk(7)),
+    (mistakes.head_grants_full_lease, lambda: walk(7)),
 ]
 
 
@@ -101,26 +103,26 @@
 @pytest.mark.parametrize(("mistake", "run"), FOUND[:8], ids=lambda x: getattr(x, "__name__", ""))
 def test_mistake_is_found(mistake: Any, run: Any, monkeypatch: pytest.MonkeyPatch) -> None:
     mistake(monkeypatch)
-    with pytest.raises(Broken):
+    with pytest.raises(InvariantViolation):
         run()
 
 
 @pytest.mark.parametrize(("mistake", "run"), FOUND[8:], ids=lambda x: getattr(x, "__name__", ""))
-def test_mistake_is_found_on_a_walk(mistake: Any, run: Any, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_mistake_is_found_on_a_random_walk(mistake: Any, run: Any, monkeypatch: pytest.MonkeyPatch) -> None:
     mistake(monkeypatch)
-    with pytest.raises(Broken):
+    with pytest.raises(InvariantViolation):
         run()
 
 
-def test_runs_do_no_harm_without_the_mistake() -> None:
-    for plan, disk in (
-        (runs.AMNESIA, False),
-        (runs.UNKEPT, True),
-        (runs.REPLACED, False),
-        (runs.BALLOT, False),
+def test_schedules_pass_without_the_mistake() -> None:
+    for schedule, persists_records in (
+        (runs.RESTARTED_VOTER, False),
+        (runs.UNWRITTEN_RECORD, True),
+        (runs.REPLACED_PROCESS, False),
+        (runs.REUSED_BALLOT, False),
     ):
-        followed(plan, disk)()
+        schedule_run(schedule, persists_records)()
 
 
-def test_no_mistake_is_left_out() -> None:
+def test_each_mistake_has_a_test() -> None:
     assert [mistake for mistake, _ in FOUND] and {mistake for mistake, _ in FOUND} == set(mistakes.ALL)
--- a/tests/peers/consensus/walk.py
+++ b/tests/peers/consensus/walk.py
@@ -1,96 +1,133 @@
-"""Random walks: whatever happens, the promises hold; once it is quiet again, a change takes hold."""
+"""Random walks: the invariants hold during faults, and a change takes effect after them."""
 
 from __future__ import annotations
 
 import random
 from typing import Any
 
-from tests.peers.consensus.world import Broken, World, policy
+from tests.peers.consensus.world import InvariantViolation, World, policy
 
-QUIET = 90.0  # seconds in which all is well again after the worst: two leases, a change that was left behind
-AT_ONCE = 12.0  # and a change among routers that are all there
+# until all routers agree after the faults: two leases, and an abandoned change
+RECOVERY_SECONDS = 90.0
+CHANGE_SECONDS = 12.0  # and for a change when all routers are present
 
 
-def walk(seed: int, moves: bool = False, **how: Any) -> World:
-    """One walk; raises Broken where a promise is. `moves`: some changes name other voters."""
-    draw = random.Random(seed)
-    size = how.pop("voters", (0, 1, 2))
-    routers = how.pop("routers", len(size) + draw.choice((2, 4)))
-    disk = how.pop("disk", draw.random() < 0.5)
-    bad = draw.choice((0.0, 0.05, 0.2))
-    twice, slow = draw.choice((0.0, 0.1)), draw.choice((0.005, 0.05, 0.4))
-    how.setdefault("direct", draw.choice((0, 32)))  # 0: another router answers for those that are no voters
-    world = World(seed, routers, size, disk, twice=twice, **how)
-    world.up()
-    world.loss, world.slow = bad, slow
+def walk(seed: int, changes_voters: bool = False, **kwargs: Any) -> World:
+    """Run one random walk.
+
+    Args:
+        seed: Seed of all random choices.
+        changes_voters: Whether some changes name other voters.
+        **kwargs: Arguments of `World`.
+
+    Raises:
+        InvariantViolation: An invariant does not hold.
+    """
+    random_source = random.Random(seed)
+    voters = kwargs.pop("voters", (0, 1, 2))
+    routers = kwargs.pop("routers", len(voters) + random_source.choice((2, 4)))
+    persists_records = kwargs.pop("persists_records", random_source.random() < 0.5)
+    loss_rate = random_source.choice((0.0, 0.05, 0.2))
+    duplicate_rate, mean_delay = random_source.choice((0.0, 0.1)), random_source.choice((0.005, 0.05, 0.4))
+    # 0: routers that are no voters ask a head
+    kwargs.setdefault("max_direct_routers", random_source.choice((0, 32)))
+    world = World(seed, routers, voters, persists_records, duplicate_rate=duplicate_rate, **kwargs)
+    world.started()
+    world.loss_rate, world.mean_delay = loss_rate, mean_delay
     version = 2
-    for _ in range(draw.randrange(8, 20)):
-        version = act(world, draw, version, disk, moves)
-        world.run(draw.choice((0.02, 0.3, 1.0, 3.0, 8.0)))
-    calm(world, version)
+    for _ in range(random_source.randrange(8, 20)):
+        version = perform_random_action(world, random_source, version, persists_records, changes_voters)
+        world.run(random_source.choice((0.02, 0.3, 1.0, 3.0, 8.0)))
+    check_recovery(world, version)
     return world
 
 
-def spared(world: World, me: int) -> bool:
-    """Whether this one mustn't forget: more of a set that is in play would have than can be."""
-    latest = world.decided[max(world.decided)]
-    for voters in (latest.old.voters, latest.new.voters if latest.new else (), latest.left):
-        rooms = [world.nodes[v].room for v in voters if v in world.nodes and v != me]
-        standing = sum(room.voter is not None and room.voter.standing for room in rooms)
-        if me in voters and standing < len(voters) // 2 + 1:
+def must_keep_state(world: World, index: int) -> bool:
+    """Return whether this voter must keep its state.
+
+    Too many of a set of voters in use would be without theirs.
+    """
+    latest_state = world.decided[max(world.decided)]
+    for voters in (
+        latest_state.old.voters,
+        latest_state.new.voters if latest_state.new else (),
+        latest_state.previous_voters,
+    ):
+        protocols = [world.nodes[v].protocol for v in voters if v in world.nodes and v != index]
+        num_voting = sum(
+            protocol.acceptor is not None and protocol.acceptor.is_voting for protocol in protocols
+        )
+        if index in voters and num_voting < len(voters) // 2 + 1:
             return True
     return False
 
 
-def act(world: World, draw: random.Random, version: int, disk: bool, moves: bool) -> int:
-    """Something happens."""
-    me = draw.randrange(world.routers)
-    match draw.choice(
+def perform_random_action(
+    world: World, random_source: random.Random, version: int, persists_records: bool, changes_voters: bool
+) -> int:
+    """Propose a change or inject a fault."""
+    index = random_source.randrange(world.routers)
+    match random_source.choice(
         ("propose", "propose", "propose", "cut", "cut", "mend", "crash", "pause", "twin", "disk")
     ):
         case "propose":
-            for _ in range(draw.choice((1, 1, 2))):
+            for _ in range(random_source.choice((1, 1, 2))):
                 # sometimes another document under the same version
                 world.propose(
-                    draw.randrange(world.routers),
-                    policy(version, draw.choice((0.0, 7.0))),
-                    draw.choice((5.0, 20.0)),
-                    other_voters(world, draw) if moves else (),
+                    random_source.randrange(world.routers),
+                    policy(version, random_source.choice((0.0, 7.0))),
+                    random_source.choice((5.0, 20.0)),
+                    other_voters(world, random_source) if changes_voters else (),
                 )
-            version += draw.choice((0, 1, 1))
+            version += random_source.choice((0, 1, 1))
         case "cut":
-            world.cut |= {frozenset((me, other)) for other in range(world.routers) if draw.random() < 0.7}
+            world.disconnected |= {
+                frozenset((index, other)) for other in range(world.routers) if random_source.random() < 0.7
+            }
         case "mend":
-            world.cut = set()
+            world.disconnected = set()
         case "crash":
-            # no more lose their memory than can be
-            if not (forget := not disk or draw.random() < 0.3) or not spared(world, me):
-                world.crash(me, forget, draw.choice((0.0, 0.5, 6.0)))
-        case "pause" if me in world.nodes:
-            world.nodes[me].paused_until = world.now + draw.choice((0.5, 2.0, 3.2, 10.0))
-        case "twin" if not spared(world, me) if moves else me not in world.voters:
-            world.twin(me)
+            # no more voters lose their state than the register tolerates
+            if not (
+                loses_record := not persists_records or random_source.random() < 0.3
+            ) or not must_keep_state(world, index):
+                world.crash(index, loses_record, random_source.choice((0.0, 0.5, 6.0)))
+        case "pause" if index in world.nodes:
+            world.nodes[index].paused_until = world.now + random_source.choice((0.5, 2.0, 3.2, 10.0))
+        case "twin" if not must_keep_state(world, index) if changes_voters else index not in world.voters:
+            world.replace_process(index)
         case "disk":
-            world.keep_fails, world.keep_slow = draw.choice((0.0, 0.0, 0.5)), draw.choice((0.02, 0.3))
+            world.write_failure_rate, world.max_write_delay = (
+                random_source.choice((0.0, 0.0, 0.5)),
+                random_source.choice((0.02, 0.3)),
+            )
     return version
 
 
-def other_voters(world: World, draw: random.Random) -> tuple[int, ...]:
-    """Mostly others than now, of another number too."""
-    size = draw.choice([n for n in (3, 3, 5, 7) if n <= world.routers])
-    return tuple(draw.sample(range(world.routers), size)) if draw.random() < 0.6 else ()
+def other_voters(world: World, random_source: random.Random) -> tuple[int, ...]:
+    """Return a random set of voters, or none."""
+    voters = random_source.choice([n for n in (3, 3, 5, 7) if n <= world.routers])
+    return tuple(random_source.sample(range(world.routers), voters)) if random_source.random() < 0.6 else ()
 
 
-def calm(world: World, version: int) -> None:
-    """All is well again: within a stated time all decide by one policy, and the next change takes hold."""
-    world.cut, world.loss, world.slow, world.keep_fails, world.keep_slow = set(), 0.0, 0.01, 0.0, 0.02
-    world.run(QUIET)
+def check_recovery(world: World, version: int) -> None:
+    """End all faults, and check that routers agree in time and the next change takes effect."""
+    world.disconnected, world.loss_rate, world.mean_delay, world.write_failure_rate, world.max_write_delay = (
+        set(),
+        0.0,
+        0.01,
+        0.0,
+        0.02,
+    )
+    world.run(RECOVERY_SECONDS)
     scopes = world.scopes()
     if len(scopes) < world.routers or len(set(scopes.values())) > 1 or len(scopes[0]) != 1:
-        raise Broken(f"no accord {QUIET} s after all was well: {scopes}")
-    ticket = world.propose(world.routers - 1, policy(version + 100))
-    world.run(AT_ONCE)
-    if not ticket or not ticket.in_force or len(set(world.scopes().values())) > 1:
-        raise Broken(f"no change {AT_ONCE} s after it was asked for: {ticket} {world.scopes()}")
-    if any(asked.is_open and node.died > world.now for asked, node in world.askers):
-        raise Broken("a ticket that never ended")
+        raise InvariantViolation(f"no agreement {RECOVERY_SECONDS} s after the faults: {scopes}")
+    handle = world.propose(world.routers - 1, policy(version + 100))
+    world.run(CHANGE_SECONDS)
+    if not handle or not handle.in_force or len(set(world.scopes().values())) > 1:
+        raise InvariantViolation(
+            f"no change {CHANGE_SECONDS} s after it was proposed: {handle} {world.scopes()}"
+        )
+    if any(handle.is_open and node.stopped_at > world.now for handle, node in world.proposers):
+        raise InvariantViolation("a handle that never ended")
--- a/tests/peers/consensus/watching.py
+++ b/tests/peers/consensus/watching.py
@@ -1,4 +1,4 @@
-"""The promises, watched at every instant of a world."""
+"""The invariants, checked after each event of a simulation."""
 
 from __future__ import annotations
 
@@ -11,127 +11,146 @@
 from ironrail.peers.consensus import policy as p
 from ironrail.peers.consensus.configuration import ConsensusConfig
 from ironrail.peers.consensus.errors import OpenError
-from ironrail.peers.consensus.lease import are_disjoint
+from ironrail.peers.consensus.lease import are_incompatible
 from ironrail.peers.consensus.proposal import ProposalHandle
 
-FACTS = p.Facts(titles=frozenset({"fonts"}), halls=frozenset({"north"}))
-FLOOR = p.Policy(version=1, rates={"fonts": 1.0})
+CONTEXT = p.ValidationContext(titles=frozenset({"fonts"}), zones=frozenset({"north"}))
+FALLBACK = p.Policy(version=1, rates={"fonts": 1.0})
 
 
 def policy(version: int, rate: float = 0.0) -> p.Policy:
-    """One that differs by its version."""
+    """Return a policy for tests, which differs by its version."""
     return p.Policy(version=version, rates={"fonts": rate or 100.0 + version})
 
 
-class Broken(AssertionError):
-    """A promise was."""
+class InvariantViolation(AssertionError):
+    """An invariant does not hold."""
 
 
 @dataclass
 class Node:
-    """A process at a router's place."""
+    """A router's process."""
 
     conf: ConsensusConfig
-    room: Any  # an AccordRoom, or what a test puts in its place
-    rate: float
-    offset: float
-    born: float
-    died: float = math.inf
+    # a ConsensusNode, or what a test uses in its place
+    protocol: Any
+    clock_rate: float
+    clock_offset: float
+    started_at: float
+    stopped_at: float = math.inf
     paused_until: float = 0.0
-    disk: bytes | None = None
-    proven: dict[int, int] = field(default_factory=dict)
-    replaced: set[int] = field(default_factory=set)
-    waking: float = math.inf  # its wake is scheduled for
+    record: bytes | None = None
+    seen_incarnations: dict[int, int] = field(default_factory=dict)
+    replaced_incarnations: set[int] = field(default_factory=set)
+    timer_at: float = math.inf  # when its timer event is scheduled
 
 
-class Watch:
-    """What a world is watched by."""
+class InvariantChecker:
+    """Checks the invariants of a simulation."""
 
     now: float
 
     def __init__(self) -> None:
         self.nodes: dict[int, Node] = {}
-        self.lives: dict[tuple[int, int], Node] = {}
-        self.ghosts: list[Node] = []  # stopped, and another process has their place
+        self.processes: dict[tuple[int, int], Node] = {}
+        self.replaced_nodes: list[Node] = []  # paused, and replaced by another process
         self.documents: dict[bytes, p.Policy] = {}
         self.decided: dict[int, m.RegisterState] = {}
         self.digests: dict[tuple[int, int], bytes] = {}
-        self.named: dict[tuple[int, int], m.Voters] = {}  # who grants leases for a version
-        self.tickets: list[ProposalHandle] = []
-        self.askers: list[tuple[ProposalHandle, Node]] = []
+        # by epoch and version: who grants leases
+        self.voters_by_version: dict[tuple[int, int], m.Voters] = {}
+        self.handles: list[ProposalHandle] = []
+        self.proposers: list[tuple[ProposalHandle, Node]] = []
 
     def clock(self, node: Node) -> float:
-        """Its own."""
-        return node.offset + node.rate * self.now
+        """Return the time on a process's clock."""
+        return node.clock_offset + node.clock_rate * self.now
 
-    def watch_sent(self, node: Node, body: bytes) -> None:
-        """Each step is decided once, and each version means one document."""
+    def check_sent(self, node: Node, body: bytes) -> None:
+        """Check that each step is decided once, and that each version means one document."""
         message = m.decode(body)
         if isinstance(message, m.Decided):
             state = message.state
             if self.decided.setdefault(state.step, state) != state:
-                raise Broken(f"step {state.step} decided twice: {self.decided[state.step]} and {state}")
+                raise InvariantViolation(
+                    f"step {state.step} decided twice: {self.decided[state.step]} and {state}"
+                )
             for ref in state.refs():
-                key = (state.step // m.EPOCH, ref.version)
+                key = (state.step // m.STEPS_PER_EPOCH, ref.version)
                 if self.digests.setdefault(key, ref.digest) != ref.digest:
-                    raise Broken(f"version {key} has two documents")
-                if self.named.setdefault(key, ref.voters) != ref.voters:
-                    raise Broken(f"version {key} has two sets of voters")
+                    raise InvariantViolation(f"version {key} has two documents")
+                if self.voters_by_version.setdefault(key, ref.voters) != ref.voters:
+                    raise InvariantViolation(f"version {key} has two sets of voters")
 
     def scopes(self) -> dict[int, m.Scope]:
-        """Who decides by what."""
-        processes = [*self.nodes.items(), *((-1 - i, ghost) for i, ghost in enumerate(self.ghosts))]
-        found = {}
-        for me, node in processes:
-            by = node.room.effective_policy(self.clock(node))
-            if by.scope:
-                found[me] = by.scope
-                for version in by.scope:
-                    document = self.documents[self.digests[divmod(version, m.EPOCH)]]
-                    if by.policy.rates["fonts"] > document.rates["fonts"]:
-                        raise Broken(f"router {me} in {by.scope} allows more than {document}")
-        return found
-
-    def backed(self, node: Node, scope: m.Scope) -> bool:
-        """Whether a majority of each version's voters keeps others from what is apart from this scope."""
-        lent = node.room.holder.delegated
-        lives = [life for life in self.lives if life[0] in lent]
-        sets = {self.named[divmod(version, m.EPOCH)] for version in scope}
-        lives = [(node.conf.router, node.conf.start), *lives]
-        return any(all(self.granted(life, scope, voters) for voters in sets) for life in lives)
-
-    def granted(self, life: tuple[int, int], scope: m.Scope, voters: m.Voters) -> bool:
-        """Whether these voters do so for this process."""
-        backing = 0
+        """Return the scope of each router that decides, after checking its effective policy."""
+        processes = [
+            *self.nodes.items(),
+            *((-1 - i, replaced_node) for i, replaced_node in enumerate(self.replaced_nodes)),
+        ]
+        scopes = {}
+        for index, node in processes:
+            effective_policy = node.protocol.effective_policy(self.clock(node))
+            if effective_policy.scope:
+                scopes[index] = effective_policy.scope
+                for version in effective_policy.scope:
+                    document = self.documents[self.digests[divmod(version, m.STEPS_PER_EPOCH)]]
+                    if effective_policy.policy.rates["fonts"] > document.rates["fonts"]:
+                        raise InvariantViolation(
+                            f"router {index} in {effective_policy.scope} allows more than {document}"
+                        )
+        return scopes
+
+    def has_lease_majority(self, node: Node, scope: m.Scope) -> bool:
+        """Return whether a majority of each version's voters grants this process the scope."""
+        delegated_grants = node.protocol.lease_holder.delegated_grants
+        processes = [process for process in self.processes if process[0] in delegated_grants]
+        sets = {self.voters_by_version[divmod(version, m.STEPS_PER_EPOCH)] for version in scope}
+        processes = [(node.conf.own_index, node.conf.incarnation), *processes]
+        return any(
+            all(self.is_granted_by(process, scope, voters) for voters in sets) for process in processes
+        )
+
+    def is_granted_by(self, process: tuple[int, int], scope: m.Scope, voters: m.Voters) -> bool:
+        """Return whether a majority of these voters grants a process the scope.
+
+        Voters that have yet to wait for the expiry of older leases count too.
+        """
+        num_granting = 0
         for voter in voters:
             if (other := self.nodes.get(voter)) is None:
-                backing += 1  # when it is back it waits until this lease has run out
+                num_granting += 1  # after its restart it waits until this lease has expired
                 continue
-            part, now = other.room.voter, self.clock(other)
-            if part is None:
-                backing += 1  # it forgot that it was one, and will be quiet once it is told
+            acceptor, now = other.protocol.acceptor, self.clock(other)
+            if acceptor is None:
+                # it lost its state; once named as a voter it waits for a lease's time
+                num_granting += 1
                 continue
-            entry = part.grants.entries.get(life)
+            entry = acceptor.granted_leases.entries.get(process)
             holds = (
                 entry is not None
                 and scope in {n.scope for n in entry.scoped_steps}
                 and now < entry.expires_at
             )
-            backing += holds or now < part.quiet_until
-        return backing > len(voters) // 2
+            num_granting += holds or now < acceptor.old_leases_expire_at
+        return num_granting > len(voters) // 2
 
-    def watch(self) -> None:
-        """No two routers decide by what is apart, nor by what was told not to come."""
+    def check_invariants(self) -> None:
+        """Check that no two routers decide by incompatible scopes, or one by a rejected policy."""
         scopes = self.scopes()
-        for me, scope in scopes.items():
-            if not self.backed(self.ghosts[-1 - me] if me < 0 else self.nodes[me], scope):
-                raise Broken(f"at {self.now}: router {me} decides by {scope} without a majority's lease")
+        for index, scope in scopes.items():
+            if not self.has_lease_majority(
+                self.replaced_nodes[-1 - index] if index < 0 else self.nodes[index], scope
+            ):
+                raise InvariantViolation(
+                    f"at {self.now}: router {index} decides by {scope} without a majority's lease"
+                )
         if len(set(scopes.values())) > 1:
             for (a, one), (b, other) in itertools.combinations(scopes.items(), 2):
-                if are_disjoint(one, other):
-                    raise Broken(f"at {self.now}: router {a} decides by {one}, {b} by {other}")
-        alive = {t.ref for t in self.tickets if t.error is None or isinstance(t.error, OpenError)}
-        dead = {t.ref.digest for t in self.tickets if t.ref not in alive}
-        for me, scope in scopes.items():
-            if len(scope) == 1 and self.digests.get(divmod(scope[0], m.EPOCH)) in dead:
-                raise Broken(f"router {me} decides by {scope} whose ticket was refused")
+                if are_incompatible(one, other):
+                    raise InvariantViolation(f"at {self.now}: router {a} decides by {one}, {b} by {other}")
+        open_or_in_force = {t.ref for t in self.handles if t.error is None or isinstance(t.error, OpenError)}
+        rejected_digests = {t.ref.digest for t in self.handles if t.ref not in open_or_in_force}
+        for index, scope in scopes.items():
+            if len(scope) == 1 and self.digests.get(divmod(scope[0], m.STEPS_PER_EPOCH)) in rejected_digests:
+                raise InvariantViolation(f"router {index} decides by {scope} whose proposal was refused")
--- a/tests/peers/consensus/world.py
+++ b/tests/peers/consensus/world.py
@@ -1,4 +1,4 @@
-"""Rooms among drifting clocks, lost messages, crashes and pauses, watched at every instant."""
+"""Simulation of nodes with drifting clocks, message loss, crashes and pauses."""
 
 from __future__ import annotations
 
@@ -15,175 +15,205 @@
 from ironrail.peers.consensus.consensus_node import ConsensusNode
 from ironrail.peers.consensus.proposal import ProposalHandle
 from ironrail.peers.messages import Received, Topic
-from tests.peers.consensus.watching import FACTS, FLOOR, Broken, Node, Watch, policy
+from tests.peers.consensus.watching import (
+    CONTEXT,
+    FALLBACK,
+    InvariantChecker,
+    InvariantViolation,
+    Node,
+    policy,
+)
 
 
-class World(Watch):
-    """`rooms`: makes a room; the rest as drawn from the seed."""
+class World(InvariantChecker):
+    """A simulated peer group; its random choices follow from the seed."""
 
     def __init__(  # noqa: PLR0913
         self,
         seed: int,
         routers: int = 5,
         voters: tuple[int, ...] = (0, 1, 2),
-        disk: bool = False,
-        loss: float = 0.0,
-        twice: float = 0.0,
-        slow: float = 0.02,
-        drift: float = 0.01,
-        direct: int = 32,
-        rooms: Callable[..., Any] = ConsensusNode,
-        facts: Callable[[int], p.Facts] = lambda _: FACTS,
+        persists_records: bool = False,
+        loss_rate: float = 0.0,
+        duplicate_rate: float = 0.0,
+        mean_delay: float = 0.02,
+        max_drift: float = 0.01,
+        max_direct_routers: int = 32,
+        make_protocol: Callable[..., Any] = ConsensusNode,
+        make_context: Callable[[int], p.ValidationContext] = lambda _: CONTEXT,
     ) -> None:
         super().__init__()
         self.random, self.now = random.Random(seed), 0.0
-        self.routers, self.voters, self.disk, self.rooms, self.facts = routers, voters, disk, rooms, facts
-        self.direct = direct
-        self.loss, self.twice, self.slow, self.drift = loss, twice, slow, drift
-        self.cut: set[frozenset[int]] = set()
+        self.routers, self.voters, self.persists_records, self.make_protocol, self.make_context = (
+            routers,
+            voters,
+            persists_records,
+            make_protocol,
+            make_context,
+        )
+        self.max_direct_routers = max_direct_routers
+        self.loss_rate, self.duplicate_rate, self.mean_delay, self.max_drift = (
+            loss_rate,
+            duplicate_rate,
+            mean_delay,
+            max_drift,
+        )
+        self.disconnected: set[frozenset[int]] = set()
         self.queue: list[tuple[float, int, Callable[[], None]]] = []
-        self.order, self.starts = itertools.count(), itertools.count(1)
+        self.event_counter, self.incarnation_counter = itertools.count(), itertools.count(1)
         self.sent = 0
         self.bytes = 0
-        self.keep_fails, self.keep_slow = 0.0, 0.02
-        for me in range(routers):
-            self.start(me)
+        self.write_failure_rate, self.max_write_delay = 0.0, 0.02
+        for index in range(routers):
+            self.start(index)
 
-    def start(self, me: int, record: bytes | None = None) -> Node:
-        """A new process, which remembers nothing but its disk."""
-        rate = 1 + self.random.uniform(-self.drift, self.drift)
+    def start(self, index: int, record: bytes | None = None) -> Node:
+        """Start a new process, which has only the record of a former one."""
+        rate = 1 + self.random.uniform(-self.max_drift, self.max_drift)
         conf = ConsensusConfig(
-            me,
-            next(self.starts),
+            index,
+            next(self.incarnation_counter),
             self.routers,
             self.voters,
-            max_direct_routers=self.direct,
-            persists_records=self.disk,
+            max_direct_routers=self.max_direct_routers,
+            persists_records=self.persists_records,
+        )
+        node = Node(conf, None, rate, self.random.uniform(0, 1000), self.now, record=record)
+        node.protocol = self.make_protocol(
+            conf, self.make_context(index), FALLBACK, self.clock(node), seed=conf.incarnation, record=record
         )
-        node = Node(conf, None, rate, self.random.uniform(0, 1000), self.now, disk=record)
-        node.room = self.rooms(conf, self.facts(me), FLOOR, self.clock(node), seed=conf.start, record=record)
-        self.nodes[me] = self.lives[me, conf.start] = node
-        self.settle(node)
+        self.nodes[index] = self.processes[index, conf.incarnation] = node
+        self.process_outputs(node)
         return node
 
-    def crash(self, me: int, forget: bool, back_in: float) -> None:
-        """It starts anew after a while, with its disk or without."""
-        node = self.nodes.pop(me, None)
+    def crash(self, index: int, loses_record: bool, restart_delay: float) -> None:
+        """Stop a process and start a new one after a while, with or without its record."""
+        node = self.nodes.pop(index, None)
         if node:
-            node.died = self.now
-
-            def back() -> None:
-                if me not in self.nodes:
-                    self.start(me, None if forget else node.disk)
-
-            self.at(back_in, back)
-
-    def twin(self, me: int) -> None:
-        """Another process is started in the place of one that was only stopped."""
-        if node := self.nodes.pop(me, None):
-            self.ghosts.append(node)
-            node.died = self.now  # nothing reaches it any more
-            self.start(me)
-
-    def at(self, delay: float, call: Callable[[], None]) -> None:
-        """Later, in true time."""
-        heapq.heappush(self.queue, (self.now + delay, next(self.order), call))
-
-    def settle(self, node: Node) -> None:
-        """Carry out what a room wants."""
-        room = node.room
-        for keep in room.take_records():
-            self.at(self.random.uniform(0.0, self.keep_slow), lambda k=keep: self.keep(node, k))  # type: ignore[misc]
-        for say in room.take_outgoing():
-            self.send(node, say.to, say.body)
-        wake = room.next_timer_at()
-        if wake < node.waking or node.waking <= self.clock(node):
-            node.waking = wake
-            self.at(max(0.0, (wake - self.clock(node)) / node.rate) + 1e-9, lambda: self.wake(node))
-
-    def keep(self, node: Node, keep: Any) -> None:
-        if node.died < math.inf:
+            node.stopped_at = self.now
+
+            def restart() -> None:
+                if index not in self.nodes:
+                    self.start(index, None if loses_record else node.record)
+
+            self.schedule(restart_delay, restart)
+
+    def replace_process(self, index: int) -> None:
+        """Start another process in place of one that is only paused."""
+        if node := self.nodes.pop(index, None):
+            self.replaced_nodes.append(node)
+            node.stopped_at = self.now  # it receives nothing any more
+            self.start(index)
+
+    def schedule(self, delay: float, call: Callable[[], None]) -> None:
+        """Schedule an event after a delay in real time."""
+        heapq.heappush(self.queue, (self.now + delay, next(self.event_counter), call))
+
+    def process_outputs(self, node: Node) -> None:
+        """Carry out what a node requests."""
+        protocol = node.protocol
+        for pending_record in protocol.take_records():
+            self.schedule(
+                self.random.uniform(0.0, self.max_write_delay),
+                lambda pending=pending_record: self.write_record(node, pending),  # type: ignore[misc]
+            )
+        for outgoing in protocol.take_outgoing():
+            self.send(node, outgoing.to, outgoing.body)
+        timer_at = protocol.next_timer_at()
+        if timer_at < node.timer_at or node.timer_at <= self.clock(node):
+            node.timer_at = timer_at
+            self.schedule(
+                max(0.0, (timer_at - self.clock(node)) / node.clock_rate) + 1e-9,
+                lambda: self.fire_timer(node),
+            )
+
+    def write_record(self, node: Node, pending_record: Any) -> None:
+        if node.stopped_at < math.inf:
             return
-        if self.random.random() < self.keep_fails:
-            node.room.on_record_failed(self.clock(node), keep.token)
+        if self.random.random() < self.write_failure_rate:
+            node.protocol.on_record_failed(self.clock(node), pending_record.token)
         else:
-            node.disk = keep.record
-            node.room.on_record_written(self.clock(node), keep.token)
-        self.settle(node)
+            node.record = pending_record.record
+            node.protocol.on_record_written(self.clock(node), pending_record.token)
+        self.process_outputs(node)
 
     def send(self, node: Node, to: int, body: bytes) -> None:
-        """Over a network that may do anything but forge."""
-        me, start = node.conf.router, node.conf.start
+        """Send over a network that may do anything but forge messages."""
+        index, incarnation = node.conf.own_index, node.conf.incarnation
         self.sent += 1
         self.bytes += len(body)
-        self.watch_sent(node, body)
-        for _ in range(1 + (self.random.random() < self.twice)):
-            if self.random.random() >= self.loss and frozenset((me, to)) not in self.cut:
-                delay = self.random.expovariate(1 / self.slow)
-                self.at(delay, lambda: self.deliver(me, start, to, body))
+        self.check_sent(node, body)
+        for _ in range(1 + (self.random.random() < self.duplicate_rate)):
+            if self.random.random() >= self.loss_rate and frozenset((index, to)) not in self.disconnected:
+                delay = self.random.expovariate(1 / self.mean_delay)
+                self.schedule(delay, lambda: self.deliver(index, incarnation, to, body))
 
-    def deliver(self, me: int, start: int, to: int, body: bytes) -> None:
+    def deliver(self, index: int, incarnation: int, to: int, body: bytes) -> None:
         node = self.nodes.get(to)
-        if node is None or self.lives[me, start].died < node.born or start in node.replaced:
+        if (
+            node is None
+            or self.processes[index, incarnation].stopped_at < node.started_at
+            or incarnation in node.replaced_incarnations
+        ):
             return
         if node.paused_until > self.now:
-            self.at(node.paused_until - self.now, lambda: self.deliver(me, start, to, body))
+            self.schedule(node.paused_until - self.now, lambda: self.deliver(index, incarnation, to, body))
             return
-        if node.proven.get(me, start) != start:
-            node.replaced.add(node.proven[me])
-        node.proven[me] = start
-        node.room.on_message(self.clock(node), Received(me, start, body))
-        self.settle(node)
-
-    def wake(self, node: Node) -> None:
-        if node.died < math.inf:
+        if node.seen_incarnations.get(index, incarnation) != incarnation:
+            node.replaced_incarnations.add(node.seen_incarnations[index])
+        node.seen_incarnations[index] = incarnation
+        node.protocol.on_message(self.clock(node), Received(index, incarnation, body))
+        self.process_outputs(node)
+
+    def fire_timer(self, node: Node) -> None:
+        if node.stopped_at < math.inf:
             return
         if node.paused_until > self.now:
-            self.at(node.paused_until - self.now, lambda: self.wake(node))
+            self.schedule(node.paused_until - self.now, lambda: self.fire_timer(node))
             return
-        node.waking = math.inf
-        node.room.on_timer(self.clock(node))
-        self.settle(node)
+        node.timer_at = math.inf
+        node.protocol.on_timer(self.clock(node))
+        self.process_outputs(node)
 
     def run(self, seconds: float) -> None:
-        """So long in true time."""
+        """Run for some real time."""
         end = self.now + seconds
         while self.queue and self.queue[0][0] <= end:
             self.now, _, call = heapq.heappop(self.queue)
             call()
-            self.watch()
+            self.check_invariants()
         self.now = end
-        self.watch()
+        self.check_invariants()
 
-    # what is done to it
+    # operator's calls
 
     def propose(
-        self, me: int, wanted: p.Policy, deadline: float = 20.0, voters: tuple[int, ...] = ()
+        self, index: int, document: p.Policy, deadline: float = 20.0, voters: tuple[int, ...] = ()
     ) -> ProposalHandle | None:
-        """Ask a router for a change; nothing if it refuses at once."""
-        node = self.nodes.get(me)
+        """Propose a change; return None if the router rejects it at once."""
+        node = self.nodes.get(index)
         if node is None or node.paused_until > self.now:
             return None
         try:
-            ticket: ProposalHandle = node.room.propose(self.clock(node), wanted, deadline, voters)
+            handle: ProposalHandle = node.protocol.propose(self.clock(node), document, deadline, voters)
         except RejectedError:
             return None
-        self.documents[ticket.ref.digest] = wanted
-        self.tickets.append(ticket)
-        self.askers.append((ticket, node))
-        self.settle(node)
-        return ticket
-
-    def found(self, me: int, epoch: int, wanted: p.Policy) -> None:
-        """The operator's hand."""
-        node = self.nodes[me]
-        self.documents[p.digest(wanted)] = wanted
-        node.room.bootstrap(self.clock(node), epoch, wanted)
-        self.settle(node)
-
-    def up(self, version: int = 1) -> World:
-        """Founded, and every router decides."""
-        self.found(0, 1, policy(version))
+        self.documents[handle.ref.digest] = document
+        self.handles.append(handle)
+        self.proposers.append((handle, node))
+        self.process_outputs(node)
+        return handle
+
+    def bootstrap(self, index: int, epoch: int, document: p.Policy) -> None:
+        """Bootstrap the register."""
+        node = self.nodes[index]
+        self.documents[p.digest(document)] = document
+        node.protocol.bootstrap(self.clock(node), epoch, document)
+        self.process_outputs(node)
+
+    def started(self, version: int = 1) -> World:
+        """Bootstrap the register, and run until every router decides."""
+        self.bootstrap(0, 1, policy(version))
         self.run(12)
         assert len(self.scopes()) == self.routers, (self.scopes(), self.voters)
         return self
@@ -192,4 +222,4 @@
 assert ConsensusNode.topic == Topic.CONSENSUS
 
 
-__all__ = ["FACTS", "FLOOR", "Broken", "Node", "World", "policy"]
+__all__ = ["CONTEXT", "FALLBACK", "InvariantViolation", "Node", "World", "policy"]
--- a/tests/peers/fuzz/accord.py
+++ b/tests/peers/fuzz/accord.py
@@ -11,7 +11,7 @@
 from ironrail.peers.consensus.configuration import ConsensusConfig
 from ironrail.peers.consensus.consensus_node import ConsensusNode
 from ironrail.peers.messages import Received
-from tests.peers.consensus.watching import FACTS, FLOOR, policy
+from tests.peers.consensus.watching import CONTEXT, FALLBACK, policy
 from tests.peers.fuzz.base import Attack, idle, must, size_of
 from tests.peers.fuzz.bodies import spoil, spoil_packed
 
@@ -68,7 +68,7 @@
             max_direct_routers=self.draws.choice((32, 4)),
             persists_records=disk,
         )
-        return ConsensusNode(conf, FACTS, FLOOR, self.now, conf.start, record)
+        return ConsensusNode(conf, CONTEXT, FALLBACK, self.now, conf.incarnation, record)
 
     def settle(self, me: int) -> None:
         """Take what a room says; to whom nobody is it is lost."""
@@ -85,11 +85,11 @@
 
     def tell(self, to: int, sender: int, start: int, body: bytes) -> None:
         room = self.rooms[to]
-        before, known = room.unusable, room.known
+        before, known = room.unusable, room.latest_decided
         self.heard += len(body)
         self.timed(room.on_message, self.now, Received(sender, start, body))
         if room.unusable > before:
-            must(room.known is known, "believed what makes no sense")
+            must(room.latest_decided is known, "believed what makes no sense")
         self.settle(to)
 
     def step(self) -> None:
@@ -160,14 +160,19 @@
             room.faults(self.now)
             room.effective_until(self.now)
             decided = room.effective_policy(self.now)
-            must(decided.policy is None or p.check(decided.policy, FACTS) is None, "decides by what it can't")
-            documents = room.library._documents
+            must(
+                decided.policy is None or p.check(decided.policy, CONTEXT) is None, "decides by what it can't"
+            )
+            documents = room.document_store._documents
             must(all(p.digest(d) == name for name, d in documents.items()), "a document under another's name")
             must(len(documents) <= DOCUMENTS, f"documents without end = {len(documents)}")
-            must(len(room.lent.entries) <= 4 * self.routers, "lives without end")
-            if room.voter:
-                must(len(room.voter.grants.entries) <= 4 * self.routers, "lives without end")
-                must(len(room.voter._held) <= HELD, f"held without end = {len(room.voter._held)}")
+            must(len(room.delegated_leases.entries) <= 4 * self.routers, "lives without end")
+            if room.acceptor:
+                must(len(room.acceptor.granted_leases.entries) <= 4 * self.routers, "lives without end")
+                must(
+                    len(room.acceptor._deferred_messages) <= HELD,
+                    f"held without end = {len(room.acceptor._deferred_messages)}",
+                )
             room.take_records()
             must((size := size_of(room)) < BYTES, f"bytes without end = {size} at {me}")
             self.now = max(self.now, idle(room, self.now))
@@ -175,25 +180,27 @@
 
 def _state(draws: random.Random, wanted: p.Policy) -> m.RegisterState:
     ref = m.PolicyRef(wanted.version, p.digest(wanted))
-    return m.RegisterState(draws.choice((1, 2, 3)) * m.EPOCH + draws.randrange(4), ref, tried=ref.version)
+    return m.RegisterState(
+        draws.choice((1, 2, 3)) * m.STEPS_PER_EPOCH + draws.randrange(4), ref, max_tried_version=ref.version
+    )
 
 
 def _samples() -> list[m.Message]:
     """One of each, so that none has to come up by itself."""
     ref, ballot = m.PolicyRef(2, bytes(16)), m.Ballot(1, 1, 3, 1)
-    state = m.RegisterState(m.EPOCH + 1, ref, m.PolicyRef(3, b"x" * 16), 3, (3, 1))
+    state = m.RegisterState(m.STEPS_PER_EPOCH + 1, ref, m.PolicyRef(3, b"x" * 16), 3, (3, 1))
     seen = ((0, 1), (1, 1), (2, 1))
-    vouched, note = m.AcceptorState(ballot, ballot, state), m.ScopedStep(state.step, state.scope)
+    acceptor_state, note = m.AcceptorState(ballot, ballot, state), m.ScopedStep(state.step, state.scope)
     return [
         m.Prepare(ballot, (0, 1, 2)),
-        m.Promise(ballot, vouched, 1, seen, (3,), (3, 2, "no")),
+        m.Promise(ballot, acceptor_state, 1, seen, (3,), (3, 2, "no")),
         m.BallotRejected(ballot, ballot),
         m.Accept(ballot, state),
         m.Accepted(ballot, seen),
         m.AcceptBlocked(ballot),
         m.Decided(state),
         m.RecoveryRequest(7, (0, 1, 2)),
-        m.RecoveryReport(7, True, seen, vouched, state),
+        m.RecoveryReport(7, True, seen, acceptor_state, state),
         m.BootstrapOffer(state),
         m.Bootstrapped(state, seen),
         m.LeaseRequest(9, note, note, 1, (3, 2, "no"), 3),
--- a/tests/peers/fuzz/papers.py
+++ b/tests/peers/fuzz/papers.py
@@ -19,7 +19,7 @@
 from ironrail.peers.consensus.errors import PolicyError
 from ironrail.peers.messages import Received
 from ironrail.policy.settings import RequestClass, Settings
-from tests.peers.consensus.watching import FACTS, policy
+from tests.peers.consensus.watching import CONTEXT, policy
 from tests.peers.fuzz.accord import _samples
 from tests.peers.fuzz.base import EDGES, Attack, must
 from tests.peers.fuzz.bodies import spoil, spoil_packed
@@ -50,9 +50,9 @@
         super().__init__(draws)
         self.folder = tempfile.TemporaryDirectory()
         self.store, self.path = FolderStore(Path(self.folder.name)), Path(self.folder.name) / policies.RECORD
-        vouched = [one.vouched for one in _samples() if isinstance(one, m.Promise)]
+        acceptor_state = [one.acceptor_state for one in _samples() if isinstance(one, m.Promise)]
         self.runner = asyncio.Runner()
-        self.whole = [msgspec.msgpack.encode(v) for v in (*vouched, m.AcceptorState())]
+        self.whole = [msgspec.msgpack.encode(v) for v in (*acceptor_state, m.AcceptorState())]
 
     def step(self) -> None:
         draws = self.draws
@@ -102,7 +102,7 @@
     def __init__(self, draws: random.Random) -> None:
         super().__init__(draws)
         self.whole = [
-            p.encode(p.read(admin_documents.table(text.replace(b"epoch = 1", b"")))) for text in TEXTS
+            p.encode(p.parse(admin_documents.table(text.replace(b"epoch = 1", b"")))) for text in TEXTS
         ]
         self.whole += [p.encode(policy(3)), p.encode(p.Policy(1))]
 
@@ -115,14 +115,14 @@
             got = self.timed(p.decode, data)
         except PolicyError:
             return
-        must(p.encode(got) == data and p.normal(got) == got, "another form")
-        if p.check(got, FACTS) is None:
+        must(p.encode(got) == data and p.normalize(got) == got, "another form")
+        if p.check(got, CONTEXT) is None:
             other = policy(5)
             must(
-                p.merge_conservatively(got, other, FACTS) == p.merge_conservatively(other, got, FACTS),
+                p.merge_conservatively(got, other, CONTEXT) == p.merge_conservatively(other, got, CONTEXT),
                 "a meet that depends on the order",
             )
-            must(p.merge_conservatively(got, got, FACTS) == got, "a meet with itself that is another")
+            must(p.merge_conservatively(got, got, CONTEXT) == got, "a meet with itself that is another")
 
 
 class Posts(Papers):
@@ -147,4 +147,4 @@
         self.said += len(answer.body)
         must(len(answer.body) < 3000, f"a long answer = {len(answer.body)}")
         must(self.policies.page().status == 200, "no page")
-        must(len(self.policies.room.library._documents) <= 16, "documents without end")
+        must(len(self.policies.room.document_store._documents) <= 16, "documents without end")
