--- a/tests/peers/test_fuzz.py
+++ b/tests/peers/test_fuzz.py
@@ -13,10 +13,10 @@
 from ironrail.net.peers.record_store import FolderStore, RecordError
 from ironrail.peers.consensus import messages as m
 from ironrail.peers.consensus import policy as p
-from ironrail.peers.consensus.acceptor import MOST_HELD
+from ironrail.peers.consensus.acceptor import MAX_DEFERRED_MESSAGES
 from ironrail.peers.consensus.configuration import ConsensusConfig
 from ironrail.peers.consensus.consensus_node import ConsensusNode
-from ironrail.peers.consensus.document_store import MOST_KEPT
+from ironrail.peers.consensus.document_store import MAX_DOCUMENTS
 from ironrail.peers.consensus.errors import RecordFormError
 from ironrail.peers.messages import Received
 from ironrail.peers.steering import reports as regions
@@ -25,7 +25,7 @@
 from ironrail.peers.zone_latency.reports import MOST_BODY, Report, encode
 from ironrail.peers.zone_latency.room import LatencyRoom
 from tests.peers import scenario
-from tests.peers.consensus.watching import FACTS, FLOOR, policy
+from tests.peers.consensus.watching import CONTEXT, FALLBACK, policy
 from tests.peers.fuzz.accord import Accord, _state
 from tests.peers.fuzz.base import Attack, Make, run, size_of
 from tests.peers.fuzz.gossip import Latency, OfRegions
@@ -66,13 +66,13 @@
 
 def voter(disk: bool = False, record: bytes | None = None) -> ConsensusNode:
     return ConsensusNode(
-        ConsensusConfig(0, 1, 5, (0, 1, 2), persists_records=disk), FACTS, FLOOR, 0.0, 1, record
+        ConsensusConfig(0, 1, 5, (0, 1, 2), persists_records=disk), CONTEXT, FALLBACK, 0.0, 1, record
     )
 
 
 def standing(disk: bool) -> ConsensusNode:
     first = m.Ballot(1)
-    state = m.RegisterState(m.EPOCH, m.PolicyRef(1, p.digest(policy(1))), tried=1)
+    state = m.RegisterState(m.STEPS_PER_EPOCH, m.PolicyRef(1, p.digest(policy(1))), max_tried_version=1)
     return voter(disk, msgspec.msgpack.encode(m.AcceptorState(first, first, state)))
 
 
@@ -90,17 +90,17 @@
         room.on_message(0.0, Received(3, 9, m.encode(accept)))
         room.on_message(0.0, Received(3, 9, m.encode(m.Document(p.encode(one)))))
         room.take_outgoing()
-    assert len(room.library._documents) == MOST_KEPT
-    assert room.library.get(p.digest(wanted[-1]))
+    assert len(room.document_store._documents) == MAX_DOCUMENTS
+    assert room.document_store.get(p.digest(wanted[-1]))
 
 
 def test_documents_proposed_in_vain_are_bounded_and_needed_ones_stay() -> None:
     room = place(None)
     for version in range(1, 200):
         room.found(b"epoch = 1\nversion = %d\n" % version)
-    assert len(room.room.library._documents) <= MOST_KEPT
-    offered = room.room.voter.offer if room.room.voter else None
-    assert offered and not room.room.library.missing([offered])
+    assert len(room.room.document_store._documents) <= MAX_DOCUMENTS
+    offered = room.room.acceptor.offered_state if room.room.acceptor else None
+    assert offered and not room.room.document_store.missing([offered])
 
 
 def test_a_disk_that_hangs_makes_a_voter_hold_a_bounded_number_of_words() -> None:
@@ -108,19 +108,27 @@
     for number in range(1, 1000):
         room.on_message(0.0, Received(3, 9, m.encode(m.Prepare(m.Ballot(1, number, 3, 9)))))
     keeps = room.take_records()
-    assert room.voter and len(room.voter._held) == MOST_HELD and not room.take_outgoing()
+    assert (
+        room.acceptor
+        and len(room.acceptor._deferred_messages) == MAX_DEFERRED_MESSAGES
+        and not room.take_outgoing()
+    )
     room.on_record_written(0.0, keeps[-1].token)
     told = [m.decode(say.body) for say in room.take_outgoing()]
-    assert len(told) == MOST_HELD and isinstance(told[-1], m.Promise) and told[-1].ballot.number == 999
+    assert (
+        len(told) == MAX_DEFERRED_MESSAGES
+        and isinstance(told[-1], m.Promise)
+        and told[-1].ballot.number == 999
+    )
 
 
 def test_a_refusal_of_any_length_does_not_make_a_promise_too_long_to_be_sent() -> None:
     room = voter()
-    note = m.ScopedStep(m.EPOCH, (m.EPOCH + 1,))
-    ask = m.LeaseRequest(1, note, None, 0, (3, m.EPOCH + 2, "x" * 81), None)
+    note = m.ScopedStep(m.STEPS_PER_EPOCH, (m.STEPS_PER_EPOCH + 1,))
+    ask = m.LeaseRequest(1, note, None, 0, (3, m.STEPS_PER_EPOCH + 2, "x" * 81), None)
     room.on_message(0.0, Received(3, 9, m.encode(ask)))
     assert room.unusable == 1
-    room.on_message(0.0, Received(3, 9, m.encode(msgspec.structs.replace(ask, refuses=(3, 9, "x" * 80)))))
+    room.on_message(0.0, Received(3, 9, m.encode(msgspec.structs.replace(ask, rejection=(3, 9, "x" * 80)))))
     assert room.unusable == 1
 
 
@@ -132,14 +140,14 @@
             m.read_record(record)
         store.write("accord", record)
         policies = place(store)
-        assert not policies.room.voter.standing and b"Move the file away" in policies.page().body  # type: ignore[union-attr]
+        assert not policies.room.acceptor.is_voting and b"Move the file away" in policies.page().body  # type: ignore[union-attr]
         policies.stop()
     store.write("accord", msgspec.msgpack.encode(m.AcceptorState()))
     whole = (tmp_path / "accord").read_bytes()
     (tmp_path / "accord").write_bytes(whole[:-1])
     with pytest.raises(RecordError):
         store.read("accord")
-    assert place(store).room.voter is not None
+    assert place(store).room.acceptor is not None
 
 
 def test_posts_that_would_cost_the_parser_seconds_or_its_stack_are_refused() -> None:
@@ -202,18 +210,18 @@
 
 def test_more_is_not_kept_of_a_thousand_routers_of_many_lives() -> None:
     """Five lives of each within a lease, at a voter: entries, bytes, and the CPU of one more."""
-    room = ConsensusNode(ConsensusConfig(0, 1, 1000, (0, 1, 2)), FACTS, FLOOR, 0.0)
+    room = ConsensusNode(ConsensusConfig(0, 1, 1000, (0, 1, 2)), CONTEXT, FALLBACK, 0.0)
     note = m.ScopedStep(2**62, (2**62, 2**62))
     for life in range(5):
         for router in range(3, 1000):
             ask = m.LeaseRequest(1, note, note, 0, (router, 2**62, "\U0001f682" * 80), 999)
             room.on_message(0.0, Received(router, 2**47 + life, m.encode(ask)))
         room.take_outgoing()
-    assert room.voter and len(room.voter.grants.entries) == 4 * 997
+    assert room.acceptor and len(room.acceptor.granted_leases.entries) == 4 * 997
     assert size_of(room) < 6e6
     began = time.thread_time()
     for life in range(200):
         room.on_message(1.0, Received(9, life, m.encode(ask)))
     assert time.thread_time() - began < 0.1  # a look at all of them took 1 ms each
     room.on_message(1e6, Received(9, 1, m.encode(ask)))
-    assert len(room.voter.grants.entries) == 4 * 997 - 3  # what ran out makes room
+    assert len(room.acceptor.granted_leases.entries) == 4 * 997 - 3  # what ran out makes room
--- a/tests/readers_router.py
+++ b/tests/readers_router.py
@@ -14,7 +14,7 @@
 from ironrail.net.peers import readers as driver
 from ironrail.operator_file import OperatorSettings, PeerSettings
 from ironrail.peers.consensus import policy as p
-from ironrail.peers.consensus.consensus_node import DecidedBy
+from ironrail.peers.consensus.consensus_node import EffectivePolicy
 from ironrail.peers.steering.carried import place
 from ironrail.peers.steering.expected import Hall
 from tests.net.lifecycle.test_handover import AdministeredWorld
@@ -61,10 +61,10 @@
         self, monkeypatch: pytest.MonkeyPatch, rows: Any, load: float = 1.0, version: int = 7
     ) -> None:
         """These rows are in force; the other hall has this load of a room of 10."""
-        decided = DecidedBy((version,), p.Policy(version, steering=rows))
+        decided = EffectivePolicy((version,), p.Policy(version, steering=rows))
 
         class InForce:
-            def in_force(self) -> DecidedBy:
+            def in_force(self) -> EffectivePolicy:
                 return decided
 
         halls = {"here": Hall(10.0, 1.0), "there": Hall(10.0, load)}
--- a/tests/rehearsal/links/test_tier.py
+++ b/tests/rehearsal/links/test_tier.py
@@ -75,10 +75,10 @@
         fault = link_fault(Kind.CUT, "routers <> routers", 0.0, LONG)
         tier.begin(fault, Path(frozenset(tier.names[10:12]), frozenset(tier.names), both=True))
 
-        def none(grants: LeaseTable, now: float, scope: Any) -> list[int]:
+        def none(table: LeaseTable, now: float, scope: Any) -> list[int]:
             return []
 
-        monkeypatch.setattr(LeaseTable, "holders_against", none)
+        monkeypatch.setattr(LeaseTable, "conflicting_holders", none)
         changed(tier, 2, range(3), within=2.9)
         assert tier.watch.mixed > 0
         assert "decides by" in tier.watch.words[0]
--- a/tests/test_stored_forms.py
+++ b/tests/test_stored_forms.py
@@ -23,9 +23,16 @@
 
 OLD = m.PolicyRef(3, bytes(range(16)), (0, 1, 2))
 NEW = m.PolicyRef(4, bytes(range(16, 32)), (0, 1, 3))
-STATE = m.RegisterState(m.EPOCH + 7, OLD, NEW, tried=4, by=(2, 1_796_020_200_000), left=(0, 1, 4))
-BALLOT = m.Ballot(m.EPOCH, 9, 2, 1_796_020_200_000)
-RECORD = m.AcceptorState(BALLOT, m.Ballot(m.EPOCH, 8, 1, 5), STATE)
+STATE = m.RegisterState(
+    m.STEPS_PER_EPOCH + 7,
+    OLD,
+    NEW,
+    max_tried_version=4,
+    proposer=(2, 1_796_020_200_000),
+    previous_voters=(0, 1, 4),
+)
+BALLOT = m.Ballot(m.STEPS_PER_EPOCH, 9, 2, 1_796_020_200_000)
+RECORD = m.AcceptorState(BALLOT, m.Ballot(m.STEPS_PER_EPOCH, 8, 1, 5), STATE)
 SEEN = ((0, 11), (1, 12))
 MESSAGES: dict[str, m.Message] = {
     "prepare": m.Prepare(BALLOT, (0, 1, 2)),
