--- a/benchmarks/accord_memory.py
+++ b/benchmarks/accord_memory.py
@@ -1,9 +1,10 @@
-"""Memory that `[peers]` takes of one router of so many: resident, of fresh processes, with it and without.
+"""Resident memory of a router process with and without `[peers]`.
 
     PYTHONPATH=. python benchmarks/accord_memory.py [--routers 1000] [--runs 5]
 
-With it: the modules and one `Together` that has just begun. What a router holds of others after a while
-(their windows and leases) is told by `accord_fleet.py` as bytes of objects, without the modules.
+With `[peers]` it includes the modules and a `PeerRuntime` that was just created. What a router
+stores about others after some time (measurement windows and leases) is reported by
+`accord_fleet.py` as bytes of objects, without the modules.
 """
 
 from __future__ import annotations
@@ -15,14 +16,14 @@
 from statistics import median
 
 
-def resident() -> float:
-    """MB of this process."""
+def resident_megabytes() -> float:
+    """Return the resident memory of this process in MB."""
     pages = int(Path("/proc/self/statm").read_text().split()[1])
     return pages * 4096 / 2**20
 
 
-async def one(routers: int, me: int, peers: bool, parts: bool) -> None:
-    """Print what it takes; `parts`: map and regions too."""
+async def one(routers: int, me: int, peers: bool, with_map_and_regions: bool) -> None:
+    """Print the resident memory; `with_map_and_regions`: with zone latency and steering too."""
     import uvloop  # noqa: F401, PLC0415 - as the daemon has it
 
     import ironrail.net.lifecycle.node  # noqa: F401, PLC0415
@@ -45,45 +46,45 @@
             sending_key_id=1,
             zones=halls,
             voters=(0, 1, 2),
-            zone_latency_map=parts,
+            zone_latency_map=with_map_and_regions,
         )
-        regions = {f"region-{n}": [f"10.{n}.0.0/16"] for n in range(8 if parts else 0)}
+        regions = {f"region-{n}": [f"10.{n}.0.0/16"] for n in range(8 if with_map_and_regions else 0)}
         PeerRuntime(
             config_of_table(table, {}), OperatorSettings(peers=peers_of, regions=regions), REAL, print
         )
-    print(resident())
+    print(resident_megabytes())
 
 
 CLASS = {"name": "read", "aim": 0.8, "giveUp": 1.5, "effect": "free", "value": 3.0}
 
 
-def measured(routers: int, me: int, peers: bool, parts: bool = False) -> float:
-    """In a process of its own."""
-    given = f"{routers}, {me}, {peers}, {parts}"
-    call = f"import asyncio; from benchmarks.accord_memory import one; asyncio.run(one({given}))"
+def measure(routers: int, me: int, peers: bool, with_map_and_regions: bool = False) -> float:
+    """Measure in a process of its own."""
+    args = f"{routers}, {me}, {peers}, {with_map_and_regions}"
+    call = f"import asyncio; from benchmarks.accord_memory import one; asyncio.run(one({args}))"
     return float(subprocess.run([sys.executable, "-c", call], capture_output=True, check=True).stdout)
 
 
 def main() -> int:
-    """Command line."""
+    """Parse the command line and print the results."""
     parser = argparse.ArgumentParser(
         description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
     )
     parser.add_argument("--routers", type=int, default=1000)
     parser.add_argument("--runs", type=int, default=5)
-    given = parser.parse_args()
+    args = parser.parse_args()
     key = Path(__file__ + ".key")
     key.write_bytes(b"a key of all routers")
     try:
-        without = median(measured(given.routers, 0, False) for _ in range(given.runs))
-        for name, me in (("plain", given.routers - 1), ("voter", 0)):
-            alone, both = (
-                median(measured(given.routers, me, True, parts) for _ in range(given.runs))
-                for parts in (False, True)
+        without = median(measure(args.routers, 0, False) for _ in range(args.runs))
+        for name, me in (("plain", args.routers - 1), ("voter", 0)):
+            policies_only, all_parts = (
+                median(measure(args.routers, me, True, with_map_and_regions) for _ in range(args.runs))
+                for with_map_and_regions in (False, True)
             )
             print(
-                f"{given.routers} routers, {name}: {without:.1f} MB without [peers], {alone:.1f} MB with"
-                f" policies, {both:.1f} MB with map and regions too"
+                f"{args.routers} routers, {name}: {without:.1f} MB without [peers],"
+                f" {policies_only:.1f} MB with policies, {all_parts:.1f} MB with map and regions too"
             )
     finally:
         key.unlink()
--- a/benchmarks/accord_service.py
+++ b/benchmarks/accord_service.py
@@ -1,10 +1,12 @@
-"""What clients lose while policies change: the whole daemon with clients and caches, in virtual time.
+"""What clients lose while policies change: whole daemons with clients and caches, in virtual time.
 
-    PYTHONPATH=. python benchmarks/accord_service.py [--seeds 8] [--every 3] [--length 24] [--jobs 2]
+    PYTHONPATH=. python benchmarks/accord_service.py [--seeds 8] [--every 3] [--length 24]
+        [--jobs 2]
 
-The same worlds (7, 9 and 12 routers in three halls, datagrams up to 100 ms late one way) played without
-`[peers]`, with policies that stay, and with a change asked for every so many seconds at one router after
-another; the row that changes never binds. Told: share of worth answered, and what each seed differs by.
+The same worlds (7, 9 and 12 routers in three zones, datagrams delayed by up to 100 ms one way) run
+without `[peers]`, with policies that stay, and with a change proposed at regular intervals at one
+router after another; the row that changes never limits anything. Reported: the share of worth
+answered, and its difference for each seed.
 """
 
 from __future__ import annotations
@@ -28,13 +30,14 @@
 from ironrail.rehearsal.scenario.names import hall_of
 from ironrail.rehearsal.virtual.play import play_virtual
 
-SIZES = (7, 9, 12)
-EACH = 15.0  # first tries a second for each router: with the caches below four tenths of what they can do
-WAYS = ("alone", "still", "changing")
+ROUTER_COUNTS = (7, 9, 12)
+# first attempts; with the caches below, four tenths of their capacity
+REQUESTS_PER_SECOND_PER_ROUTER = 15.0
+MODES = ("alone", "still", "changing")
 
 
-class Changing(LinkedRehearsal):
-    """Asks one router after another for a change, as an operator would, at its door."""
+class ChangingRehearsal(LinkedRehearsal):
+    """Proposes changes at one router after another, as an operator does."""
 
     def __init__(self, *args: Any, every: float, **others: Any) -> None:
         super().__init__(*args, **others)
@@ -75,15 +78,15 @@
         return await self._call(router, f"GET {path}")
 
 
-def played(way: str, every: float, length: float, seed: int) -> dict[str, Any]:
-    """Share of worth and what came of the changes."""
-    routers = SIZES[seed % len(SIZES)]
+def play(mode: str, every: float, length: float, seed: int) -> dict[str, Any]:
+    """Run one seed; return the share of worth and the outcome of the changes."""
+    routers = ROUTER_COUNTS[seed % len(ROUTER_COUNTS)]
     scenario = Scenario.model_validate(
         {
             "summary": f"changes of policy, seed {seed}",
             "length": f"{length} s",
             "warm_up": "6 s",
-            "load": {"rate": EACH * routers},
+            "load": {"rate": REQUESTS_PER_SECOND_PER_ROUTER * routers},
             "routers": {"count": routers},
             "caches": {"count": 2 * routers, "cores": 2},
         }
@@ -91,27 +94,33 @@
     halls = tuple(hall_of(scenario, n) for n in range(routers))
     peers = Known(key_files={1: ""}, sending_key_id=1, zones=halls, voters=(0, 1, 2), start_mode="floor")
     plan: list[LinkFault] = [link_fault("delay", "routers <> routers", 0.0, length, 0.001, 0.099)]
-    rehearsals: list[Changing] = []
+    rehearsals: list[ChangingRehearsal] = []
 
-    def made(*args: Any, **others: Any) -> Changing:
-        asked_every = {"alone": 0.0, "still": 1e6, "changing": every}[way]
-        rehearsals.append(Changing(*args, plan=plan, every=asked_every, **others))
+    def make_rehearsal(*args: Any, **others: Any) -> ChangingRehearsal:
+        asked_every = {"alone": 0.0, "still": 1e6, "changing": every}[mode]
+        rehearsals.append(ChangingRehearsal(*args, plan=plan, every=asked_every, **others))
         return rehearsals[0]
 
-    operator = OperatorSettings() if way == "alone" else OperatorSettings(peers=peers)
+    operator = OperatorSettings() if mode == "alone" else OperatorSettings(peers=peers)
     with drawing(random.Random(seed)):
-        run = play_virtual(scenario, seed, operator=operator, ground_of=VirtualLinks, rehearsal_of=made)
+        run = play_virtual(
+            scenario, seed, operator=operator, ground_of=VirtualLinks, rehearsal_of=make_rehearsal
+        )
     result = run.result
     assert not result.no_verdict, result.no_verdict
     service = result.service
     return {
-        "way": way, "seed": seed, "share": service.whole.share, "broken": result.broken,
+        "way": mode, "seed": seed, "share": service.whole.share, "broken": result.broken,
         "asked": rehearsals[0].asked, "taken": rehearsals[0].taken, "faults": [str(f) for f in run.faults],
     }  # fmt: skip
 
 
 def main() -> int:
-    """Command line; 1 where the daemon's own books say something against it."""
+    """Parse the command line and run all.
+
+    Returns:
+        1 if the daemon's own accounts are inconsistent.
+    """
     parser = argparse.ArgumentParser(
         description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
     )
@@ -119,23 +128,24 @@
     parser.add_argument("--every", type=float, default=3.0, help="seconds between two changes")
     parser.add_argument("--length", type=float, default=24.0, help="seconds of load that count")
     parser.add_argument("--jobs", type=int, default=2)
-    given = parser.parse_args()
+    args = parser.parse_args()
     shares: dict[str, list[float]] = {}
     faults = 0
-    with ProcessPoolExecutor(given.jobs) as pool:
-        for way in WAYS:
-            for one in pool.map(partial(played, way, given.every, given.length), range(1, given.seeds + 1)):
-                shares.setdefault(way, []).append(one["share"])
+    with ProcessPoolExecutor(args.jobs) as pool:
+        for mode in MODES:
+            for one in pool.map(partial(play, mode, args.every, args.length), range(1, args.seeds + 1)):
+                shares.setdefault(mode, []).append(one["share"])
                 faults += len(one["faults"])
                 print(one, flush=True)
     print(
         f"seeds by themselves, alone: mean {mean(shares['alone']):.4f}, spread {stdev(shares['alone']):.4f}"
     )
     for a, b in (("alone", "still"), ("still", "changing")):
-        apart = [y - x for x, y in zip(shares[a], shares[b], strict=True)]
+        differences = [y - x for x, y in zip(shares[a], shares[b], strict=True)]
         print(
-            f"{b} - {a}: mean {mean(apart):+.4f}, spread {stdev(apart):.4f}, standard error"
-            f" {stdev(apart) / len(apart) ** 0.5:.4f}, least {min(apart):+.4f}, most {max(apart):+.4f}"
+            f"{b} - {a}: mean {mean(differences):+.4f}, spread {stdev(differences):.4f}, standard error"
+            f" {stdev(differences) / len(differences) ** 0.5:.4f}, least {min(differences):+.4f},"
+            f" most {max(differences):+.4f}"
         )
     return int(faults > 0)
 
