--- a/benchmarks/accord_check.py
+++ b/benchmarks/accord_check.py
@@ -20,11 +20,11 @@
 from ironrail.peers.consensus.lease import scoped_step_of
 from ironrail.peers.consensus.proposal import TargetState
 from ironrail.peers.messages import Received
+from tests.peers.consensus.deterministic_nodes import TICK_CONSTANTS
 from tests.peers.consensus.explorer import Bounds, Explorer
-from tests.peers.consensus.moves import VoterChangeExplorer
-from tests.peers.consensus.still import TICK_CONSTANTS
-from tests.peers.consensus.votes import RegisterExplorer
-from tests.peers.consensus.walk import walk
+from tests.peers.consensus.random_walk import walk
+from tests.peers.consensus.register_explorer import RegisterExplorer
+from tests.peers.consensus.voter_change_explorer import VoterChangeExplorer
 from tests.peers.consensus.world import Node, World, policy
 
 # of each datagram: the overhead, and the space for a body
--- a/tests/peers/consensus/still.py
+++ b/tests/peers/consensus/deterministic_nodes.py
@@ -8,7 +8,7 @@
 from ironrail.peers.consensus import acceptor_recovery, message_handler, node_state, proposer
 from ironrail.peers.consensus.consensus_node import ConsensusNode
 from ironrail.peers.consensus.document_store import DocumentStore
-from tests.peers.consensus.watching import CONTEXT, FALLBACK
+from tests.peers.consensus.invariants import CONTEXT, FALLBACK
 
 LEASE_TICKS, DRIFT_RATIO = 2.0, 0.1
 TICK_CONSTANTS = {
--- a/tests/peers/consensus/explorer.py
+++ b/tests/peers/consensus/explorer.py
@@ -18,8 +18,8 @@
 from ironrail.peers.consensus.errors import OpenError
 from ironrail.peers.consensus.lease import are_incompatible
 from ironrail.peers.messages import Received
-from tests.peers.consensus.still import DRIFT_RATIO, LEASE_TICKS, DeterministicNode, Snapshots
-from tests.peers.consensus.watching import CONTEXT, FALLBACK, InvariantViolation, policy
+from tests.peers.consensus.deterministic_nodes import DRIFT_RATIO, LEASE_TICKS, DeterministicNode, Snapshots
+from tests.peers.consensus.invariants import CONTEXT, FALLBACK, InvariantViolation, policy
 
 Mail = tuple[int, int, int, bytes]  # sender, its incarnation, destination, body
 Transition = tuple[int, tuple[Mail, ...], tuple[bytes, ...], tuple[int, ...]]
--- a/tests/peers/consensus/votes.py
+++ b/tests/peers/consensus/register_explorer.py
@@ -17,8 +17,8 @@
 from ironrail.peers.consensus.configuration import ConsensusConfig
 from ironrail.peers.consensus.proposal import Proposal, ProposalHandle, TargetState
 from ironrail.peers.messages import Received
-from tests.peers.consensus.still import RegisterOnlyNode, Snapshots
-from tests.peers.consensus.watching import CONTEXT, FALLBACK, InvariantViolation, policy
+from tests.peers.consensus.deterministic_nodes import RegisterOnlyNode, Snapshots
+from tests.peers.consensus.invariants import CONTEXT, FALLBACK, InvariantViolation, policy
 
 PAST, NOW = -9.0, 0.0  # at PAST, for leases of before to have expired
 VOTERS = (0, 1, 2)
--- a/tests/peers/consensus/test_checks.py
+++ b/tests/peers/consensus/test_model_checks.py
@@ -8,12 +8,12 @@
 import pytest
 
 from ironrail.peers.consensus import message_handler
-from tests.peers.consensus import mistakes, runs
+from tests.peers.consensus import mistakes, schedules
+from tests.peers.consensus.deterministic_nodes import TICK_CONSTANTS
 from tests.peers.consensus.explorer import Bounds, Explorer
-from tests.peers.consensus.still import TICK_CONSTANTS
-from tests.peers.consensus.votes import RegisterExplorer
-from tests.peers.consensus.walk import walk
-from tests.peers.consensus.watching import InvariantViolation
+from tests.peers.consensus.invariants import InvariantViolation
+from tests.peers.consensus.random_walk import walk
+from tests.peers.consensus.register_explorer import RegisterExplorer
 
 
 @pytest.fixture
@@ -78,10 +78,13 @@
 
 
 FOUND: list[tuple[Callable[[pytest.MonkeyPatch], None], Callable[[], object]]] = [
-    (mistakes.votes_without_recovery, schedule_run(runs.RESTARTED_VOTER)),
-    (mistakes.sends_before_record_is_written, schedule_run(runs.UNWRITTEN_RECORD, persists_records=True)),
-    (mistakes.accepts_replies_of_replaced_processes, schedule_run(runs.REPLACED_PROCESS)),
-    (mistakes.reuses_ballots, schedule_run(runs.REUSED_BALLOT)),
+    (mistakes.votes_without_recovery, schedule_run(schedules.RESTARTED_VOTER)),
+    (
+        mistakes.sends_before_record_is_written,
+        schedule_run(schedules.UNWRITTEN_RECORD, persists_records=True),
+    ),
+    (mistakes.accepts_replies_of_replaced_processes, schedule_run(schedules.REPLACED_PROCESS)),
+    (mistakes.reuses_ballots, schedule_run(schedules.REUSED_BALLOT)),
     (mistakes.forgets_promise_on_accept, lambda: RegisterExplorer(1, 0).run()),
     (mistakes.keeps_lease_over_pause, exploration(fault_kinds="cut stop")),
     (mistakes.ignores_conflicting_leases, exploration(fault_kinds="cut stop")),
@@ -116,10 +119,10 @@
 
 def test_schedules_pass_without_the_mistake() -> None:
     for schedule, persists_records in (
-        (runs.RESTARTED_VOTER, False),
-        (runs.UNWRITTEN_RECORD, True),
-        (runs.REPLACED_PROCESS, False),
-        (runs.REUSED_BALLOT, False),
+        (schedules.RESTARTED_VOTER, False),
+        (schedules.UNWRITTEN_RECORD, True),
+        (schedules.REPLACED_PROCESS, False),
+        (schedules.REUSED_BALLOT, False),
     ):
         schedule_run(schedule, persists_records)()
 
--- a/tests/peers/consensus/test_moves.py
+++ b/tests/peers/consensus/test_voter_changes.py
@@ -14,12 +14,12 @@
 from ironrail.peers.consensus.acceptor import Acceptor
 from ironrail.peers.consensus.lease import LeaseHolder
 from ironrail.peers.consensus.proposal import TargetState
-from tests.peers.consensus import moved
+from tests.peers.consensus import voter_change_mistakes as mistakes
+from tests.peers.consensus.deterministic_nodes import TICK_CONSTANTS
 from tests.peers.consensus.explorer import Bounds, Explorer
-from tests.peers.consensus.moves import INITIAL_STATE, VoterChangeExplorer
-from tests.peers.consensus.still import TICK_CONSTANTS
-from tests.peers.consensus.walk import walk
-from tests.peers.consensus.watching import InvariantViolation
+from tests.peers.consensus.invariants import InvariantViolation
+from tests.peers.consensus.random_walk import walk
+from tests.peers.consensus.voter_change_explorer import INITIAL_STATE, VoterChangeExplorer
 from tests.peers.consensus.world import World, policy
 
 TARGETS = {6: TargetState.JOINT, 7: TargetState.JOINT, 0: TargetState.JOINT}
@@ -57,19 +57,19 @@
 
 def run_competing_steps() -> int:
     return VoterChangeExplorer((3, 4, 5), {6: TargetState.NEW, 7: TargetState.OLD}).follow_schedule(
-        moved.COMPETING_STEPS
+        mistakes.COMPETING_STEPS
     )
 
 
 FOUND: list[tuple[Callable[[pytest.MonkeyPatch], None], Callable[[], object]]] = [
-    (moved.requires_new_majority_only, run_competing_steps),
-    (moved.counts_all_voters_as_one_set, run_competing_steps),
-    (moved.counts_removed_voters, schedule_run(moved.REMOVED_VOTERS)),
-    (moved.ignores_discovered_voters, schedule_run(moved.REPEATED_FINAL_STEP, (0,))),
-    (moved.new_voter_votes_without_recovery, schedule_run(moved.RESTARTED_NEW_VOTER)),
-    (moved.recovers_from_configured_voters, schedule_run(moved.RESTARTED_NEW_VOTER)),
-    (moved.joint_lease_from_new_voters_only, lambda: walk(5, changes_voters=True)),
-    (moved.joint_lease_from_old_voters_only, lambda: walk(0, changes_voters=True)),
+    (mistakes.requires_new_majority_only, run_competing_steps),
+    (mistakes.counts_all_voters_as_one_set, run_competing_steps),
+    (mistakes.counts_removed_voters, schedule_run(mistakes.REMOVED_VOTERS)),
+    (mistakes.ignores_discovered_voters, schedule_run(mistakes.REPEATED_FINAL_STEP, (0,))),
+    (mistakes.new_voter_votes_without_recovery, schedule_run(mistakes.RESTARTED_NEW_VOTER)),
+    (mistakes.recovers_from_configured_voters, schedule_run(mistakes.RESTARTED_NEW_VOTER)),
+    (mistakes.joint_lease_from_new_voters_only, lambda: walk(5, changes_voters=True)),
+    (mistakes.joint_lease_from_old_voters_only, lambda: walk(0, changes_voters=True)),
 ]
 
 
@@ -81,10 +81,10 @@
 
 
 def test_schedules_pass_without_the_mistake() -> None:
-    for schedule in (moved.REMOVED_VOTERS, moved.RESTARTED_NEW_VOTER):
+    for schedule in (mistakes.REMOVED_VOTERS, mistakes.RESTARTED_NEW_VOTER):
         assert schedule_run(schedule)()
-    assert run_competing_steps() and schedule_run(moved.REPEATED_FINAL_STEP, (0,))()
-    assert {mistake for mistake, _ in FOUND} == set(moved.ALL)
+    assert run_competing_steps() and schedule_run(mistakes.REPEATED_FINAL_STEP, (0,))()
+    assert {mistake for mistake, _ in FOUND} == set(mistakes.ALL)
 
 
 def run_change(
--- a/tests/peers/consensus/moves.py
+++ b/tests/peers/consensus/voter_change_explorer.py
@@ -8,8 +8,8 @@
 from ironrail.peers.consensus import policy as p
 from ironrail.peers.consensus.configuration import ConsensusConfig
 from ironrail.peers.consensus.proposal import Proposal, ProposalHandle, TargetState
-from tests.peers.consensus.votes import NOW, PAST, VOTERS, RegisterExplorer, State
-from tests.peers.consensus.watching import CONTEXT, FALLBACK, policy
+from tests.peers.consensus.invariants import CONTEXT, FALLBACK, policy
+from tests.peers.consensus.register_explorer import NOW, PAST, VOTERS, RegisterExplorer, State
 
 INITIAL_STATE = m.RegisterState(
     m.STEPS_PER_EPOCH, m.PolicyRef(1, p.digest(policy(1)), VOTERS), max_tried_version=1
--- a/tests/peers/consensus/world.py
+++ b/tests/peers/consensus/world.py
@@ -15,7 +15,7 @@
 from ironrail.peers.consensus.consensus_node import ConsensusNode
 from ironrail.peers.consensus.proposal import ProposalHandle
 from ironrail.peers.messages import Received, Topic
-from tests.peers.consensus.watching import (
+from tests.peers.consensus.invariants import (
     CONTEXT,
     FALLBACK,
     InvariantChecker,
--- a/tests/peers/fuzz/accord.py
+++ b/tests/peers/fuzz/accord.py
@@ -11,7 +11,7 @@
 from ironrail.peers.consensus.configuration import ConsensusConfig
 from ironrail.peers.consensus.consensus_node import ConsensusNode
 from ironrail.peers.messages import Received
-from tests.peers.consensus.watching import CONTEXT, FALLBACK, policy
+from tests.peers.consensus.invariants import CONTEXT, FALLBACK, policy
 from tests.peers.fuzz.base import Attack, idle, must, size_of
 from tests.peers.fuzz.bodies import spoil, spoil_packed
 
--- a/tests/peers/fuzz/papers.py
+++ b/tests/peers/fuzz/papers.py
@@ -19,7 +19,7 @@
 from ironrail.peers.consensus.errors import PolicyError
 from ironrail.peers.messages import Received
 from ironrail.policy.settings import RequestClass, Settings
-from tests.peers.consensus.watching import CONTEXT, policy
+from tests.peers.consensus.invariants import CONTEXT, policy
 from tests.peers.fuzz.accord import _samples
 from tests.peers.fuzz.base import EDGES, Attack, must
 from tests.peers.fuzz.bodies import spoil, spoil_packed
--- a/tests/peers/test_fuzz.py
+++ b/tests/peers/test_fuzz.py
@@ -25,7 +25,7 @@
 from ironrail.peers.zone_latency.reports import MOST_BODY, Report, encode
 from ironrail.peers.zone_latency.room import LatencyRoom
 from tests.peers import scenario
-from tests.peers.consensus.watching import CONTEXT, FALLBACK, policy
+from tests.peers.consensus.invariants import CONTEXT, FALLBACK, policy
 from tests.peers.fuzz.accord import Accord, _state
 from tests.peers.fuzz.base import Attack, Make, run, size_of
 from tests.peers.fuzz.gossip import Latency, OfRegions
