--- a/ironrail/peers/consensus/message_handler.py
+++ b/ironrail/peers/consensus/message_handler.py
@@ -236,7 +236,7 @@
             if self.lease_holder.is_renewed(self._lease_voter_sets()):
                 self._on_lease_renewed(now)
             if has_moved and self.lease_holder.current:
-                # tells the voters at once that it decides in the new state
+                # notifies the voters at once that it decides in the new state
                 self._send_lease_request(now)
                 self._forward_decision(
                     self.lease_holder.current,
--- a/ironrail/peers/consensus/node_state.py
+++ b/ironrail/peers/consensus/node_state.py
@@ -289,7 +289,7 @@
                 m.LeaseReply(lease_request.sequence, granted, False, 0, newer_state, delegated_seconds),
             )
         if is_new_head or (had_lagging_member and not self._has_lagging_member(now)):
-            # tells the voters at once that no member lags behind any more
+            # notifies the voters at once that no member lags behind any more
             self._send_lease_request(now)
 
     def _has_lagging_member(self, now: float) -> bool:
