--- a/benchmarks/accord_memory.py
+++ b/benchmarks/accord_memory.py
@@ -22,7 +22,7 @@
     return pages * 4096 / 2**20
 
 
-async def one(routers: int, me: int, peers: bool, with_map_and_regions: bool) -> None:
+async def one(routers: int, own_index: int, peers: bool, with_map_and_regions: bool) -> None:
     """Print the resident memory; `with_map_and_regions`: with zone latency and steering too."""
     import uvloop  # noqa: F401, PLC0415 - as the daemon has it
 
@@ -37,14 +37,16 @@
         addresses = [f"127.{64 + n % 128}.{n // 128}.1:11311" for n in range(routers)]
         table = {
             "listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "operator": "127.0.0.1:3", "seed": "1",
-            "settings": {"me": me, "family": "cache", "classes": [CLASS], "skus": ["x"], "siblings": routers},
-            "peer_listen": addresses[me], "peers": addresses,
+            "settings": {
+                "me": own_index, "family": "cache", "classes": [CLASS], "skus": ["x"], "siblings": routers,
+            },
+            "peer_listen": addresses[own_index], "peers": addresses,
         }  # fmt: skip
-        halls = tuple(f"hall-{n % 8}" for n in range(routers))
+        zones = tuple(f"hall-{n % 8}" for n in range(routers))
         peers_of = PeerSettings(
             key_files={1: __file__ + ".key"},
             sending_key_id=1,
-            zones=halls,
+            zones=zones,
             voters=(0, 1, 2),
             zone_latency_map=with_map_and_regions,
         )
@@ -58,9 +60,9 @@
 CLASS = {"name": "read", "aim": 0.8, "giveUp": 1.5, "effect": "free", "value": 3.0}
 
 
-def measure(routers: int, me: int, peers: bool, with_map_and_regions: bool = False) -> float:
+def measure(routers: int, own_index: int, peers: bool, with_map_and_regions: bool = False) -> float:
     """Measure in a process of its own."""
-    args = f"{routers}, {me}, {peers}, {with_map_and_regions}"
+    args = f"{routers}, {own_index}, {peers}, {with_map_and_regions}"
     call = f"import asyncio; from benchmarks.accord_memory import one; asyncio.run(one({args}))"
     return float(subprocess.run([sys.executable, "-c", call], capture_output=True, check=True).stdout)
 
@@ -77,9 +79,9 @@
     key.write_bytes(b"a key of all routers")
     try:
         without = median(measure(args.routers, 0, False) for _ in range(args.runs))
-        for name, me in (("plain", args.routers - 1), ("voter", 0)):
+        for name, own_index in (("plain", args.routers - 1), ("voter", 0)):
             policies_only, all_parts = (
-                median(measure(args.routers, me, True, with_map_and_regions) for _ in range(args.runs))
+                median(measure(args.routers, own_index, True, with_map_and_regions) for _ in range(args.runs))
                 for with_map_and_regions in (False, True)
             )
             print(
--- a/benchmarks/accord_plans.py
+++ b/benchmarks/accord_plans.py
@@ -52,13 +52,13 @@
         self.faults = draw_faults(self.scenario, seed, FAULT_PHASE_SECONDS, VOTERS)
         self.asked = draw_changes(self.scenario, seed, CHANGE_PHASE_SECONDS)
         self.changes: list[dict[str, Any]] = []
-        self.told: dict[str, Any] = {"agreed": None}
+        self.row: dict[str, Any] = {"agreed": None}
 
     async def run(self, stage: Stage) -> None:
         clock = stage.rehearsal.now
         before = clock()
         await stage.found(stage.routers[0])
-        self.told["founded_in"] = round(clock() - before, 2)
+        self.row["founded_in"] = round(clock() - before, 2)
         began = clock()
         changes = [asyncio.ensure_future(self._change(stage, began, one)) for one in self.asked]
         await stage.carry(self.faults)
@@ -67,23 +67,23 @@
         try:
             async with asyncio.timeout(AGREEMENT_TIMEOUT_SECONDS):
                 await asyncio.gather(*changes)
-                self.told["agreed"] = await stage.same(*stage.routers, within=AGREEMENT_TIMEOUT_SECONDS)
+                self.row["agreed"] = await stage.same(*stage.routers, within=AGREEMENT_TIMEOUT_SECONDS)
         except TimeoutError:
-            self.told["pages"] = {name: await stage.policy(name) for name in stage.routers}
-        self.told["agreed_in"] = round(clock() - ended, 2)
+            self.row["pages"] = {name: await stage.policy(name) for name in stage.routers}
+        self.row["agreed_in"] = round(clock() - ended, 2)
 
     async def _change(self, stage: Stage, began: float, asked: Asked) -> None:
         clock = stage.rehearsal.now
         await asyncio.sleep(max(0.0, began + asked.at - clock()))
-        told: dict[str, Any] = {"at": asked.at, "router": asked.router, "version": asked.version}
-        self.changes.append(told)
+        row: dict[str, Any] = {"at": asked.at, "router": asked.router, "version": asked.version}
+        self.changes.append(row)
         at = clock()
-        told["answer"], text = await stage.propose(asked.router, asked.version)
-        if told["answer"] not in (0, 202):
-            told["end"], told["why"] = "not taken", text.strip()
+        row["answer"], text = await stage.propose(asked.router, asked.version)
+        if row["answer"] not in (0, 202):
+            row["end"], row["why"] = "not taken", text.strip()
         else:  # 0: nobody replied in time, and yet the change may have begun
-            told |= await self._ended(stage, asked)
-        told["took"] = round(clock() - at, 2)
+            row |= await self._ended(stage, asked)
+        row["took"] = round(clock() - at, 2)
 
     async def _ended(self, stage: Stage, asked: Asked) -> dict[str, Any]:
         """Return what the router reports of a change; it forgets that if its process is killed."""
@@ -108,8 +108,8 @@
             found.append(f"refused and in force: {change}")
         if end == "not taken" and any(version in one.versions for one in stage.seen):
             found.append(f"not taken and decided by: {change}")
-        if end == "in force" and (driver.told["agreed"] or version) < version:
-            found.append(f"in force and gone: {change}, agreed on {driver.told['agreed']}")
+        if end == "in force" and (driver.row["agreed"] or version) < version:
+            found.append(f"in force and gone: {change}, agreed on {driver.row['agreed']}")
     return found
 
 
@@ -117,11 +117,11 @@
     """Return the longest stall of each process in seconds, caused by a fault or by the machine."""
     found: dict[str, float] = {}
     for name, text in result.logs.items():
-        told = [
+        stall_rows = [
             json.loads(row) for row in text.splitlines() if '"stood_still"' in row and row.startswith("{")
         ]
-        if told:
-            found[name] = max(row["seconds"] for row in told)
+        if stall_rows:
+            found[name] = max(row["seconds"] for row in stall_rows)
     return found
 
 
@@ -132,7 +132,7 @@
         "seed": seed,
         "faults": [f"{f.at:g}+{f.lasts:g} {f.label()}" for f in driver.faults],
         "changes": driver.changes,
-        **driver.told,
+        **driver.row,
         "mixed": len(stage.mixed()),
         "wrong": promises[:5],
         "looks": len(stage.seen),
@@ -153,13 +153,13 @@
     with tempfile.TemporaryDirectory(prefix="accord-") as folder:
         kwargs: dict[str, Any] = {"scenario": driver.scenario, "seed": seed, "times": CONSENSUS_TIMES}
         stage, result = play(Path(folder), [], 0.0, driver.run, foreseen=driver.faults, **kwargs)
-    told = result_line(seed, stage, result, driver, time.monotonic() - began)
-    if logs is not None and (told["wrong"] or told["rules"] or told["crashed"] or told["agreed"] is None):
+    row = result_line(seed, stage, result, driver, time.monotonic() - began)
+    if logs is not None and (row["wrong"] or row["rules"] or row["crashed"] or row["agreed"] is None):
         logs.mkdir(parents=True, exist_ok=True)
         for name, text in result.logs.items():
             (logs / f"{seed}-{name}.log").write_text(text)
         (logs / f"{seed}-seen.jsonl").write_text("".join(f"{one}\n" for one in stage.seen))
-    return told
+    return row
 
 
 def play_in_subprocess(seed: int, logs: Path) -> dict[str, Any]:
@@ -176,8 +176,8 @@
         return {"seed": seed, "failed": f"hung: not over after {RUN_TIMEOUT_SECONDS:g} s"}
     if child.returncode:
         return {"seed": seed, "failed": f"exit code {child.returncode}: {err.strip()[-1500:]}"}
-    told: dict[str, Any] = json.loads(out.splitlines()[-1])
-    return told
+    row: dict[str, Any] = json.loads(out.splitlines()[-1])
+    return row
 
 
 def read_results(file: Path) -> dict[int, dict[str, Any]]:
@@ -185,20 +185,20 @@
     found = {}
     for text in file.read_text().splitlines() if file.exists() else []:
         try:
-            told = json.loads(text)
+            row = json.loads(text)
         except ValueError:
             continue
-        found[told["seed"]] = told
+        found[row["seed"]] = row
     return found
 
 
 def print_summary(lines: list[dict[str, Any]]) -> None:
     """Print a summary."""
-    done = [told for told in lines if "failed" not in told]
-    broke = [told["seed"] for told in done if told["wrong"]]
-    ends = Counter(change.get("end", "open") for told in done for change in told["changes"])
-    took = [c["took"] for told in done for c in told["changes"] if c.get("end") == "in force"]
-    agreed = [told["agreed_in"] for told in done if told["agreed"] is not None]
+    done = [row for row in lines if "failed" not in row]
+    broke = [row["seed"] for row in done if row["wrong"]]
+    ends = Counter(change.get("end", "open") for row in done for change in row["changes"])
+    took = [c["took"] for row in done for c in row["changes"] if c.get("end") == "in force"]
+    agreed = [row["agreed_in"] for row in done if row["agreed"] is not None]
     print(
         f"{len(lines)} plans, {len(lines) - len(done)} crashed or hung, {sum(t['looks'] for t in done)} looks"
     )
@@ -207,13 +207,13 @@
     for what, times in (("in force after", took), ("agreed after the last fault within", agreed)):
         if times:
             print(f"{what}: half {median(times):.1f} s, most {max(times):.1f} s")
-    counted = [told for told in done if not told["no_verdict"]]
-    rules = [told["seed"] for told in counted if told["rules"]]
+    counted = [row for row in done if not row["no_verdict"]]
+    rules = [row["seed"] for row in counted if row["rules"]]
     print(f"verdict of the rehearsal: {len(counted)}, a rule broken in {len(rules)}; machine too busy: rest")
-    for told in lines:
-        if "failed" in told or told["wrong"] or told["agreed"] is None or told["crashed"] or told["rules"]:
-            about = {k: told[k] for k in ("failed", "wrong", "rules", "crashed", "agreed") if told.get(k)}
-            print(f"  seed {told['seed']}: {about}")
+    for row in lines:
+        if "failed" in row or row["wrong"] or row["agreed"] is None or row["crashed"] or row["rules"]:
+            about = {k: row[k] for k in ("failed", "wrong", "rules", "crashed", "agreed") if row.get(k)}
+            print(f"  seed {row['seed']}: {about}")
 
 
 def main() -> None:
--- a/benchmarks/accord_service.py
+++ b/benchmarks/accord_service.py
@@ -91,8 +91,8 @@
             "caches": {"count": 2 * routers, "cores": 2},
         }
     )
-    halls = tuple(hall_of(scenario, n) for n in range(routers))
-    peers = Known(key_files={1: ""}, sending_key_id=1, zones=halls, voters=(0, 1, 2), start_mode="floor")
+    zones = tuple(hall_of(scenario, n) for n in range(routers))
+    peers = Known(key_files={1: ""}, sending_key_id=1, zones=zones, voters=(0, 1, 2), start_mode="floor")
     plan: list[LinkFault] = [link_fault("delay", "routers <> routers", 0.0, length, 0.001, 0.099)]
     rehearsals: list[ChangingRehearsal] = []
 
