--- a/ironrail/net/peers/admin_documents.py
+++ b/ironrail/net/peers/admin_documents.py
@@ -38,10 +38,10 @@
     fields = parse_toml(body)
     voters = fields.pop("voters", None)
     if voters is None:
-        return p.read(fields), ()
+        return p.parse(fields), ()
     if not isinstance(voters, list) or any(type(voter) is not int for voter in voters) or not voters:
         raise VotersError("must be a non-empty list of router indices", "voters")
-    policy = p.read(fields)
+    policy = p.parse(fields)
     if fields.keys() == {"version"}:
         policy = msgspec.structs.replace(policy_in_force(), version=policy.version)
     return policy, tuple(voters)
--- a/ironrail/net/peers/client_steering.py
+++ b/ironrail/net/peers/client_steering.py
@@ -273,8 +273,8 @@
         if len(decided.versions) != 1 or decided.policy is None:
             return  # another change is under way, or none is possible
         policy = decided.policy
-        rest = msgspec.structs.replace(policy, steering={}, version=p.MOST_VERSION)
-        max_rows_bytes = min(DEFAULT_LIMITS.max_rows_bytes, p.MOST_DOCUMENT - len(p.encode(rest)) - 2)
+        rest = msgspec.structs.replace(policy, steering={}, version=p.MAX_VERSION)
+        max_rows_bytes = min(DEFAULT_LIMITS.max_rows_bytes, p.MAX_DOCUMENT_BYTES - len(p.encode(rest)) - 2)
         limits = replace(
             DEFAULT_LIMITS, exploration_ratio=self._peers.exploration_ratio, max_rows_bytes=max_rows_bytes
         )
--- a/ironrail/net/peers/policies.py
+++ b/ironrail/net/peers/policies.py
@@ -24,7 +24,7 @@
 from ironrail.operator_file import OperatorError, PeerSettings
 from ironrail.peers.consensus import policy as p
 from ironrail.peers.consensus.configuration import ConsensusConfig
-from ironrail.peers.consensus.consensus_node import ConsensusNode, DecidedBy
+from ironrail.peers.consensus.consensus_node import ConsensusNode, EffectivePolicy
 from ironrail.peers.consensus.errors import UnreadyError
 from ironrail.peers.consensus.messages import read_record
 from ironrail.peers.consensus.proposal import ProposalHandle
@@ -65,19 +65,21 @@
     if not path:
         return p.Policy(version=INITIAL_POLICY_VERSION)
     try:
-        return p.read(tomllib.loads(Path(path).read_text()))
+        return p.parse(tomllib.loads(Path(path).read_text()))
     except OSError as e:
         raise OperatorError(e.strerror or str(e), path) from e
     except (ValueError, InputError) as e:  # invalid TOML, UTF-8 or policy
         raise OperatorError(str(e), path) from e
 
 
-def policy_facts(settings: Settings, peers: PeerSettings, regions: Collection[str] = ()) -> p.Facts:
+def policy_facts(
+    settings: Settings, peers: PeerSettings, regions: Collection[str] = ()
+) -> p.ValidationContext:
     """Return what this router validates policies against.
 
     Titles come with requests, so a policy may name any.
     """
-    return p.Facts(frozenset(settings.classes), None, frozenset(peers.zones), frozenset(regions))
+    return p.ValidationContext(frozenset(settings.classes), None, frozenset(peers.zones), frozenset(regions))
 
 
 class Policies:
@@ -113,12 +115,12 @@
         """
         self._publish, self._now, self._flush = publish, now, flush
         conf = ConsensusConfig(
-            router=identity.own_index,
-            start=identity.incarnation,
+            own_index=identity.own_index,
+            incarnation=identity.incarnation,
             routers=len(peers.zones),
             voters=peers.voters,
             lease_seconds=peers.lease_milliseconds / 1000,
-            max_clock_drift=peers.max_clock_drift_ratio,
+            max_clock_drift_ratio=peers.max_clock_drift_ratio,
             persists_records=store is not None,
             starts_on_fallback=peers.start_mode == "floor",
         )
@@ -131,7 +133,7 @@
         self._record_writer = (
             RecordWriter(store, RECORD_NAME, self._on_record_written) if store is not None else None
         )
-        self._published: DecidedBy | None = None
+        self._published: EffectivePolicy | None = None
         self._valid_until = -math.inf  # when the effective policy has to be checked again
         self.latest_proposal: ProposalHandle | None = None
 
@@ -174,11 +176,11 @@
         if decided == self._published:
             return
         before, self._published = self._published, decided
-        policy = decided.policy or self.protocol.library.fallback
+        policy = decided.policy or self.protocol.document_store.fallback
         log.info(
             "decides_by", extra={"versions": list(decided.versions), "ready": decided.policy is not None}
         )
-        if before is None or policy != (before.policy or self.protocol.library.fallback):
+        if before is None or policy != (before.policy or self.protocol.document_store.fallback):
             self._publish(PolicyOverridesChanged(policy.emptied, policy.shed, policy.further, policy.rates))
 
     def _on_record_written(self, token: int, error: OSError | None) -> None:
@@ -196,7 +198,7 @@
 
     # Steering
 
-    def in_force(self) -> DecidedBy:
+    def in_force(self) -> EffectivePolicy:
         """Return the effective policy with its versions."""
         return self.protocol.effective_policy(self._now())
 
@@ -207,10 +209,10 @@
             RejectedError: No proposal can be made now.
             PolicyError: The rows are invalid.
         """
-        known, policy = self.protocol.known, self.in_force().policy
+        known, policy = self.protocol.latest_decided, self.in_force().policy
         if known is None or policy is None:
             raise UnreadyError("there is no policy in force", "steering")
-        version = max(known.tried, policy.version) + 1
+        version = max(known.max_tried_version, policy.version) + 1
         self.latest_proposal = self.protocol.propose(
             self._now(), msgspec.structs.replace(policy, version=version, steering=rows)
         )
@@ -232,7 +234,7 @@
         status: dict[str, Any] = {
             "versions": list(decided.versions),
             "ready": decided.policy is not None,
-            "voters": self.protocol.voters_now(),
+            "voters": self.protocol.current_voter_sets(),
             "lease_left": round(ends - now, 3) if ends > now and ends < math.inf else None,
             "policy": admin_documents.policy_fields(decided.policy),
             "troubles": [error.with_advice() for error in self.protocol.faults(now)],
@@ -294,7 +296,7 @@
             epoch = fields.pop("epoch", None)
             if not isinstance(epoch, int) or isinstance(epoch, bool):
                 raise InputError("must be an integer that was never used before", "epoch")
-            self.protocol.bootstrap(self._now(), epoch, p.read(fields))
+            self.protocol.bootstrap(self._now(), epoch, p.parse(fields))
         except InputError as e:
             return admin_documents.text_response(400, e.with_advice())
         self._flush()
--- a/ironrail/net/peers/runtime.py
+++ b/ironrail/net/peers/runtime.py
@@ -142,7 +142,9 @@
             self.transport.register(component.protocol)
         # Only routers that talk to voters start handshakes with them: a voter answers 25 a second.
         self._handshake_peers = (
-            self.policies.protocol.path.sources(system.now()) if self.policies is not None else ()
+            self.policies.protocol.lease_routing.document_sources(system.now())
+            if self.policies is not None
+            else ()
         )
 
     def attach_listener(self, clients: ClientListener) -> None:
--- a/tests/peers/fuzz/consensus_target.py
+++ b/tests/peers/fuzz/consensus_target.py
@@ -11,7 +11,7 @@
 from ironrail.peers.consensus.configuration import ConsensusConfig
 from ironrail.peers.consensus.consensus_node import ConsensusNode
 from ironrail.peers.messages import Received
-from tests.peers.consensus.watching import FACTS, FLOOR, policy
+from tests.peers.consensus.invariants import CONTEXT, FALLBACK, policy
 from tests.peers.fuzz.harness import FuzzTarget, idle, must, size_of
 from tests.peers.fuzz.mutations import mutate, mutate_msgpack
 
@@ -68,7 +68,7 @@
             max_direct_routers=self.rng.choice((32, 4)),
             persists_records=disk,
         )
-        return ConsensusNode(conf, FACTS, FLOOR, self.now, conf.start, record)
+        return ConsensusNode(conf, CONTEXT, FALLBACK, self.now, conf.incarnation, record)
 
     def take_effects(self, router_index: int) -> None:
         """Take a node's records and messages; messages to routers without a node are lost."""
@@ -87,11 +87,11 @@
 
     def deliver(self, to: int, sender: int, incarnation: int, body: bytes) -> None:
         node = self.nodes[to]
-        before, known = node.unusable, node.known
+        before, known = node.unusable, node.latest_decided
         self.bytes_received += len(body)
         self.timed(node.on_message, self.now, Received(sender, incarnation, body))
         if node.unusable > before:
-            must(node.known is known, "changed state for an unusable message")
+            must(node.latest_decided is known, "changed state for an unusable message")
         self.take_effects(to)
 
     def step(self) -> None:
@@ -167,16 +167,21 @@
             node.effective_until(self.now)
             decided = node.effective_policy(self.now)
             must(
-                decided.policy is None or p.check(decided.policy, FACTS) is None,
+                decided.policy is None or p.check(decided.policy, CONTEXT) is None,
                 "an invalid policy is effective",
             )
-            documents = node.library._documents
+            documents = node.document_store._documents
             must(all(p.digest(d) == name for name, d in documents.items()), "a document under a wrong digest")
             must(len(documents) <= MAX_DOCUMENTS, f"documents without end = {len(documents)}")
-            must(len(node.lent.entries) <= 4 * self.routers, "incarnations without end")
-            if node.voter:
-                must(len(node.voter.grants.entries) <= 4 * self.routers, "incarnations without end")
-                must(len(node.voter._held) <= MAX_HELD, f"held without end = {len(node.voter._held)}")
+            must(len(node.delegated_leases.entries) <= 4 * self.routers, "incarnations without end")
+            if node.acceptor:
+                must(
+                    len(node.acceptor.granted_leases.entries) <= 4 * self.routers, "incarnations without end"
+                )
+                must(
+                    len(node.acceptor._deferred_messages) <= MAX_HELD,
+                    f"held without end = {len(node.acceptor._deferred_messages)}",
+                )
             node.take_records()
             must((size := size_of(node)) < MAX_NODE_BYTES, f"bytes without end = {size} at {router_index}")
             self.now = max(self.now, idle(node, self.now))
@@ -184,13 +189,15 @@
 
 def random_state(rng: random.Random, wanted: p.Policy) -> m.RegisterState:
     ref = m.PolicyRef(wanted.version, p.digest(wanted))
-    return m.RegisterState(rng.choice((1, 2, 3)) * m.EPOCH + rng.randrange(4), ref, tried=ref.version)
+    return m.RegisterState(
+        rng.choice((1, 2, 3)) * m.STEPS_PER_EPOCH + rng.randrange(4), ref, max_tried_version=ref.version
+    )
 
 
 def sample_messages() -> list[m.Message]:
     """Return a message of each type, so that none has to occur by chance."""
     ref, ballot = m.PolicyRef(2, bytes(16)), m.Ballot(1, 1, 3, 1)
-    state = m.RegisterState(m.EPOCH + 1, ref, m.PolicyRef(3, b"x" * 16), 3, (3, 1))
+    state = m.RegisterState(m.STEPS_PER_EPOCH + 1, ref, m.PolicyRef(3, b"x" * 16), 3, (3, 1))
     seen = ((0, 1), (1, 1), (2, 1))
     accepted, note = m.AcceptorState(ballot, ballot, state), m.ScopedStep(state.step, state.scope)
     return [
--- a/tests/peers/fuzz/document_targets.py
+++ b/tests/peers/fuzz/document_targets.py
@@ -19,7 +19,7 @@
 from ironrail.peers.consensus.errors import PolicyError
 from ironrail.peers.messages import Received
 from ironrail.policy.settings import RequestClass, Settings
-from tests.peers.consensus.watching import FACTS, policy
+from tests.peers.consensus.invariants import CONTEXT, policy
 from tests.peers.fuzz.consensus_target import sample_messages
 from tests.peers.fuzz.harness import EDGES, FuzzTarget, must
 from tests.peers.fuzz.mutations import mutate, mutate_msgpack
@@ -49,11 +49,11 @@
     def __init__(self, rng: random.Random) -> None:
         super().__init__(rng)
         self.folder = tempfile.TemporaryDirectory()
-        self.store, self.path = (
+        self.store, self.lease_routing = (
             FolderStore(Path(self.folder.name)),
             Path(self.folder.name) / policies.RECORD_NAME,
         )
-        accepted = [one.vouched for one in sample_messages() if isinstance(one, m.Promise)]
+        accepted = [one.acceptor_state for one in sample_messages() if isinstance(one, m.Promise)]
         self.runner = asyncio.Runner()
         self.whole = [msgspec.msgpack.encode(v) for v in (*accepted, m.AcceptorState())]
 
@@ -63,13 +63,13 @@
         self.bytes_received += len(record)
         if rng.random() < 0.5:
             mutated = mutate(rng, record_file(record), [record_file(other) for other in self.whole])
-            self.path.write_bytes(mutated)
+            self.lease_routing.write_bytes(mutated)
             try:
                 must(self.store.read(policies.RECORD_NAME) in self.whole, "a record that was not written")
             except RecordError:
                 return
         else:
-            self.path.write_bytes(
+            self.lease_routing.write_bytes(
                 record_file(mutate_msgpack(rng, mutate(rng, record, self.whole), self.whole))
             )
         self.timed(self.runner.run, self._start())
@@ -113,7 +113,7 @@
     def __init__(self, rng: random.Random) -> None:
         super().__init__(rng)
         self.whole = [
-            p.encode(p.read(admin_documents.parse_toml(text.replace(b"epoch = 1", b"")))) for text in TEXTS
+            p.encode(p.parse(admin_documents.parse_toml(text.replace(b"epoch = 1", b"")))) for text in TEXTS
         ]
         self.whole += [p.encode(policy(3)), p.encode(p.Policy(1))]
 
@@ -126,16 +126,16 @@
             decoded = self.timed(p.decode, data)
         except PolicyError:
             return
-        must(p.encode(decoded) == data and p.normal(decoded) == decoded, "another encoding")
-        if p.check(decoded, FACTS) is None:
+        must(p.encode(decoded) == data and p.normalize(decoded) == decoded, "another encoding")
+        if p.check(decoded, CONTEXT) is None:
             other = policy(5)
             must(
-                p.merge_conservatively(decoded, other, FACTS)
-                == p.merge_conservatively(other, decoded, FACTS),
+                p.merge_conservatively(decoded, other, CONTEXT)
+                == p.merge_conservatively(other, decoded, CONTEXT),
                 "a merge that depends on the order",
             )
             must(
-                p.merge_conservatively(decoded, decoded, FACTS) == decoded,
+                p.merge_conservatively(decoded, decoded, CONTEXT) == decoded,
                 "a merge with itself that is another",
             )
 
@@ -162,4 +162,4 @@
         self.bytes_sent += len(response.body)
         must(len(response.body) < 3000, f"a long response = {len(response.body)}")
         must(self.policies.page().status == 200, "no page")
-        must(len(self.policies.protocol.library._documents) <= 16, "documents without end")
+        must(len(self.policies.protocol.document_store._documents) <= 16, "documents without end")
--- a/tests/peers/test_fuzz.py
+++ b/tests/peers/test_fuzz.py
@@ -13,10 +13,10 @@
 from ironrail.net.peers.record_store import FolderStore, RecordError
 from ironrail.peers.consensus import messages as m
 from ironrail.peers.consensus import policy as p
-from ironrail.peers.consensus.acceptor import MOST_HELD
+from ironrail.peers.consensus.acceptor import MAX_DEFERRED_MESSAGES
 from ironrail.peers.consensus.configuration import ConsensusConfig
 from ironrail.peers.consensus.consensus_node import ConsensusNode
-from ironrail.peers.consensus.document_store import MOST_KEPT
+from ironrail.peers.consensus.document_store import MAX_DOCUMENTS
 from ironrail.peers.consensus.errors import RecordFormError
 from ironrail.peers.messages import Received
 from ironrail.peers.steering import reports as regions
@@ -25,7 +25,7 @@
 from ironrail.peers.zone_latency.protocol import ZoneLatencyProtocol
 from ironrail.peers.zone_latency.reports import MAX_BODY_BYTES, LinkReport, encode
 from tests.peers import scenario
-from tests.peers.consensus.watching import FACTS, FLOOR, policy
+from tests.peers.consensus.invariants import CONTEXT, FALLBACK, policy
 from tests.peers.fuzz.consensus_target import ConsensusTarget, random_state
 from tests.peers.fuzz.document_targets import (
     AdminPostTarget,
@@ -71,13 +71,13 @@
 
 def make_voter(disk: bool = False, record: bytes | None = None) -> ConsensusNode:
     return ConsensusNode(
-        ConsensusConfig(0, 1, 5, (0, 1, 2), persists_records=disk), FACTS, FLOOR, 0.0, 1, record
+        ConsensusConfig(0, 1, 5, (0, 1, 2), persists_records=disk), CONTEXT, FALLBACK, 0.0, 1, record
     )
 
 
 def voter_with_state(disk: bool) -> ConsensusNode:
     first = m.Ballot(1)
-    state = m.RegisterState(m.EPOCH, m.PolicyRef(1, p.digest(policy(1))), tried=1)
+    state = m.RegisterState(m.STEPS_PER_EPOCH, m.PolicyRef(1, p.digest(policy(1))), max_tried_version=1)
     return make_voter(disk, msgspec.msgpack.encode(m.AcceptorState(first, first, state)))
 
 
@@ -95,17 +95,17 @@
         node.on_message(0.0, Received(3, 9, m.encode(accept)))
         node.on_message(0.0, Received(3, 9, m.encode(m.Document(p.encode(document)))))
         node.take_outgoing()
-    assert len(node.library._documents) == MOST_KEPT
-    assert node.library.get(p.digest(requested[-1]))
+    assert len(node.document_store._documents) == MAX_DOCUMENTS
+    assert node.document_store.get(p.digest(requested[-1]))
 
 
 def test_documents_of_failed_proposals_are_bounded_and_needed_ones_stay() -> None:
     policies = make_policies(None)
     for version in range(1, 200):
         policies.bootstrap(b"epoch = 1\nversion = %d\n" % version)
-    assert len(policies.protocol.library._documents) <= MOST_KEPT
-    offered = policies.protocol.voter.offer if policies.protocol.voter else None
-    assert offered and not policies.protocol.library.missing([offered])
+    assert len(policies.protocol.document_store._documents) <= MAX_DOCUMENTS
+    offered = policies.protocol.acceptor.offered_state if policies.protocol.acceptor else None
+    assert offered and not policies.protocol.document_store.missing([offered])
 
 
 def test_a_voter_holds_a_bounded_number_of_messages_while_its_disk_hangs() -> None:
@@ -113,19 +113,29 @@
     for number in range(1, 1000):
         node.on_message(0.0, Received(3, 9, m.encode(m.Prepare(m.Ballot(1, number, 3, 9)))))
     writes = node.take_records()
-    assert node.voter and len(node.voter._held) == MOST_HELD and not node.take_outgoing()
+    assert (
+        node.acceptor
+        and len(node.acceptor._deferred_messages) == MAX_DEFERRED_MESSAGES
+        and not node.take_outgoing()
+    )
     node.on_record_written(0.0, writes[-1].token)
     sent = [m.decode(outgoing.body) for outgoing in node.take_outgoing()]
-    assert len(sent) == MOST_HELD and isinstance(sent[-1], m.Promise) and sent[-1].ballot.number == 999
+    assert (
+        len(sent) == MAX_DEFERRED_MESSAGES
+        and isinstance(sent[-1], m.Promise)
+        and sent[-1].ballot.number == 999
+    )
 
 
 def test_a_refusal_too_long_for_a_promise_is_unusable() -> None:
     node = make_voter()
-    note = m.ScopedStep(m.EPOCH, (m.EPOCH + 1,))
-    request = m.LeaseRequest(1, note, None, 0, (3, m.EPOCH + 2, "x" * 81), None)
+    note = m.ScopedStep(m.STEPS_PER_EPOCH, (m.STEPS_PER_EPOCH + 1,))
+    request = m.LeaseRequest(1, note, None, 0, (3, m.STEPS_PER_EPOCH + 2, "x" * 81), None)
     node.on_message(0.0, Received(3, 9, m.encode(request)))
     assert node.unusable == 1
-    node.on_message(0.0, Received(3, 9, m.encode(msgspec.structs.replace(request, refuses=(3, 9, "x" * 80)))))
+    node.on_message(
+        0.0, Received(3, 9, m.encode(msgspec.structs.replace(request, rejection=(3, 9, "x" * 80))))
+    )
     assert node.unusable == 1
 
 
@@ -139,14 +149,14 @@
             m.read_record(record)
         store.write("accord", record)
         policies = make_policies(store)
-        assert not policies.protocol.voter.standing and b"Move the file away" in policies.page().body  # type: ignore[union-attr]
+        assert not policies.protocol.acceptor.is_voting and b"Move the file away" in policies.page().body  # type: ignore[union-attr]
         policies.stop()
     store.write("accord", msgspec.msgpack.encode(m.AcceptorState()))
     whole = (tmp_path / "accord").read_bytes()
     (tmp_path / "accord").write_bytes(whole[:-1])
     with pytest.raises(RecordError):
         store.read("accord")
-    assert make_policies(store).protocol.voter is not None
+    assert make_policies(store).protocol.acceptor is not None
 
 
 def test_posts_that_would_cost_the_parser_seconds_or_overflow_its_stack_are_refused() -> None:
@@ -212,18 +222,18 @@
 
 def test_memory_is_bounded_for_a_thousand_routers_with_many_incarnations() -> None:
     """Five incarnations of each within a lease, at a voter: entries, bytes, and the CPU of one more."""
-    node = ConsensusNode(ConsensusConfig(0, 1, 1000, (0, 1, 2)), FACTS, FLOOR, 0.0)
+    node = ConsensusNode(ConsensusConfig(0, 1, 1000, (0, 1, 2)), CONTEXT, FALLBACK, 0.0)
     note = m.ScopedStep(2**62, (2**62, 2**62))
     for incarnation in range(5):
         for router in range(3, 1000):
             request = m.LeaseRequest(1, note, note, 0, (router, 2**62, "\U0001f682" * 80), 999)
             node.on_message(0.0, Received(router, 2**47 + incarnation, m.encode(request)))
         node.take_outgoing()
-    assert node.voter and len(node.voter.grants.entries) == 4 * 997
+    assert node.acceptor and len(node.acceptor.granted_leases.entries) == 4 * 997
     assert size_of(node) < 6e6
     began = time.thread_time()
     for incarnation in range(200):
         node.on_message(1.0, Received(9, incarnation, m.encode(request)))
     assert time.thread_time() - began < 0.1  # a scan of all entries took 1 ms for each message
     node.on_message(1e6, Received(9, 1, m.encode(request)))
-    assert len(node.voter.grants.entries) == 4 * 997 - 3  # expired entries are removed
+    assert len(node.acceptor.granted_leases.entries) == 4 * 997 - 3  # expired entries are removed
--- a/tests/steering_router.py
+++ b/tests/steering_router.py
@@ -14,7 +14,7 @@
 from ironrail.net.peers import client_steering as driver
 from ironrail.operator_file import OperatorSettings, PeerSettings
 from ironrail.peers.consensus import policy as p
-from ironrail.peers.consensus.consensus_node import DecidedBy
+from ironrail.peers.consensus.consensus_node import EffectivePolicy
 from ironrail.peers.steering.cost_model import ZoneState
 from ironrail.peers.steering.migration import assign_zone
 from tests.net.lifecycle.test_handover import AdministeredWorld
@@ -62,10 +62,10 @@
         self, monkeypatch: pytest.MonkeyPatch, rows: Any, load: float = 1.0, version: int = 7
     ) -> None:
         """Put rows in force, with this load of the other zone, whose capacity is 10."""
-        decided = DecidedBy((version,), p.Policy(version, steering=rows))
+        decided = EffectivePolicy((version,), p.Policy(version, steering=rows))
 
         class InForce:
-            def in_force(self) -> DecidedBy:
+            def in_force(self) -> EffectivePolicy:
                 return decided
 
         zones = {"here": ZoneState(10.0, 1.0), "there": ZoneState(10.0, load)}
