--- a/benchmarks/browser_har.py
+++ b/benchmarks/browser_har.py
@@ -20,7 +20,7 @@
 from ironrail.rehearsal.load.schedule import Planned, make_schedule
 from ironrail.rehearsal.scenario.model import Scenario
 from ironrail.rehearsal.scenario.reader import parse_scenario
-from ironrail.rehearsal.standins.archive import Archive
+from ironrail.rehearsal.standins.origin_server import Archive
 from ironrail.rehearsal.standins.world import World
 
 SEED = 7
--- a/benchmarks/halls_worlds.py
+++ b/benchmarks/halls_worlds.py
@@ -30,7 +30,7 @@
 from ironrail.rehearsal.links.rig import LinkedRehearsal
 from ironrail.rehearsal.scenario.model import Scenario
 from ironrail.rehearsal.scenario.names import cache_names, hall_of, router_names
-from ironrail.rehearsal.standins.lanes import Way
+from ironrail.rehearsal.standins.delay_line import Way
 from ironrail.rehearsal.virtual.play import play_virtual
 
 LENGTH, AT, LASTS = 24.0, 6.0, 12.0  # seconds of load, and of the fault in it
--- a/ironrail/rehearsal/faults/carry.py
+++ b/ironrail/rehearsal/faults/carry.py
@@ -12,11 +12,11 @@
 from ironrail.rehearsal.ground import Router
 from ironrail.rehearsal.load.schedule import hot_router_share
 from ironrail.rehearsal.scenario.faults import Fault, FaultKind
-from ironrail.rehearsal.standins.archive import Archive
+from ironrail.rehearsal.standins.endpoint_list import Row
 from ironrail.rehearsal.standins.fleet import Fleet
-from ironrail.rehearsal.standins.front import Front
+from ironrail.rehearsal.standins.load_balancer import Front
+from ironrail.rehearsal.standins.origin_server import Archive
 from ironrail.rehearsal.standins.registry import Registry
-from ironrail.rehearsal.standins.rows import Row
 from ironrail.rehearsal.standins.world import World
 
 REPLIES = (
--- a/ironrail/rehearsal/ground.py
+++ b/ironrail/rehearsal/ground.py
@@ -15,7 +15,7 @@
 
 from ironrail.rehearsal.account.record import RouterFacts
 from ironrail.rehearsal.routers import Exit, RouterProcess
-from ironrail.rehearsal.standins.listening import Listen, SocketListening
+from ironrail.rehearsal.standins.listener import Listen, SocketListening
 
 READY_PATIENCE = 15.0  # seconds from its start until it answers `mn` with `MN`
 YES_PATIENCE = 6.0  # seconds from its start until a process that is to take over says yes
--- a/ironrail/rehearsal/links/datagrams.py
+++ b/ironrail/rehearsal/links/datagrams.py
@@ -14,7 +14,7 @@
 
 from ironrail.net.discovery.endpoint_list import read_address
 from ironrail.rehearsal.links.exchange import Exchange
-from ironrail.rehearsal.standins.listening import LOCAL
+from ironrail.rehearsal.standins.listener import LOCAL
 
 MOST_READ = 64 * 1024  # bytes: the longest datagram that there can be
 MOST_AT_ONCE = 200  # datagrams from one socket before others have their turn
--- a/ironrail/rehearsal/links/grounds.py
+++ b/ironrail/rehearsal/links/grounds.py
@@ -19,7 +19,7 @@
 from ironrail.rehearsal.routers import RouterProcess
 from ironrail.rehearsal.scenario.model import Scenario
 from ironrail.rehearsal.scenario.names import router_names
-from ironrail.rehearsal.standins.listening import Listen
+from ironrail.rehearsal.standins.listener import Listen
 from ironrail.rehearsal.virtual.datagrams import Datagrams
 from ironrail.rehearsal.virtual.ground import VirtualGround, VirtualRouter
 from ironrail.rehearsal.virtual.loop import VirtualLoop
--- a/ironrail/rehearsal/links/relay.py
+++ b/ironrail/rehearsal/links/relay.py
@@ -9,9 +9,9 @@
 import asyncio
 from typing import cast
 
-from ironrail.rehearsal.standins.door import Door, DoorConnection
-from ironrail.rehearsal.standins.lanes import reset
-from ironrail.rehearsal.standins.listening import Listen
+from ironrail.rehearsal.standins.delay_line import reset
+from ironrail.rehearsal.standins.faulty_endpoint import Door, DoorConnection
+from ironrail.rehearsal.standins.listener import Listen
 
 Address = tuple[str, int]
 LOOK = 0.05  # seconds between looks whether a router listens again
--- a/ironrail/rehearsal/links/rig.py
+++ b/ironrail/rehearsal/links/rig.py
@@ -32,8 +32,8 @@
 from ironrail.rehearsal.scenario.faults import Fault, FaultKind
 from ironrail.rehearsal.scenario.model import Scenario
 from ironrail.rehearsal.scenario.units import write_time
-from ironrail.rehearsal.standins.door import Door
-from ironrail.rehearsal.standins.lanes import Way
+from ironrail.rehearsal.standins.delay_line import Way
+from ironrail.rehearsal.standins.faulty_endpoint import Door
 from ironrail.rehearsal.virtual.play import Virtual, play_virtual
 
 SIGNALS = {
--- a/ironrail/rehearsal/processes.py
+++ b/ironrail/rehearsal/processes.py
@@ -15,9 +15,9 @@
 from ironrail.rehearsal.scenario.model import Scenario
 from ironrail.rehearsal.scenario.names import router_names
 from ironrail.rehearsal.settings import config_of
-from ironrail.rehearsal.standins.front import Front
+from ironrail.rehearsal.standins.endpoint_list import Row
+from ironrail.rehearsal.standins.load_balancer import Front
 from ironrail.rehearsal.standins.registry import Registry
-from ironrail.rehearsal.standins.rows import Row
 from ironrail.rehearsal.standins.world import World
 
 DOOR = 19000  # port of the first process's door for operators; of those that replace it the next ones
--- a/ironrail/rehearsal/run.py
+++ b/ironrail/rehearsal/run.py
@@ -20,10 +20,10 @@
 from ironrail.rehearsal.routers import OWN_ROUTER
 from ironrail.rehearsal.scenario.model import Scenario
 from ironrail.rehearsal.scenario.names import cache_names, hall_of, router_names
-from ironrail.rehearsal.standins.archive import Archive
 from ironrail.rehearsal.standins.clients import Clients
 from ironrail.rehearsal.standins.fleet import Fleet, make_caches, rows_of
-from ironrail.rehearsal.standins.front import Front, Seen
+from ironrail.rehearsal.standins.load_balancer import Front, Seen
+from ironrail.rehearsal.standins.origin_server import Archive
 from ironrail.rehearsal.standins.registry import Registry
 from ironrail.rehearsal.standins.world import World
 from ironrail.rehearsal.verdicts import judge
--- a/ironrail/rehearsal/standins/agent.py
+++ b/ironrail/rehearsal/standins/agent.py
@@ -12,12 +12,12 @@
 
 from ironrail.rehearsal.account.record import Call, ListCall
 from ironrail.rehearsal.scenario.faults import FaultKind
-from ironrail.rehearsal.standins.calls import JSON, AgentConnection, asked_of
-from ironrail.rehearsal.standins.desk import Desk
-from ironrail.rehearsal.standins.door import Door
+from ironrail.rehearsal.standins.agent_connection import JSON, AgentConnection, asked_of
+from ironrail.rehearsal.standins.call_queue import Desk
+from ironrail.rehearsal.standins.delivery import GONE, Telling
+from ironrail.rehearsal.standins.endpoint_list import Row, write_list
+from ironrail.rehearsal.standins.faulty_endpoint import Door
 from ironrail.rehearsal.standins.http import HttpRequest
-from ironrail.rehearsal.standins.rows import Row, write_list
-from ironrail.rehearsal.standins.telling import GONE, Telling
 from ironrail.rehearsal.standins.world import World
 
 GOES_ON = 0.2  # seconds after an answer within which the next call goes on with a watch
--- a/ironrail/rehearsal/standins/calls.py
+++ b/ironrail/rehearsal/standins/agent_connection.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 from urllib.parse import parse_qs, urlsplit
 
-from ironrail.rehearsal.standins.door import Door
+from ironrail.rehearsal.standins.faulty_endpoint import Door
 from ironrail.rehearsal.standins.http import HttpConnection, HttpRequest, write_response
 
 MOST_WAIT = 60.0  # seconds of a watch
--- a/ironrail/rehearsal/standins/cacheconnection.py
+++ b/ironrail/rehearsal/standins/cache_connection.py
@@ -7,8 +7,8 @@
 from typing import Protocol
 
 from ironrail.rehearsal.account.record import Attempt, Ended
-from ironrail.rehearsal.standins.door import Door, DoorConnection
-from ironrail.rehearsal.standins.meta import CommandReader, MetaCommand, NotMeta, seconds_told
+from ironrail.rehearsal.standins.faulty_endpoint import Door, DoorConnection
+from ironrail.rehearsal.standins.meta_protocol import CommandReader, MetaCommand, NotMeta, seconds_told
 from ironrail.rehearsal.standins.world import World
 
 
--- a/ironrail/rehearsal/standins/gridcache.py
+++ b/ironrail/rehearsal/standins/cache_server.py
@@ -7,12 +7,12 @@
 
 from ironrail.rehearsal.account.record import Ended, Fallen
 from ironrail.rehearsal.scenario.faults import FaultKind
-from ironrail.rehearsal.standins.cacheconnection import CacheConnection, Turn
-from ironrail.rehearsal.standins.door import Door
+from ironrail.rehearsal.standins.cache_connection import CacheConnection, Turn
+from ironrail.rehearsal.standins.faulty_endpoint import Door
 from ironrail.rehearsal.standins.replies import Replies
 from ironrail.rehearsal.standins.store import Store
-from ironrail.rehearsal.standins.warmth import Warmth
-from ironrail.rehearsal.standins.work import Job, Workplace
+from ironrail.rehearsal.standins.warm_up import Warmth
+from ironrail.rehearsal.standins.work_queue import Job, Workplace
 from ironrail.rehearsal.standins.world import World
 
 MISS_WORK = 0.1  # of the work of a request, to find that its key is not there
--- a/ironrail/rehearsal/standins/clientpool.py
+++ b/ironrail/rehearsal/standins/client_pool.py
@@ -7,7 +7,7 @@
 from typing import Any, Protocol, cast
 
 from ironrail.rehearsal.account.record import Given, Outcome, Try, value_digest
-from ironrail.rehearsal.standins.meta import Answer, AnswerReader, NotMeta
+from ironrail.rehearsal.standins.meta_protocol import Answer, AnswerReader, NotMeta
 from ironrail.rehearsal.standins.world import World
 
 CONNECT_PATIENCE = 0.5  # seconds for a connection to come up
--- a/ironrail/rehearsal/standins/clients.py
+++ b/ironrail/rehearsal/standins/clients.py
@@ -15,9 +15,9 @@
 from ironrail.rehearsal.draws import stream, token
 from ironrail.rehearsal.load.schedule import Planned
 from ironrail.rehearsal.scenario.model import Repeats, RequestClass
-from ironrail.rehearsal.standins.clientpool import ClientConnection, ClientPool
-from ironrail.rehearsal.standins.front import Front
-from ironrail.rehearsal.standins.meta import write_command
+from ironrail.rehearsal.standins.client_pool import ClientConnection, ClientPool
+from ironrail.rehearsal.standins.load_balancer import Front
+from ironrail.rehearsal.standins.meta_protocol import write_command
 from ironrail.rehearsal.standins.world import World
 
 CLIENTS_SHARE = 1 / 3  # of a router's descriptors: what all clients together open at it
--- a/ironrail/rehearsal/standins/telling.py
+++ b/ironrail/rehearsal/standins/delivery.py
@@ -12,7 +12,7 @@
 import math
 from collections.abc import Callable, Iterable, Iterator
 
-from ironrail.rehearsal.standins.rows import Row
+from ironrail.rehearsal.standins.endpoint_list import Row
 from ironrail.rehearsal.standins.world import World
 
 BROKEN = 6.0  # seconds after a call fell silent, or its answer was spoilt, until what it misses counts
--- a/ironrail/rehearsal/standins/door.py
+++ b/ironrail/rehearsal/standins/faulty_endpoint.py
@@ -12,8 +12,8 @@
 from collections.abc import Callable
 from typing import Any, cast
 
-from ironrail.rehearsal.standins.lanes import Lane, Way, reset
-from ironrail.rehearsal.standins.listening import Late, Listen, Listening, SocketListening
+from ironrail.rehearsal.standins.delay_line import Lane, Way, reset
+from ironrail.rehearsal.standins.listener import Late, Listen, Listening, SocketListening
 
 
 class DoorConnection(asyncio.Protocol):
--- a/ironrail/rehearsal/standins/fleet.py
+++ b/ironrail/rehearsal/standins/fleet.py
@@ -7,9 +7,9 @@
 
 from ironrail.rehearsal.account.record import Ended
 from ironrail.rehearsal.scenario.names import cache_names
-from ironrail.rehearsal.standins.gridcache import GridCache
+from ironrail.rehearsal.standins.cache_server import GridCache
+from ironrail.rehearsal.standins.endpoint_list import Row
 from ironrail.rehearsal.standins.registry import Registry
-from ironrail.rehearsal.standins.rows import Row
 from ironrail.rehearsal.standins.world import World
 
 KIND, ORIGIN_KIND = "cache", "origin"
--- a/ironrail/rehearsal/standins/http.py
+++ b/ironrail/rehearsal/standins/http.py
@@ -6,7 +6,7 @@
 
 import h11
 
-from ironrail.rehearsal.standins.door import Door, DoorConnection
+from ironrail.rehearsal.standins.faulty_endpoint import Door, DoorConnection
 
 MOST_BODY = 4 * 1024 * 1024  # bytes of a request, as the longest value has
 
--- a/ironrail/rehearsal/standins/archiveconnection.py
+++ b/ironrail/rehearsal/standins/origin_connection.py
@@ -6,7 +6,7 @@
 from typing import Protocol
 
 from ironrail.rehearsal.account.record import Attempt, Ended
-from ironrail.rehearsal.standins.door import Door
+from ironrail.rehearsal.standins.faulty_endpoint import Door
 from ironrail.rehearsal.standins.http import HttpConnection, HttpRequest
 from ironrail.rehearsal.standins.world import World
 
--- a/ironrail/rehearsal/standins/archive.py
+++ b/ironrail/rehearsal/standins/origin_server.py
@@ -9,12 +9,12 @@
 
 from ironrail.rehearsal.account.record import Attempt, Ended
 from ironrail.rehearsal.scenario.faults import FaultKind
-from ironrail.rehearsal.standins.archiveconnection import ArchiveConnection, Fetch
-from ironrail.rehearsal.standins.door import Door
+from ironrail.rehearsal.standins.corruption import spoil_http
+from ironrail.rehearsal.standins.faulty_endpoint import Door
 from ironrail.rehearsal.standins.http import HttpRequest
-from ironrail.rehearsal.standins.meta import info_of, seconds_told
+from ironrail.rehearsal.standins.meta_protocol import info_of, seconds_told
+from ironrail.rehearsal.standins.origin_connection import ArchiveConnection, Fetch
 from ironrail.rehearsal.standins.replies import RESET_AFTER
-from ironrail.rehearsal.standins.spoiling import spoil_http
 from ironrail.rehearsal.standins.world import World
 
 NOT_STARTED = ("Not-Started", "1")
--- a/ironrail/rehearsal/standins/registry.py
+++ b/ironrail/rehearsal/standins/registry.py
@@ -6,8 +6,8 @@
 
 from ironrail.rehearsal.scenario.faults import FaultKind
 from ironrail.rehearsal.standins.agent import Agent
-from ironrail.rehearsal.standins.desk import Desk
-from ironrail.rehearsal.standins.rows import Row
+from ironrail.rehearsal.standins.call_queue import Desk
+from ironrail.rehearsal.standins.endpoint_list import Row
 from ironrail.rehearsal.standins.world import World
 
 
--- a/ironrail/rehearsal/standins/replies.py
+++ b/ironrail/rehearsal/standins/replies.py
@@ -7,8 +7,8 @@
 
 from ironrail.rehearsal.account.record import Ended
 from ironrail.rehearsal.scenario.faults import FaultKind
-from ironrail.rehearsal.standins.cacheconnection import CacheConnection, Turn
-from ironrail.rehearsal.standins.spoiling import (
+from ironrail.rehearsal.standins.cache_connection import CacheConnection, Turn
+from ironrail.rehearsal.standins.corruption import (
     ENDLESS_LENGTH,
     ENDLESS_PIECE,
     ENDLESS_PIECES,
--- a/ironrail/rehearsal/standins/world.py
+++ b/ironrail/rehearsal/standins/world.py
@@ -11,7 +11,7 @@
 from ironrail.rehearsal.account.record import Record, value_digest
 from ironrail.rehearsal.draws import stream
 from ironrail.rehearsal.scenario.model import Scenario
-from ironrail.rehearsal.standins.listening import Listen, SocketListening
+from ironrail.rehearsal.standins.listener import Listen, SocketListening
 
 
 @dataclass
--- a/ironrail/rehearsal/virtual/ground.py
+++ b/ironrail/rehearsal/virtual/ground.py
@@ -22,7 +22,7 @@
 from ironrail.rehearsal.losses.tap import Decided, Tap
 from ironrail.rehearsal.routers import Exit
 from ironrail.rehearsal.scenario.model import Scenario
-from ironrail.rehearsal.standins.listening import BACKLOG, Accepted, Late, Listen
+from ironrail.rehearsal.standins.listener import BACKLOG, Accepted, Late, Listen
 from ironrail.rehearsal.virtual.loop import PROCESS, START, VirtualLoop
 from ironrail.rehearsal.virtual.network import Network
 from ironrail.rehearsal.virtual.process import Process
--- a/ironrail/rehearsal/virtual/network.py
+++ b/ironrail/rehearsal/virtual/network.py
@@ -12,7 +12,7 @@
 
 from ironrail.rehearsal.draws import stream
 from ironrail.rehearsal.scenario.model import Network as Conditions
-from ironrail.rehearsal.standins.listening import LOCAL
+from ironrail.rehearsal.standins.listener import LOCAL
 from ironrail.rehearsal.virtual.loop import PROCESS, START, VirtualLoop
 from ironrail.rehearsal.virtual.socket import Listener, VirtualSocket
 from ironrail.rehearsal.virtual.trace import Trace
--- a/tests/net/discovery/test_overloaded_service_played.py
+++ b/tests/net/discovery/test_overloaded_service_played.py
@@ -8,8 +8,8 @@
 from ironrail.rehearsal.scenario.model import Scenario
 from ironrail.rehearsal.scenario.reader import parse_scenario
 from ironrail.rehearsal.standins.agent import Agent
+from ironrail.rehearsal.standins.delivery import BROKEN, News, Telling
 from ironrail.rehearsal.standins.fleet import Fleet
-from ironrail.rehearsal.standins.telling import BROKEN, News, Telling
 from ironrail.rehearsal.virtual.play import Virtual, play_virtual
 
 OUTAGE = """
--- a/tests/peers/__init__.py
+++ b/tests/peers/__init__.py
@@ -17,7 +17,7 @@
 from ironrail.operator_file import OperatorSettings
 from ironrail.policy.settings import Idempotency, IdempotencyScope, RequestClass, Settings
 from ironrail.rehearsal.standins.http import RequestReader
-from ironrail.rehearsal.standins.meta import CommandReader
+from ironrail.rehearsal.standins.meta_protocol import CommandReader
 
 PATIENCE = 10.0  # seconds for a whole scenario: only a failing test comes near
 LOCAL = "127.0.0.1"
--- a/tests/rehearsal/fleet/test_parts.py
+++ b/tests/rehearsal/fleet/test_parts.py
@@ -12,8 +12,8 @@
 from ironrail.rehearsal.losses.tap import Decided, Why
 from ironrail.rehearsal.scenario.model import Scenario
 from ironrail.rehearsal.scenario.reader import parse_scenario
-from ironrail.rehearsal.standins.desk import Desk
-from ironrail.rehearsal.standins.warmth import Warmth
+from ironrail.rehearsal.standins.call_queue import Desk
+from ironrail.rehearsal.standins.warm_up import Warmth
 from ironrail.rehearsal.virtual.play import play_virtual
 from tests.rehearsal.facts import Story, planned
 
--- a/tests/rehearsal/links/readers_stage.py
+++ b/tests/rehearsal/links/readers_stage.py
@@ -15,8 +15,8 @@
 from ironrail.rehearsal.links.rig import LinkedRehearsal
 from ironrail.rehearsal.scenario.model import Scenario
 from ironrail.rehearsal.scenario.names import hall_of, router_names
-from ironrail.rehearsal.standins.clientpool import ClientPool
-from ironrail.rehearsal.standins.front import Front
+from ironrail.rehearsal.standins.client_pool import ClientPool
+from ironrail.rehearsal.standins.load_balancer import Front
 from ironrail.rehearsal.virtual.play import Virtual, play_virtual
 from tests.rehearsal.links.readers_world import CLIENTS, STRAYS, World
 
--- a/tests/rehearsal/links/test_relay.py
+++ b/tests/rehearsal/links/test_relay.py
@@ -11,8 +11,8 @@
 
 from ironrail.net.discovery.endpoint_list import read_address
 from ironrail.rehearsal.links.relay import ClientDoor
-from ironrail.rehearsal.standins.lanes import Way
-from ironrail.rehearsal.standins.listening import LOCAL, SocketListening
+from ironrail.rehearsal.standins.delay_line import Way
+from ironrail.rehearsal.standins.listener import LOCAL, SocketListening
 from tests.peers import scenario
 
 Stream = tuple[asyncio.StreamReader, asyncio.StreamWriter]
--- a/tests/rehearsal/stage.py
+++ b/tests/rehearsal/stage.py
@@ -9,10 +9,10 @@
 
 from ironrail.rehearsal.account.record import Record
 from ironrail.rehearsal.load.schedule import Planned
-from ironrail.rehearsal.standins.archive import Archive
 from ironrail.rehearsal.standins.clients import Clients
 from ironrail.rehearsal.standins.fleet import Fleet, make_caches, rows_of
-from ironrail.rehearsal.standins.front import Front, Seen
+from ironrail.rehearsal.standins.load_balancer import Front, Seen
+from ironrail.rehearsal.standins.origin_server import Archive
 from ironrail.rehearsal.standins.registry import Registry
 from ironrail.rehearsal.standins.world import World
 from tests.peers import LOCAL, Peer
--- a/tests/rehearsal/test_list_answers.py
+++ b/tests/rehearsal/test_list_answers.py
@@ -8,7 +8,7 @@
 import pytest
 
 from ironrail.rehearsal.scenario.faults import FaultKind
-from ironrail.rehearsal.standins.rows import Row, write_list
+from ironrail.rehearsal.standins.endpoint_list import Row, write_list
 from tests.rehearsal.list_stage import ASKED, ListStage, on_stage
 from tests.rehearsal.test_list_clock import DRAINS
 
--- a/tests/rehearsal/test_models.py
+++ b/tests/rehearsal/test_models.py
@@ -8,7 +8,7 @@
 
 from ironrail.rehearsal.standins.cores import Cores
 from ironrail.rehearsal.standins.store import OVERHEAD, Store
-from ironrail.rehearsal.standins.warmth import SLACK, Warmth
+from ironrail.rehearsal.standins.warm_up import SLACK, Warmth
 
 
 def test_jobs_up_to_the_cores_go_on_at_full_pace() -> None:
--- a/tests/rehearsal/test_new_days.py
+++ b/tests/rehearsal/test_new_days.py
@@ -12,8 +12,8 @@
 from ironrail.rehearsal.scenario.model import Network as Conditions
 from ironrail.rehearsal.scenario.model import Scenario
 from ironrail.rehearsal.scenario.reader import parse_scenario, read_scenario
-from ironrail.rehearsal.standins.door import Door
-from ironrail.rehearsal.standins.listening import SocketListening
+from ironrail.rehearsal.standins.faulty_endpoint import Door
+from ironrail.rehearsal.standins.listener import SocketListening
 from ironrail.rehearsal.virtual.ground import VirtualListening
 from ironrail.rehearsal.virtual.loop import VirtualLoop
 from ironrail.rehearsal.virtual.network import Network
--- a/tests/rehearsal/test_ports.py
+++ b/tests/rehearsal/test_ports.py
@@ -11,7 +11,7 @@
 from ironrail.rehearsal.faults.plan import Step
 from ironrail.rehearsal.ground import FIRST_ROUTER_NETWORK, RealGround
 from ironrail.rehearsal.scenario.model import Scenario
-from ironrail.rehearsal.standins.listening import LOCAL
+from ironrail.rehearsal.standins.listener import LOCAL
 from ironrail.rehearsal.virtual.play import play_virtual
 from tests.peers import scenario
 
--- a/tests/rehearsal/test_standins_clients.py
+++ b/tests/rehearsal/test_standins_clients.py
@@ -8,7 +8,7 @@
 
 from ironrail.rehearsal.account.record import Outcome
 from ironrail.rehearsal.account.rules import OWN_SLACK
-from ironrail.rehearsal.standins.front import Front, Seen
+from ironrail.rehearsal.standins.load_balancer import Front, Seen
 from tests.peers import scenario, until
 from tests.rehearsal.facts import planned
 from tests.rehearsal.stage import R, client_of, plan_of, stage
--- a/tests/test_halls.py
+++ b/tests/test_halls.py
@@ -20,7 +20,7 @@
 from ironrail.net.upstream.connection_pool import Attempt, ConnectionPool
 from ironrail.operator_file import PeerSettings
 from ironrail.policy.events import AttemptStatus, LinkState, ZoneLink, ZoneLinksChanged
-from ironrail.rehearsal.standins.listening import LOCAL, SocketListening
+from ironrail.rehearsal.standins.listener import LOCAL, SocketListening
 from tests.peers import Peer, scenario
 
 HALLS = ("north", "south")
