--- a/ironrail/rehearsal/standins/__init__.py
+++ b/ironrail/rehearsal/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for every process that surrounds a router; each speaks its real protocol on loopback."""
+"""Stand-ins for all processes around a router; each speaks its real protocol on loopback."""
--- a/ironrail/rehearsal/standins/agent.py
+++ b/ironrail/rehearsal/standins/agent.py
@@ -1,8 +1,9 @@
 """The discovery agent of one router: it serves the endpoint list over HTTP/1.1.
 
-It answers at once with what it has: the whole list when asked for it, changes to a watch. While the list is
-unreachable it learns of no change and answers nothing. Where routers poll the list, calls wait in a queue
-that all agents share; a call that continues a watch right after an answer bypasses it.
+It answers at once with what it has: the whole list when asked for it, changes to a watch. While
+the list is unreachable it learns of no change and answers nothing. Where routers poll the list,
+calls wait in a queue that all agents share; a call that continues a watch right after an answer
+bypasses it.
 """
 
 from __future__ import annotations
@@ -74,7 +75,7 @@
             self.endpoint.begin_silence(cause)
 
     def mute_open_calls(self) -> None:
-        """Never answers the calls that are open now; their connections stay open. Others are answered."""
+        """Never answers the calls that are open now, though their connections stay open."""
         for connection in self._mute_open_calls():
             self._delivery.call_muted(connection, connection.waits_until)
 
@@ -184,7 +185,7 @@
     def _leave_queue(
         self, connection: AgentConnection, index: int | None, wait: float, is_answered: bool
     ) -> None:
-        """Serves a call that has reached the head of the queue, or refuses one that timed out in it."""
+        """Serves a call whose turn has come, or refuses one that timed out in the queue."""
         self._num_queued -= 1
         self._delivery.call_ended(is_answered)
         if connection.closed or connection.mute:
--- a/ironrail/rehearsal/standins/agent_connection.py
+++ b/ironrail/rehearsal/standins/agent_connection.py
@@ -14,7 +14,11 @@
 
 
 def parse_target(target: str) -> tuple[str, int | None, float]:
-    """Returns the path of a call, the version that it watches from (if any), and its wait in seconds."""
+    """Parses the target of a call.
+
+    Returns:
+        The path, the version that the call watches from (if any), and its wait in seconds.
+    """
     url = urlsplit(target)
     query = parse_qs(url.query)
     if "index" not in query:
@@ -52,12 +56,15 @@
         return self._request is not None
 
     def clock(self) -> float:
+        """Seconds from the start of the measured load."""
         return self._clock()
 
     def handle_request(self, request: HttpRequest) -> None:
+        """Passes a whole request to the agent."""
         self._handle_request(self, request)
 
     def lost(self) -> None:
+        """Tells the agent that the connection has ended."""
         self._on_lost(self)
 
     def respond_half(self, data: bytes, closes: bool) -> bool:
--- a/ironrail/rehearsal/standins/cache_connection.py
+++ b/ironrail/rehearsal/standins/cache_connection.py
@@ -72,10 +72,12 @@
         return self._cache.world.now()
 
     def opened(self) -> None:
+        """Tells the cache that the connection is established."""
         self.used_at = self.now()
         self._cache.connection_opened(self)
 
     def received(self, data: bytes) -> None:
+        """Handles all whole commands that have arrived."""
         now = self.used_at = self.now()
         if self.ignores_input:
             return
@@ -131,6 +133,7 @@
         return bool(self._pending) or self._reader.begun
 
     def lost(self) -> None:
+        """Ends all attempts, and tells the cache that the connection has ended."""
         self.abandon_all(Ended.LEFT)
         self._pending.clear()
         self._cache.connection_lost(self)
--- a/ironrail/rehearsal/standins/cache_server.py
+++ b/ironrail/rehearsal/standins/cache_server.py
@@ -171,7 +171,7 @@
         self._hangs.add(cause)
 
     def end_hang(self, cause: object) -> None:
-        """Resumes: of the connections with held commands, some are answered and the others reset."""
+        """Resumes: some connections with held commands are answered, the others reset."""
         self._hangs.discard(cause)
         if self._hangs:
             return
--- a/ironrail/rehearsal/standins/call_queue.py
+++ b/ironrail/rehearsal/standins/call_queue.py
@@ -1,4 +1,4 @@
-"""The queue of the discovery service that all routers poll: it answers one call at a time. No I/O."""
+"""The queue of a discovery service that routers poll: one call at a time. No I/O."""
 
 from __future__ import annotations
 
--- a/ironrail/rehearsal/standins/client_pool.py
+++ b/ironrail/rehearsal/standins/client_pool.py
@@ -50,6 +50,7 @@
         return self._pool.router
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Stores the transport."""
         self.transport = cast(asyncio.Transport, transport)
 
     def send(self, one: Try, data: bytes) -> None:
@@ -60,6 +61,7 @@
         self.transport.write(data)
 
     def data_received(self, data: bytes) -> None:
+        """Handles all whole answers that have arrived."""
         self._reader.add(data)
         try:
             while (answer := self._reader.next()) is not None:
@@ -72,7 +74,7 @@
         is_expected = bool(self.in_flight)
         one = self.in_flight.popleft() if is_expected else self._latest
         if one is None:
-            return  # an unsolicited answer on an unused connection, such as a refusal of the connection
+            return  # unsolicited, on an unused connection: such as a refusal of the connection
         value = value_digest(answer.body) if answer.kind in ("VA", "HD") else None
         one.answers.append(Given(now, answer.kind, answer.request, value, answer.retry_after))
         if not is_expected:
@@ -85,12 +87,15 @@
             self._pool.clients.try_ended(one, answer.retry_after)
 
     def _fail_unreadable(self) -> None:
-        """An answer is unreadable: the client can tell that it isn't whole, so the try has failed."""
+        """Fails the try: its client can tell that the answer isn't whole."""
         self.transport.abort()
         self._end_in_flight(partial_answer="unreadable")
 
     def _end_in_flight(self, partial_answer: str) -> None:
-        """Ends all tries; `partial_answer` says what has arrived of the first answer, empty for nothing."""
+        """Ends all tries in flight.
+
+        `partial_answer` says what has arrived of the first answer; empty for nothing.
+        """
         in_flight, self.in_flight = [one for one in self.in_flight if one not in self._abandoned], deque()
         for one in in_flight:
             if partial_answer:
@@ -103,9 +108,10 @@
             partial_answer = ""
 
     def accepts_pipelined(self, due: float) -> bool:
-        """Whether one more request may be sent behind those in flight, all of which are due before it.
+        """Whether one more request may be sent behind those in flight, which are all due before it.
 
-        Answers come in order: behind a request that may wait longer, none could be answered in time.
+        Answers come in order: behind a request that may wait longer, none could be answered in
+        time.
         """
         if self.transport.is_closing() or not self.kept or self._abandoned:
             return False
@@ -114,7 +120,7 @@
         )
 
     def give_up(self, one: Try) -> None:
-        """The client stops waiting for a try; with nothing else in flight the connection is closed."""
+        """Abandons a try; with nothing else in flight the connection is closed."""
         self._abandoned.add(one)
         if all(other in self._abandoned for other in self.in_flight):
             for other in self.in_flight:
@@ -123,6 +129,7 @@
             self.transport.close()
 
     def connection_lost(self, exc: Exception | None) -> None:
+        """Ends all tries that are in flight."""
         self._pool.connection_lost(self)
         self._end_in_flight("cut-off" if self._reader.begun else "")
 
@@ -173,7 +180,7 @@
         task.add_done_callback(self._tasks.discard)
 
     def take_open(self, due: float, oldest: bool = False) -> ClientConnection | None:
-        """Returns an open connection: an idle one or, where clients pipeline, one with others in flight.
+        """Returns an open connection: an idle one or, where clients pipeline, one in use.
 
         `oldest`: prefers the one that was idle for longest, so that all of them stay in use.
         """
--- a/ironrail/rehearsal/standins/clients.py
+++ b/ironrail/rehearsal/standins/clients.py
@@ -1,7 +1,7 @@
 """Clients: they send what the schedule says at its time, wait for a limited time, and retry.
 
-The load is an open loop: nothing that a router does delays a first try. Each try has a connection of its own
-while it lasts (unless clients pipeline); idle connections are reused, the latest first.
+The load is an open loop: nothing that a router does delays a first try. Each try has a connection
+of its own while it lasts (unless clients pipeline); idle connections are reused, the latest first.
 """
 
 from __future__ import annotations
@@ -88,7 +88,7 @@
             self.pools[router].send(one, data, own)
 
     def _connection_to_keep(self, due: float) -> ClientConnection | None:
-        """An open connection to a terminating router, for clients that use it as long as it is open.
+        """An open connection to a terminating router, for clients that keep to theirs.
 
         They send the share of all tries that was that router's, once no new client is sent there.
         """
@@ -106,7 +106,10 @@
         return None
 
     def _early_leave_after(self, kind: RequestClass, timeout: float) -> float | None:
-        """Seconds until a client gives up early, None if it doesn't; only safe requests are given up."""
+        """Seconds until a client gives up early, None if it doesn't.
+
+        Only requests that are safe to repeat are given up.
+        """
         if not self._conf.leave or kind.repeats is not Repeats.SAFE:
             return None
         if self._leave_draws.random() >= self._conf.leave:
--- a/ironrail/rehearsal/standins/cores.py
+++ b/ironrail/rehearsal/standins/cores.py
@@ -12,8 +12,8 @@
 class Cores(Generic[Job]):
     """Processor sharing: all jobs progress at one rate, and none uses more than one core.
 
-    Times are seconds on one clock that only advances; work is in seconds of one core of speed 1. The rate
-    changes only when it is set, or when jobs begin or end: call `advance` first.
+    Times are seconds on one clock that only advances; work is in seconds of one core of speed 1.
+    The rate changes only when it is set, or when jobs begin or end: call `advance` first.
     """
 
     def __init__(self, cores: float, speed: float, now: float) -> None:
--- a/ironrail/rehearsal/standins/corruption.py
+++ b/ironrail/rehearsal/standins/corruption.py
@@ -1,4 +1,4 @@
-"""Replies as faulty servers send them. No I/O; randomness comes from the generator that is passed in."""
+"""Replies as faulty servers send them. No I/O; the random generator is passed in."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
 
 
 def second_answer(good: bytes, draws: random.Random) -> bytes:
-    """Returns a second answer to a command: a copy of the good one, or another value with the same id."""
+    """Returns a second answer: a copy of the good one, or another value with the same id."""
     if draws.random() < 0.5:
         return good
     head, _, value = good.partition(b"\r\n")
--- a/ironrail/rehearsal/standins/delay_line.py
+++ b/ironrail/rehearsal/standins/delay_line.py
@@ -30,7 +30,7 @@
 
 
 class DelayLine:
-    """Delivers the bytes of one direction in order, each piece after its delay, none while silent."""
+    """Delivers the bytes of one direction in order and after their delays, none while silent."""
 
     def __init__(self, deliver: Callable[[bytes], None]) -> None:
         self._deliver, self._loop = deliver, asyncio.get_running_loop()
@@ -40,7 +40,7 @@
         self.silent = False
 
     def put(self, data: bytes, delay: float) -> None:
-        """Delivers data after `delay` seconds, or at once if nothing delays it or is queued before it."""
+        """Delivers data after `delay` seconds; at once if there is no delay and none queued."""
         if not (delay or self.silent or self.waiting):
             self._deliver(data)
             return
--- a/ironrail/rehearsal/standins/delivery.py
+++ b/ironrail/rehearsal/standins/delivery.py
@@ -1,9 +1,9 @@
-"""When a change of the endpoint list counts as delivered to a router: the rules on drains start from there.
+"""When a change of the endpoint list counts as delivered to a router: rules on drains start there.
 
-What a router was really sent counts from then on. Besides, where lists are pushed, a change counts as soon
-as the agent has it, and from the first moment of a new router process, watch or no watch. Where routers poll,
-it counts once the router has not polled for too long. A call that can no longer be answered delays both for
-a while: one that was muted, or one whose answer was corrupted.
+What a router was really sent counts from then on. Besides, where lists are pushed, a change counts
+as soon as the agent has it, and from the first moment of a new router process, watch or no watch.
+Where routers poll, it counts once the router has not polled for too long. A call that can no longer
+be answered delays both for a while: one that was muted, or one whose answer was corrupted.
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
 
 
 class DeliveryTracker:
-    """Decides what counts as delivered to one router. All times are seconds on the event loop's clock."""
+    """Decides what counts as delivered to one router. Times are on the event loop's clock."""
 
     def __init__(
         self,
@@ -130,7 +130,10 @@
     # Changes at the agent
 
     def change_applied(self, row: EndpointRow, any_corrupted: bool) -> None:
-        """The agent has a change and has answered its watches; `any_corrupted`: not all of them well."""
+        """The agent has a change and has answered its watches.
+
+        `any_corrupted`: whether any of these answers was corrupted.
+        """
         self._known_servers[row.id] = None
         self._schedule_delivery((row.id, row.state), FAILED_CALL_GRACE_SECONDS if any_corrupted else 0.0)
 
@@ -155,7 +158,8 @@
     def _check_polling(self, change: StateChange, latest_at: float) -> None:
         """Counts a change as delivered once a polling router has not polled for too long.
 
-        After a failed call it counts at `latest_at` at the latest, however long the router may take to poll.
+        After a failed call it counts at `latest_at` at the latest, however long the router may
+        take to poll.
         """
         if not self._is_undelivered(change):
             return
--- a/ironrail/rehearsal/standins/endpoint_list.py
+++ b/ironrail/rehearsal/standins/endpoint_list.py
@@ -1,4 +1,4 @@
-"""The endpoint list in its wire format: one row for each server, and discovery's answers. No I/O."""
+"""The endpoint list in its wire format: one row per server, and whole answers. No I/O."""
 
 from __future__ import annotations
 
--- a/ironrail/rehearsal/standins/faulty_endpoint.py
+++ b/ironrail/rehearsal/standins/faulty_endpoint.py
@@ -1,9 +1,10 @@
 """Listening addresses of stand-ins, one for each router, on which network faults are injected.
 
-An endpoint is open, closed (connects are refused) or silent: it doesn't read what is sent to it, holds back
-what it answers, and connects hang, as with a machine that vanished or a zone that was cut off. A silence may
-affect one direction only, and the bytes of a direction may be delayed. Causes add up: a silence is over once
-the last of its causes has ended. Connects to an open endpoint may be delayed too.
+An endpoint is open, closed (connects are refused) or silent: it doesn't read what is sent to it,
+holds back what it answers, and connects hang, as with a machine that vanished or a zone that was
+cut off. A silence may affect one direction only, and the bytes of a direction may be delayed. Causes
+add up: a silence is over once the last of its causes has ended. Connects to an open endpoint may be
+delayed too.
 """
 
 from __future__ import annotations
@@ -33,6 +34,7 @@
         self.closed = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Registers the connection, and applies the silences of the endpoint."""
         self.transport = cast(asyncio.Transport, transport)
         self.endpoint.connections[self] = None
         self.begin_silence()
@@ -46,6 +48,7 @@
         raise NotImplementedError
 
     def data_received(self, data: bytes) -> None:
+        """Delivers data at once, or puts it into the delay line."""
         delay = self.endpoint.delay(Direction.IN)
         # the silence is checked too: event loops resume reading whatever was paused before
         if delay or self._in.waiting or self._in.silent:
@@ -100,6 +103,7 @@
         reset(self.transport)
 
     def connection_lost(self, exc: Exception | None) -> None:
+        """Stops all deliveries, and removes the connection."""
         self.closed = True
         self._in.stop()
         self._out.stop()
--- a/ironrail/rehearsal/standins/fleet.py
+++ b/ironrail/rehearsal/standins/fleet.py
@@ -1,4 +1,4 @@
-"""All caches of a run: which run, what the endpoint list says of each, and where answers are stored."""
+"""All caches of a run: their faults, their rows in the endpoint list, and what they store."""
 
 from __future__ import annotations
 
@@ -88,7 +88,7 @@
         self._publish(name, state, self._conf.add)
 
     def replace_machine(self, name: str, cause: object) -> None:
-        """Another machine takes the place for good: at the same address, with a new id, cold and empty."""
+        """Puts a new machine in its place: at the same address, with a new id, cold and empty."""
         if self._outages[name] - {cause}:  # another cause keeps this machine down, and it will return
             self._outages[name].discard(cause)
             return
--- a/ironrail/rehearsal/standins/http.py
+++ b/ironrail/rehearsal/standins/http.py
@@ -110,12 +110,13 @@
         """Called when the data received is not valid HTTP."""
 
     def received(self, data: bytes) -> None:
+        """Handles the next whole request, if none is open."""
         if not self._reader.begun:
             self.first_at = self.clock()
         self._read(data)
 
     def _read(self, data: bytes = b"") -> None:
-        """Handles the next request unless one is open: responses come in the order of the requests."""
+        """Handles the next request unless one is open: responses keep the requests' order."""
         try:
             if data:
                 self._reader.add(data)
--- a/ironrail/rehearsal/standins/listening_port.py
+++ b/ironrail/rehearsal/standins/listening_port.py
@@ -67,9 +67,9 @@
 class SocketListeningPort:
     """A listening port on the machine's loopback interface.
 
-    The kernel completes connects by itself, so a single one can't be delayed. To delay connects the port
-    alternates between hanging and accepting, each phase for a drawn time. The kernel retries a connect
-    that met a hanging port 1 s later.
+    The kernel completes connects by itself, so a single one can't be delayed. To delay connects the
+    port alternates between hanging and accepting, each phase for a drawn time. The kernel retries a
+    connect that met a hanging port 1 s later.
     """
 
     def __init__(self, port: int, accepted: AcceptCallback, host: str = LOOPBACK_HOST) -> None:
@@ -88,12 +88,15 @@
         self._loop.add_reader(self._socket, self._accept)
 
     def hang(self) -> None:
+        """From now on connects neither succeed nor fail."""
         self._set(silent=True, paused=self._paused)
 
     def resume(self) -> None:
+        """Connects succeed again, unless a connect delay has paused them."""
         self._set(silent=False, paused=self._paused)
 
     def set_connect_delay(self, draw: ConnectDelay | None) -> None:
+        """Alternates between hanging and accepting from now on; None ends it."""
         if self._phase_timer is not None:
             self._phase_timer.cancel()
             self._phase_timer = None
@@ -134,6 +137,7 @@
         self._loop.add_reader(self._socket, self._accept)
 
     def close(self) -> None:
+        """Refuses connects from now on."""
         if self._phase_timer is not None:
             self._phase_timer.cancel()
         self._loop.remove_reader(self._socket)
--- a/ironrail/rehearsal/standins/load_balancer.py
+++ b/ironrail/rehearsal/standins/load_balancer.py
@@ -1,4 +1,4 @@
-"""The load balancer: spreads clients over the routers of their zone, and notices a dead one late. No I/O."""
+"""The load balancer: spreads clients over their zone's routers, notices deaths late. No I/O."""
 
 from __future__ import annotations
 
@@ -54,7 +54,7 @@
         self._next_notice_at = -math.inf
 
     def choose(self, zone: str, now: float, draws: random.Random) -> str:
-        """Returns a router for a client of this zone; another zone's if none there is thought alive."""
+        """Returns a router for a client of this zone; another zone's if all there seem dead."""
         if now >= self._next_notice_at:
             self._update_choices(now)
         draw = draws.random()  # drawn each time, so that a hot router doesn't shift later draws
--- a/ironrail/rehearsal/standins/meta_protocol.py
+++ b/ironrail/rehearsal/standins/meta_protocol.py
@@ -1,6 +1,6 @@
 """The meta commands of the memcache text protocol, for stand-in servers and clients. No I/O.
 
-This parser shares no code with the daemon's, so that a bug in one of them is not hidden by the other.
+This parser shares no code with the daemon's, so that neither hides a bug of the other.
 """
 
 from __future__ import annotations
--- a/ironrail/rehearsal/standins/origin_connection.py
+++ b/ironrail/rehearsal/standins/origin_connection.py
@@ -41,15 +41,19 @@
         self.latest: OriginRequest | None = None
 
     def clock(self) -> float:
+        """Seconds from the start of the measured load."""
         return self._origin.world.now()
 
     def handle_request(self, request: HttpRequest) -> None:
+        """Passes a whole request to the origin."""
         self._origin.handle_request(self, request)
 
     def on_invalid_data(self, error: object) -> None:
+        """Records a violation, unless the data was sent during a silence."""
         if not self.late:
             self._origin.world.record.stray(self.clock(), self._origin.name, f"not HTTP: {error}")
 
     def lost(self) -> None:
+        """Ends the latest attempt."""
         if self.latest is not None:
             self.latest.attempt.end(Ended.LEFT, self.clock())
--- a/ironrail/rehearsal/standins/origin_server.py
+++ b/ironrail/rehearsal/standins/origin_server.py
@@ -29,7 +29,7 @@
 
 
 class OriginServer:
-    """Serves a limited number of requests at once; others wait in a bounded queue or are refused."""
+    """Serves a limited number of requests at once; others are queued or refused."""
 
     def __init__(self, world: World, name: str, zone: str, routers: list[str]) -> None:
         self.world, self.name, self.zone = world, name, zone
@@ -179,7 +179,7 @@
             origin_request.connection.reset()
 
     def _reply_unsized(self, origin_request: OriginRequest, body: bytes) -> None:
-        """Sends a response without a length, which ends with its connection; some are reset midway."""
+        """Sends a response without a length, which ends with its connection or a reset."""
         connection, now = origin_request.connection, self.world.now()
         is_reset = self._draws.random() < UNSIZED_RESET_FRACTION
         origin_request.attempt.end(Ended.RESET if is_reset else Ended.SERVED, now)
@@ -199,7 +199,10 @@
     # Faults
 
     def begin_fault(self, cause: object, kind: FaultKind, severity: float | None) -> None:
-        """Begins a fault; `severity` is a slowdown factor or a share of replies, None for the default."""
+        """Begins a fault.
+
+        `severity` is a slowdown factor or a share of replies; None stands for the default.
+        """
         if kind is FaultKind.ARCHIVE_SLOW:
             self._slowdowns[cause] = severity or DEFAULT_SLOWDOWN
         elif kind is FaultKind.ARCHIVE_DOWN:
--- a/ironrail/rehearsal/standins/registry.py
+++ b/ironrail/rehearsal/standins/registry.py
@@ -28,7 +28,10 @@
         self._delays: dict[object, float] = {}  # seconds, by cause
 
     def publish(self, row: EndpointRow, delay: float) -> None:
-        """Sends a change to all agents after `delay` seconds; changes of one server arrive in order."""
+        """Sends a change to all agents after `delay` seconds.
+
+        Changes of one server arrive in order.
+        """
         if row.state == "terminated":
             self.rows.pop(row.id, None)
         else:
@@ -43,8 +46,8 @@
     def begin_fault(self, cause: object, kind: FaultKind, severity: float) -> None:
         """Begins a fault.
 
-        `severity` is a factor on the duration of calls, the seconds by which changes are delayed, or the
-        share of answers that is corrupted, depending on `kind`.
+        Depending on `kind`, `severity` is a factor on the duration of calls, the seconds by which
+        changes are delayed, or the share of answers that is corrupted.
         """
         if kind is FaultKind.LIST_CROWDED:
             self._slowdowns[cause] = severity
@@ -64,7 +67,7 @@
             agent.end_answer_fault(cause)
 
     def mute_open_calls(self) -> None:
-        """Never answers the calls that are open now; later ones, on other connections, are answered."""
+        """Never answers the calls that are open now; later ones are, on other connections."""
         for agent in self.agents.values():
             agent.mute_open_calls()
 
--- a/ironrail/rehearsal/standins/warm_up.py
+++ b/ironrail/rehearsal/standins/warm_up.py
@@ -19,10 +19,10 @@
 
 
 class WarmUp:
-    """A server whose capacity rises linearly from a cold fraction, and which collapses when overloaded.
+    """A server whose capacity rises linearly from a cold fraction; overload makes it collapse.
 
-    The bound is a budget: the work sent within any window of the stated length must stay below `multiple`
-    times the capacity at the window's end, times the window's length.
+    The bound is a budget: the work sent within any window of the stated length must stay below
+    `multiple` times the capacity at the window's end, times the window's length.
     """
 
     def __init__(self, capacity: float, cold: float, ramp: float, multiple: float, window: float) -> None:
@@ -41,7 +41,7 @@
         self._sent: deque[tuple[float, float, float]] = deque()  # time, work, work of informed routers
         self._sum = 0.0
         self._informed_sum = 0.0
-        # largest ratio of the work of informed routers within a window to what was allowed, while cold
+        # while cold: largest ratio of informed routers' work within a window to what was allowed
         self.max_load_ratio = 0.0
 
     def start(self, now: float) -> None:
--- a/ironrail/rehearsal/standins/world.py
+++ b/ironrail/rehearsal/standins/world.py
@@ -38,12 +38,12 @@
         return stream(self.seed, f"standins.{name}")
 
     def round_trip_seconds(self, router: str, zone: str) -> float:
-        """Seconds of a round trip between a router and a zone; 0 within a zone, or if it is empty."""
+        """Seconds of a round trip between a router and a zone; 0 within one or for no zone."""
         same = not zone or self.zones.get(router) == zone
         return 0.0 if same else 2 * self.scenario.halls.between
 
     def make_value(self, request: str, key: str, maker: str, number: int, size: int) -> bytes:
-        """Returns a value that is unique to one attempt, and records it as made for this request."""
+        """Returns a value that is unique to one attempt, and records it for this request."""
         stamp = f"{key}|{request}|{maker}|{number}|".encode()
         value = stamp + b"." * max(0, size - len(stamp))
         self.record_value(request, value)
--- a/tests/rehearsal/test_list_answers.py
+++ b/tests/rehearsal/test_list_answers.py
@@ -1,4 +1,4 @@
-"""Answers of the list that stop short or are indented, by the stand-in."""
+"""Answers of the stand-in discovery agent that are corrupted, stop short or are indented."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 @pytest.mark.parametrize("kind", [FaultKind.LIST_CUT, FaultKind.LIST_SPOILT])
-def test_what_a_spoilt_answer_held_counts_six_seconds_later(kind: FaultKind) -> None:
+def test_the_content_of_a_corrupted_answer_counts_as_delivered_six_seconds_later(kind: FaultKind) -> None:
     async def test(s: ListStage) -> None:
         _, answer = await s.watch(60.0)
         answer.cancel()
@@ -28,7 +28,7 @@
     on_stage(test, ASKED)
 
 
-def test_an_answer_that_stops_short_is_a_call_that_fell_silent() -> None:
+def test_an_answer_that_stops_short_counts_as_a_muted_call() -> None:
     async def test(s: ListStage) -> None:
         _, answer = await s.watch(60.0)
         s.agent._draws = SimpleNamespace(random=lambda: 0.9)  # type: ignore[assignment]
@@ -43,17 +43,17 @@
     on_stage(test)
 
 
-def test_answers_come_on_one_line_or_indented_as_drawn() -> None:
+def test_answers_are_on_one_line_or_indented_depending_on_the_seed() -> None:
     forms: list[list[bool]] = []
 
     async def test(s: ListStage) -> None:
-        connection, seen = await s.connect(), []
+        connection, is_indented = await s.connect(), []
         for _ in range(12):
             connection.writer.write(b"GET /api/targets HTTP/1.1\r\nHost: a\r\n\r\n")
             _, body = await connection.response()
             assert len(json.loads(body)["servers"]) == 3
-            seen.append(b"\n" in body)
-        forms.append(seen)
+            is_indented.append(b"\n" in body)
+        forms.append(is_indented)
 
     on_stage(test)
     on_stage(test)
--- a/tests/rehearsal/test_pipelines.py
+++ b/tests/rehearsal/test_pipelines.py
@@ -1,4 +1,4 @@
-"""The comparison of depths: what it counts, and the command."""
+"""The comparison of pipeline depths: what it counts, and its command."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
         (
             Depth(5),
             OperatorSettings(ConnectionSettings(per_router=4, max_in_flight=5, connect_cost_milliseconds=0)),
-        ),  # room for 16 at the least
+        ),  # at least 16 requests fit
         (
             Depth(100),
             OperatorSettings(
@@ -42,7 +42,7 @@
         ),
     ],
 )
-def test_as_many_requests_find_room_at_any_depth(
+def test_the_same_number_of_requests_fits_at_any_depth(
     depth: Depth, operator: OperatorSettings, tmp_path: Path
 ) -> None:
     path = tmp_path / "operator.toml"
@@ -50,13 +50,13 @@
     assert read_operator(str(path)) == operator
 
 
-def test_lost_behind_counts_what_a_connection_took_along_and_nothing_else() -> None:
+def test_lost_behind_counts_only_the_requests_behind_the_one_that_broke_the_connection() -> None:
     record = Record()
     story = Story(record, planned())
     cases = [
         (Ended.LEFT, True, "cache-1"),  # counts
         (Ended.RESET, True, "cache-1"),  # counts
-        (Ended.LEFT, False, "cache-1"),  # it was the oldest itself
+        (Ended.LEFT, False, "cache-1"),  # it was the oldest one itself
         (Ended.SERVED, True, "cache-1"),
         (Ended.LEFT, True, "archive"),
     ]
@@ -65,12 +65,12 @@
     assert lost_behind(record) == 2
 
 
-def test_the_command_plays_each_depth_and_tells_of_it(tmp_path: Path) -> None:
-    path, told = tmp_path / "tiny.toml", tmp_path / "depths.json"
+def test_the_command_runs_each_depth_and_reports_it(tmp_path: Path) -> None:
+    path, output = tmp_path / "tiny.toml", tmp_path / "depths.json"
     path.write_text(TINY)
-    done = CliRunner().invoke(pipeline_report, [str(path), "--depths", "1,as-is", "--json", str(told)])
+    done = CliRunner().invoke(pipeline_report, [str(path), "--depths", "1,as-is", "--json", str(output)])
     assert done.exit_code in (0, 3), done.output
-    report = json.loads(told.read_bytes())
+    report = json.loads(output.read_bytes())
     assert (report["format"], report["version"]) == ("ironrail-pipelines", 1)
     assert [line["depth"] for line in report["lines"]] == ["1", "as it is"]
     assert [line["allowed"] for line in report["lines"]] == [16, connections_per_router(90, 1)]
@@ -80,6 +80,6 @@
 
 
 @pytest.mark.parametrize("depths", ["x", "0", "1,,2", "5000", "-1"])
-def test_depths_that_are_none(depths: str) -> None:
+def test_invalid_depths_are_rejected(depths: str) -> None:
     done = CliRunner().invoke(pipeline_report, ["calm", "--depths", depths])
     assert done.exit_code == 2 and "--depths" in done.output
--- a/tests/rehearsal/test_standins.py
+++ b/tests/rehearsal/test_standins.py
@@ -1,4 +1,4 @@
-"""The stand-ins on loopback, each spoken to as a router speaks to it."""
+"""The stand-ins on loopback, each called as a router calls it."""
 
 from __future__ import annotations
 
@@ -13,43 +13,43 @@
 
 
 @scenario
-async def test_a_miss_is_filled_by_the_archive_and_then_a_hit() -> None:
+async def test_a_miss_is_answered_by_the_origin_and_is_a_hit_afterwards() -> None:
     async with stage() as s:
-        cache, archive = (
+        cache, origin = (
             await wire(s.caches["cache-1"].endpoints[R].address),
             await wire(s.archive.endpoints[R].address),
         )
         first, second = s.asked(0), s.asked(1)
         cache.read(first)
         assert await cache.line() == f"EN O{first.one.request}\r\n".encode()
-        archive.fetch(first)
-        status, value = await archive.response()
+        origin.fetch(first)
+        status, value = await origin.response()
         assert status == 200 and value.startswith(f"grid-0|{first.one.request}|archive|".encode())
         cache.read(second)
         head = (await cache.line()).split()
         body = await cache.reader.readexactly(int(head[1]))
-        assert body.startswith(f"grid-0|{second.one.request}|cache-1|".encode())  # made for this one
+        assert body.startswith(f"grid-0|{second.one.request}|cache-1|".encode())  # made for this request
         assert [a.ended for a in first.one.attempts] == [Ended.MISS, Ended.SERVED]
         assert s.record.stray_count == 0
 
 
 @scenario
-async def test_a_write_voids_the_copies_and_a_keyed_repeat_is_dropped() -> None:
+async def test_a_write_invalidates_cached_copies_and_a_repeat_with_its_key_is_not_executed() -> None:
     async with stage() as s:
         s.caches["cache-1"].store.put("grid-0", 10)
-        archive = await wire(s.archive.endpoints[R].address)
+        origin = await wire(s.archive.endpoints[R].address)
         first, again = s.asked(0, "hint"), s.asked(1, "hint")
         receipts = []
         for story in (first, again):
-            archive.fetch(story, "PUT", "k")
-            receipts.append(await archive.response())
+            origin.fetch(story, "PUT", "k")
+            receipts.append(await origin.response())
         assert receipts[0] == receipts[1]
         assert [a.effect_at is not None for t in (first, again) for a in t.one.attempts] == [True, False]
         assert s.caches["cache-1"].store.get("grid-0") is None
 
 
 @scenario
-async def test_answers_come_in_the_order_of_the_commands() -> None:
+async def test_answers_are_sent_in_the_order_of_the_commands() -> None:
     async with stage() as s:
         cache = await wire(s.caches["cache-1"].endpoints[R].address)
         slow, quick = s.asked(0, work=0.9), s.asked(1, work=0.001)
@@ -61,23 +61,24 @@
 
 
 @scenario
-async def test_what_nobody_asked_for_is_noted() -> None:
+async def test_unexpected_requests_are_recorded() -> None:
     async with stage() as s:
         cache = await wire(s.caches["cache-1"].endpoints[R].address)
         cache.writer.write(b"mg other v O1234 Pc=x,t=y,d=1\r\nmn\r\n")
-        await cache.reader.read()  # closed on what it can't read
+        await cache.reader.read()  # closed after the invalid command
         assert s.record.stray_count == 2
-        archive = await wire(s.archive.endpoints[R].address)
-        archive.writer.write(b"GET /-/healthy HTTP/1.1\r\nHost: a\r\n\r\n")
-        await archive.response()
+        origin = await wire(s.archive.endpoints[R].address)
+        origin.writer.write(b"GET /-/healthy HTTP/1.1\r\nHost: a\r\n\r\n")
+        await origin.response()
         assert "a probe: /-/healthy" in [stray.text for stray in s.record.strays]
 
 
 @scenario
-async def test_a_silent_door_takes_no_connection_answers_nothing_and_goes_on_where_it_stopped() -> None:
+async def test_a_silent_endpoint_accepts_and_answers_nothing_and_resumes_where_it_stopped() -> None:
     async with stage() as s:
         endpoint = s.caches["cache-1"].endpoints[R]
-        cache, one = await wire(endpoint.address), s.asked(0, work=0.3)  # in hand as the silence begins
+        # the work is still going on as the silence begins
+        cache, one = await wire(endpoint.address), s.asked(0, work=0.3)
         cache.read(one)
         await until(lambda: one.one.attempts)
         endpoint.begin_silence("a")
@@ -101,7 +102,7 @@
 
 
 @scenario
-async def test_a_vanished_cache_comes_back_cold_and_empty_once_all_causes_have_ended() -> None:
+async def test_a_vanished_cache_returns_cold_and_empty_once_all_causes_have_ended() -> None:
     async with stage() as s:
         cache = s.caches["cache-1"]
         cache.store.put("grid-0", 10)
@@ -124,7 +125,7 @@
 
 
 @scenario
-async def test_a_cold_cache_that_is_sent_too_much_falls_and_stays_down() -> None:
+async def test_a_cold_cache_that_is_overloaded_collapses_and_stays_down() -> None:
     async with stage() as s:
         s.fleet.stop("cache-1", "a")
         s.fleet.end_outage("cache-1", "a")
@@ -138,7 +139,7 @@
 
 @scenario
 async def test_silences_that_overlap_end_in_any_order() -> None:
-    """One that ended first once lasted for good: the cache was listed, and never answered again."""
+    """Guards against a silence that ends first and lasts forever: the cache is listed but never answers."""
     async with stage() as s:
         s.fleet.vanish("cache-1", "a")
         s.fleet.stop("cache-1", "b")
@@ -153,14 +154,14 @@
 
 
 @scenario
-async def test_a_drain_is_listed_first_and_a_new_process_follows() -> None:
+async def test_a_drain_is_listed_before_a_new_process_takes_over() -> None:
     async with stage() as s:
         agent = s.registry.agents[R]
         s.fleet.begin_drain("cache-2", "a")
         await until(lambda: agent._rows["cache-2"].state == "terminating")
         cache = await wire(s.caches["cache-2"].endpoints[R].address)
         cache.read(s.asked(0))
-        assert (await cache.line()).startswith(b"EN ")  # it goes on with what comes
+        assert (await cache.line()).startswith(b"EN ")  # it still serves new requests
         s.fleet.end_drain("cache-2", "a")
         await until(lambda: agent._rows.get("cache-2") is not None and agent._rows["cache-2"].started_ms > 0)
         assert agent._rows["cache-2"].state == "in_service"
@@ -176,7 +177,7 @@
         (FaultKind.RESET, b""),
     ],
 )
-async def test_replies_that_fail(kind: FaultKind, expected: bytes | None) -> None:
+async def test_faulty_replies(kind: FaultKind, expected: bytes | None) -> None:
     async with stage() as s:
         s.caches["cache-1"].store.put("grid-0", 10)
         s.caches["cache-1"].begin_fault("f", kind, 1.0)
@@ -186,8 +187,10 @@
             with pytest.raises(ConnectionError):
                 await cache.line()
         else:
-            got = await cache.reader.read(50)
-            assert got.startswith(expected) if expected else not got.startswith(b"VA 10 O" + b"id-0")
+            received = await cache.reader.read(50)
+            assert (
+                received.startswith(expected) if expected else not received.startswith(b"VA 10 O" + b"id-0")
+            )
         assert one.one.attempts[0].ended in (Ended.ERROR, Ended.SPOILT, Ended.RESET)
         s.caches["cache-1"].end_fault("f")
         good = s.asked(1)
@@ -197,12 +200,12 @@
 
 
 @scenario
-async def test_an_archive_that_is_down_turns_away_what_it_has_in_hand() -> None:
+async def test_an_origin_that_goes_down_refuses_the_requests_in_progress() -> None:
     async with stage(FAST.replace('time = "5 ms"', 'time = "5 s"')) as s:
-        archive, one = await wire(s.archive.endpoints[R].address), s.asked(0, "entry")
-        archive.fetch(one, "PUT")
+        origin, one = await wire(s.archive.endpoints[R].address), s.asked(0, "entry")
+        origin.fetch(one, "PUT")
         await until(lambda: one.one.attempts)
         s.archive.begin_fault("f", FaultKind.ARCHIVE_DOWN, None)
-        head = await archive.reader.readuntil(b"\r\n\r\n")
+        head = await origin.reader.readuntil(b"\r\n\r\n")
         assert b" 503 " in head and b"Not-Started: 1" in head
         assert one.one.attempts[0].ended is Ended.BUSY and one.one.attempts[0].effect_at is None
