--- a/benchmarks/zone_scenarios.py
+++ b/benchmarks/zone_scenarios.py
@@ -32,7 +32,7 @@
 from ironrail.rehearsal.links.rig import LinkedRehearsal
 from ironrail.rehearsal.scenario.model import Scenario
 from ironrail.rehearsal.scenario.names import cache_names, hall_of, router_names
-from ironrail.rehearsal.standins.lanes import Way
+from ironrail.rehearsal.standins.delay_line import Direction
 from ironrail.rehearsal.virtual.play import play_virtual
 
 LENGTH_SECONDS, FAULT_AT_SECONDS, FAULT_SECONDS = 24.0, 6.0, 12.0  # the load, and the fault in it
@@ -124,8 +124,8 @@
         for source, target, door in self._doors():
             latency = self._matrix.get((zones.get(source, ""), zones.get(target, "")))
             if latency is not None:
-                door.connects_wait = True
-                door.begin_delay("apart", Way.BOTH, partial(float, latency))
+                door.delays_connects = True
+                door.begin_delay("apart", Direction.BOTH, partial(float, latency))
         for number, ((one, other), latency) in enumerate(self._matrix.items()):
             fault = link_fault("delay", f"{one} > {other}", 0.0, 1.0, latency)
             self._linked.links.exchange.begin(1000 + number, fault, path_of(fault.on, self._places))
--- a/tests/test_zone_latency.py
+++ b/tests/test_zone_latency.py
@@ -20,7 +20,7 @@
 from ironrail.net.upstream.connection_pool import Attempt, ConnectionPool
 from ironrail.operator_file import PeerSettings
 from ironrail.policy.events import AttemptStatus, LinkState, ZoneLink, ZoneLinksChanged
-from ironrail.rehearsal.standins.listening import LOCAL, SocketListening
+from ironrail.rehearsal.standins.listening_port import LOOPBACK_HOST, SocketListeningPort
 from tests.peers import Peer, scenario
 
 ZONES = ("north", "south")
@@ -36,7 +36,7 @@
     settings = PeerSettings({1: str(tmp_path / "key")}, 1, ZONES, zone_latency_map=True)
     sockets = [socket.socket(socket.AF_INET, socket.SOCK_DGRAM) for _ in ZONES]
     for one in sockets:
-        one.bind((LOCAL, 0))
+        one.bind((LOOPBACK_HOST, 0))
     addresses = tuple(one.getsockname() for one in sockets)
     for one in sockets:
         one.close()
@@ -107,7 +107,7 @@
     loop = asyncio.get_running_loop()
     pool = ConnectionPool(
         "s",
-        (LOCAL, port),
+        (LOOPBACK_HOST, port),
         CacheConnection,
         PoolSettings(1, 1, 9.0),
         connect_timeout=0.1,
@@ -143,7 +143,7 @@
     is_refused: bool, call: str
 ) -> None:
     listening, observer = (
-        SocketListening(0, lambda connection, late: connection.close()),
+        SocketListeningPort(0, lambda connection, late: connection.close()),
         RecordingObserver(),
     )
     listening.close() if is_refused else listening.hang()
