--- a/ironrail/access_log/pseudonyms.py
+++ b/ironrail/access_log/pseudonyms.py
@@ -1,4 +1,4 @@
-"""Keyed hashes in place of identifiers."""
+"""Replaces identifiers with keyed hashes."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class Pseudonymizer:
-    """Replaces identifiers by keyed hashes: equal ones stay equal, and none can be guessed.
+    """Replaces identifiers with keyed hashes: equal ones stay equal, and none can be guessed.
 
     The same secret gives the same hashes on every router.
     """
--- a/ironrail/access_log/record.py
+++ b/ironrail/access_log/record.py
@@ -1,4 +1,4 @@
-"""Records of the access log: which requests are sampled, the form of a line, and the limits."""
+"""Records of the access log: sampling, line format, and size limits."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 from ironrail.access_log.pseudonyms import Pseudonymizer
 
 FORMAT_VERSION = 1
-# Some seconds of a router's full load, 8 MB.
+# A few seconds at a router's full load; takes 8 MB.
 MAX_BUFFERED_RECORDS = 20_000
 NUM_CHECKSUMS = 2**32
-DECIMALS_COUNT = 6  # of times in a line: microseconds
+NUM_DECIMALS = 6  # of times in a line, which are rounded to microseconds
 
 
 class RequestOutcome(IntEnum):
-    """How a request ended, as the HTTP status that log readers know."""
+    """How a request ended, as the HTTP status that log tools expect."""
 
     SERVED = 200
     CLIENT_DISCONNECTED = 499
@@ -28,7 +28,7 @@
 
 @dataclass(slots=True)
 class AccessRecord:
-    """One request. Holds nothing about its client."""
+    """One completed request, without information about its client."""
 
     started_at: float  # Unix time in seconds
     duration: float  # seconds
@@ -39,15 +39,15 @@
     is_write: bool
     outcome: RequestOutcome
     idempotency_key: str
-    expected_seconds: float  # of work, as its client estimated; 0 where it did not
-    is_retry: bool  # by the client
+    expected_seconds: float  # of work, as estimated by the client; 0 without an estimate
+    is_retry: bool  # whether the client marked it as a retry
 
 
 class RecordBuffer:
     """Samples requests and buffers their records until they are written.
 
     Attributes:
-        dropped: Records that were not buffered, because the buffer was full.
+        dropped: Number of records that were dropped because the buffer was full.
     """
 
     def __init__(
@@ -57,7 +57,7 @@
         hash_keys: bool,
         max_records: int = MAX_BUFFERED_RECORDS,
     ) -> None:
-        """Sample `sample_ratio` of the requests; hash keys with `secret` if `hash_keys`."""
+        """Sample this ratio of the requests; hash cache keys with `secret` if `hash_keys`."""
         self._checksum_limit = round(sample_ratio * NUM_CHECKSUMS)
         self._pseudonymize = Pseudonymizer(secret)
         self._hash_keys = hash_keys
@@ -94,16 +94,16 @@
         return orjson.dumps(
             {
                 "ironrail": FORMAT_VERSION,
-                "at": round(record.started_at, DECIMALS_COUNT),
+                "at": round(record.started_at, NUM_DECIMALS),
                 "class": record.request_class,
                 "title": record.tenant,
                 "key": self._pseudonymize(key) if self._hash_keys else key,
                 "size": record.value_bytes,
                 "write": record.is_write,
                 "status": int(record.outcome),
-                "took": round(record.duration, DECIMALS_COUNT),
+                "took": round(record.duration, NUM_DECIMALS),
                 "k": self._pseudonymize(record.idempotency_key),
-                "hint": round(record.expected_seconds, DECIMALS_COUNT),
+                "hint": round(record.expected_seconds, NUM_DECIMALS),
                 "r": int(record.is_retry),
             },
             option=orjson.OPT_APPEND_NEWLINE,
@@ -118,7 +118,7 @@
     file_bytes: int = 0
 
     def must_rotate(self, size: int) -> bool:
-        """Return whether `size` more bytes belong into a new file."""
+        """Return whether `size` more bytes need a new file."""
         return self.file_bytes > 0 and self.file_bytes + size > self.max_bytes
 
     def add(self, size: int) -> None:
--- a/ironrail/admin/connection_limit.py
+++ b/ironrail/admin/connection_limit.py
@@ -1,4 +1,4 @@
-"""Limits on the admin endpoint's connections: how many, and for how long. Times are in seconds."""
+"""Limits on the number and duration of admin connections. Times are in seconds."""
 
 from __future__ import annotations
 
@@ -11,22 +11,22 @@
 
 @dataclass(slots=True, eq=False)
 class AdminConnection:
-    """One connection."""
+    """One connection to the admin endpoint."""
 
-    waiting_since: float  # when it was accepted or, once it has its response, when it was answered
+    waiting_since: float  # when it was accepted or, if `answered`, when it was answered
     answered: bool = False
 
 
 @dataclass(frozen=True, slots=True)
 class Admission:
-    """A connection that was admitted, and the one that is closed to make place for it."""
+    """A connection that was admitted, and the one to close in exchange, if any."""
 
     connection: AdminConnection
     evicted: AdminConnection | None
 
 
 class ConnectionLimit:
-    """Tracks open connections, the oldest first, and evicts one when there are too many."""
+    """Tracks open connections, oldest first, and evicts one when there are too many."""
 
     def __init__(self, max_connections: int = MAX_CONNECTIONS) -> None:
         self._max_connections = max_connections
@@ -39,9 +39,9 @@
         return connection in self._connections
 
     def admit(self, now: float) -> Admission:
-        """Add a connection; at the limit, evict an answered one, else the oldest.
+        """Add a connection; at the limit, evict an answered one, otherwise the oldest.
 
-        Silent connections can't block the endpoint for others this way.
+        This keeps idle connections from blocking the endpoint for others.
         """
         evicted = None
         if len(self._connections) >= self._max_connections:
@@ -58,7 +58,7 @@
         return next(iter(self._connections))
 
     def answered(self, now: float, connection: AdminConnection) -> None:
-        """Record that the response was sent; the client has a moment to read it."""
+        """Record that the response was sent, which starts `RESPONSE_TIMEOUT_SECONDS`."""
         connection.answered = True
         connection.waiting_since = now
 
@@ -67,7 +67,7 @@
         self._connections.pop(connection, None)
 
     def expired(self, now: float) -> list[AdminConnection]:
-        """Return the connections past their timeout: to be sent 408, or closed if answered."""
+        """Return the connections past their timeout, to be sent 408 or, if answered, closed."""
         return [
             connection
             for connection in self._connections
--- a/ironrail/admin/http_call.py
+++ b/ironrail/admin/http_call.py
@@ -1,4 +1,4 @@
-"""One HTTP/1.1 call on one connection (RFC 9112): bytes in, one response out. No I/O."""
+"""One HTTP/1.1 call on one connection (RFC 9112), from received bytes to a response. No I/O."""
 
 from __future__ import annotations
 
@@ -26,15 +26,15 @@
 
 
 class HttpCall:
-    """One call. Bytes behind it are not read, as the connection closes after the response."""
+    """One call. Bytes after it are ignored, as the connection closes after the response."""
 
     def __init__(
         self, pages: Mapping[str, Handler], posts: Mapping[str, PostHandler] | None = None
     ) -> None:
-        """Answer GET and HEAD by `pages`, POST by `posts`; both are handlers by path."""
+        """Answer GET and HEAD from `pages`, POST from `posts`; both map paths to handlers."""
         self._pages = pages
         self._posts = posts or {}
-        self._post_handler: PostHandler | None = None  # that gets the body of this call
+        self._post_handler: PostHandler | None = None  # receives the body of this call
         self._body = bytearray()
         self._http = h11.Connection(h11.SERVER, max_incomplete_event_size=MAX_HEAD_BYTES)
         self._answered = False
@@ -42,7 +42,8 @@
     def receive(self, data: bytes) -> bytes | None:
         """Return the response once the request is complete or malformed; None before and after.
 
-        Empty `data` is the end of the client's side; no response follows if it sent nothing at all.
+        Empty `data` means that the client has closed its side; no response follows if it sent
+        nothing at all.
         """
         if self._answered:
             return None
@@ -71,13 +72,13 @@
         return None
 
     def request_timeout(self) -> bytes | None:
-        """Return the response to a request that was not complete in time; None if answered."""
+        """Return the response to a request that timed out incomplete; None if already answered."""
         if self._answered:
             return None
         return self._encode(Response(HTTPStatus.REQUEST_TIMEOUT, b"no whole call in time\n"))
 
     def _handle_request(self, request: h11.Request) -> Response | None:
-        """Return the response to a request without a body; None where a body follows."""
+        """Return the response to a request without a body; None if a body follows."""
         path = request.target.decode("ascii").partition("?")[0]
         page = self._pages.get(path)
         self._post_handler = self._posts.get(path)
--- a/ironrail/admin/metrics.py
+++ b/ironrail/admin/metrics.py
@@ -1,4 +1,4 @@
-"""Metrics of a router since its start, rendered in the format of statsd.
+"""Metrics of a router since its start, in the statsd format.
 
 `NAME:VALUE|c` is a counter since the start, `NAME:VALUE|g` a gauge.
 """
@@ -9,12 +9,12 @@
 from collections.abc import Iterable, Iterator, Mapping
 
 PREFIX = "edge_node"
-# Characters of a class name that would end a statsd name.
+# Characters of a request class name that are invalid in a statsd name.
 RESERVED_CHARACTERS = re.compile(r"[^\w.-]")
 
 
 class RequestMetrics:
-    """Counts final answers by request class, and attempts written to servers.
+    """Counts final responses by request class, and attempts written to servers.
 
     Attributes:
         success: Requests that were served, by class.
@@ -24,7 +24,7 @@
     """
 
     def __init__(self, classes: Iterable[str]) -> None:
-        """Start at 0 for each of these request classes; there are no others."""
+        """Count from 0 for each of these request classes, which must be all that exist."""
         names = list(classes)
         self.success = dict.fromkeys(names, 0)
         self.busy = dict.fromkeys(names, 0)
@@ -36,7 +36,7 @@
         self.attempts += 1
 
     def render(self, gauges: Mapping[str, int], counters: Iterable[tuple[str, int]] = ()) -> bytes:
-        """Return all metrics, one a line, with the caller's own gauges and counters."""
+        """Return all metrics, one per line, with the caller's gauges and counters."""
         lines = list(self._answer_lines())
         lines.append(f"{PREFIX}.backend_calls:{self.attempts}|c")
         lines += [f"{PREFIX}.{name}:{value}|c" for name, value in counters]
--- a/ironrail/diagnostics/counters.py
+++ b/ironrail/diagnostics/counters.py
@@ -5,14 +5,14 @@
 from collections.abc import Iterator
 from enum import StrEnum
 
-MAX_LOGGED_PER_SECOND = 4  # lines of one sampler
+MAX_LOGGED_PER_SECOND = 4  # lines per sampler
 
 
 class ReasonCounter:
-    """Counts events since the start, by the members of an enum."""
+    """Counts events since the start by reason, a member of an enum."""
 
     def __init__(self, name: str, reasons: type[StrEnum]) -> None:
-        """Use `name` as the prefix in the metrics."""
+        """Count from 0; `name` is the prefix in the metrics."""
         self.name = name
         self._counts = dict.fromkeys(reasons, 0)
 
@@ -24,7 +24,7 @@
         return self._counts[reason]
 
     def total(self) -> int:
-        """Return the number of events of all reasons."""
+        """Return the number of events for all reasons together."""
         return sum(self._counts.values())
 
     def items(self) -> Iterator[tuple[str, int]]:
@@ -34,10 +34,10 @@
 
 
 class LogSampler:
-    """Limits the events that share it to a few log lines a second, and counts the suppressed ones.
+    """Limits the events that share it to a few log lines per second, and counts suppressed ones.
 
     Attributes:
-        suppressed: Lines that were not logged since the last `take_suppressed`.
+        suppressed: Number of lines that were not logged since the last `take_suppressed`.
     """
 
     def __init__(self, per_second: int = MAX_LOGGED_PER_SECOND) -> None:
@@ -59,7 +59,7 @@
         return True
 
     def take_suppressed(self) -> int:
-        """Return the number of lines suppressed since the last call."""
+        """Return the number of lines suppressed since the last call, and reset it."""
         suppressed = self.suppressed
         self.suppressed = 0
         return suppressed
--- a/ironrail/diagnostics/daemon.py
+++ b/ironrail/diagnostics/daemon.py
@@ -1,4 +1,4 @@
-"""Counters of one router by reason, and log lines about single requests that went wrong."""
+"""Counters of one router by reason, and log lines about requests that went wrong."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
     outcome: str  # a status, or `open` while it is in flight
 
     def text(self) -> str:
-        """Return the attempt as a field of the log."""
+        """Return the attempt as text for the log."""
         return f"{self.server} +{self.sent_after:.3f} {self.outcome}"
 
 
@@ -38,7 +38,7 @@
     request: str
     request_class: str
     client_timeout: float  # seconds until its client gives up
-    read_late: float  # seconds at most for which it waited unread
+    read_delay: float  # seconds for which it may have been unread
     age: float  # seconds since it may have arrived
     attempts: tuple[AttemptSummary, ...]
 
@@ -50,7 +50,7 @@
         invariants: Checks the invariants of requests.
         late_answers: Requests answered after their deadline.
         unanswered: Requests whose client disconnected at its deadline, without an answer.
-        held_up: Times that the process did not run.
+        held_up: Number of hold-ups of the process.
     """
 
     def __init__(self) -> None:
@@ -90,7 +90,7 @@
             "request": summary.request,
             "class": summary.request_class,
             "client_timeout": round(summary.client_timeout, 3),
-            "read_late": round(summary.read_late, 3),
+            "read_late": round(summary.read_delay, 3),
             "age": round(summary.age, 3),
             "attempts": [attempt.text() for attempt in summary.attempts],
             "suppressed": self._request_log.take_suppressed(),
--- a/ironrail/diagnostics/hold_up.py
+++ b/ironrail/diagnostics/hold_up.py
@@ -1,7 +1,7 @@
 """Detects hold-ups of the process: paused by the system, short of CPU, or busy with one task.
 
-A heartbeat is due every `HEARTBEAT_INTERVAL_SECONDS`. If it is late, data that is read around then
-may have waited in the kernel's buffers since the heartbeat before, and due timers fired late.
+A heartbeat is due every `HEARTBEAT_INTERVAL_SECONDS`. If it is late, data that is read around that
+time may have been in the kernel's buffers since the previous heartbeat, and due timers fired late.
 """
 
 from __future__ import annotations
@@ -9,35 +9,36 @@
 from dataclasses import dataclass
 
 HEARTBEAT_INTERVAL_SECONDS = 0.02
-# Events that need some turns of the event loop to be noticed may date from a hold-up for so long.
+# Events that need several iterations of the event loop to be noticed may date from a hold-up that
+# ended up to this long ago.
 SETTLING_SECONDS = 0.02
-TOLERANCE_SECONDS = 0.01  # by which a heartbeat may be late in ordinary operation
+TOLERANCE_SECONDS = 0.01  # how late a heartbeat may be in normal operation
 
 
 @dataclass(frozen=True, slots=True)
 class HoldUp:
     """A period in which the process did not run, in seconds on the monotonic clock."""
 
-    since: float  # the last heartbeat before it
-    until: float  # the late heartbeat
+    since: float  # time of the last heartbeat before it
+    until: float  # time of the late heartbeat
 
     @property
     def seconds(self) -> float:
-        """Return its maximal length: it may have begun up to a heartbeat later."""
+        """Maximum duration; the actual start may be up to one heartbeat interval later."""
         return self.until - self.since
 
 
 class HoldUpDetector:
-    """Follows the heartbeat of one event loop.
+    """Tracks the heartbeat of one event loop.
 
     Attributes:
-        count: Hold-ups since the start.
-        longest: Length of the longest, in seconds.
+        count: Number of hold-ups since the start.
+        longest: Duration of the longest hold-up in seconds.
     """
 
     def __init__(self, now: float) -> None:
         self._last_beat = now
-        self._unread: HoldUp | None = None  # data of that time may be unread
+        self._unread: HoldUp | None = None  # data that arrived during it may be unread
         self._latest: HoldUp | None = None
         self.count = 0
         self.longest = 0.0
@@ -60,15 +61,15 @@
             self._unread = None
 
     def earliest_arrival(self, now: float) -> float:
-        """Return when data that is read at `now` may have arrived at the earliest."""
+        """Return the earliest arrival time of data that is read at `now`."""
         if self._unread is not None:
             return self._unread.since
         return self._last_beat if self._overdue(now) else now
 
     def earliest_event(self, now: float) -> float:
-        """Return the same for events that are noticed some turns of the event loop later.
+        """Return the earliest time of an event that is noticed several event loop iterations later.
 
-        These are signals and the first bytes of a connection.
+        Such events are signals and the first bytes of a connection.
         """
         latest = self._latest
         if latest is not None and now - latest.until < SETTLING_SECONDS:
--- a/ironrail/diagnostics/invariants.py
+++ b/ironrail/diagnostics/invariants.py
@@ -1,9 +1,9 @@
 """Invariants of a request, checked before it is started, sent, retried, answered or closed.
 
-The checks run where bytes leave the router and judge by what was written and received, without
-relying on the policy or the connection pools. A step that would break an invariant is prevented,
-counted and logged. All counters are 0 in a correct router, whatever fails around it. A step that
-is late only because the process was held up is prevented, but is no violation.
+The checks run where bytes leave the router, and use what was written and received, without relying
+on the policy or the connection pools. A step that would violate an invariant is prevented, counted
+and logged. All counters are 0 in a correct router, whatever fails around it. A step that is late
+only because the process was held up is prevented, but is not a violation.
 """
 
 from __future__ import annotations
@@ -20,10 +20,10 @@
 
 log = logging.getLogger(__name__)
 
-# Between a decision and its write the process may be held up for so long without a violation.
+# A hold-up of this length between a decision and its write is not a violation.
 HOLD_UP_TOLERANCE_SECONDS = 0.15
 # Outcomes that prove that an attempt had no effect, so that it may be repeated; a miss changes
-# nothing. Kept apart from the policy's list: these checks don't rely on the policy.
+# nothing. Separate from the policy's list, because these checks must not rely on the policy.
 WITHOUT_EFFECT = frozenset(
     {
         AttemptStatus.BUSY,
@@ -41,27 +41,27 @@
 
     written_at: float
     outcome: AttemptStatus | None  # None while it is in flight
-    on_open_connection: bool  # a reply may still arrive
+    on_open_connection: bool  # so that a reply may still arrive
 
     def may_have_run(self) -> bool:
-        """Return whether its effect may have happened, or may still happen."""
+        """Return whether the attempt may have had an effect, or may still have one."""
         return self.outcome is None or self.outcome not in WITHOUT_EFFECT
 
 
 @dataclass(frozen=True, slots=True)
-class Sending:
+class PendingWrite:
     """An attempt that is about to be written. Times are in seconds on the monotonic clock."""
 
     now: float
     request: str
     server: str
-    server_ready: bool  # neither draining nor removed
-    pending: bool  # the request is owed its answer
+    server_ready: bool  # whether the server is neither draining nor removed
+    pending: bool  # whether the request awaits its final response
     deadline: float
-    begin_by: float  # latest start of a request with an idempotency key that may have run
+    send_by: float  # latest time of the write; bounds retries by idempotency key
     idempotency: Idempotency
-    idempotency_window: float  # seconds in which a request with an idempotency key may be retried
-    hedging_allowed: bool  # two attempts may be in flight
+    idempotency_window: float  # seconds within which a retry by key may start
+    hedging_allowed: bool  # whether two attempts may be in flight
     earlier_attempts: Sequence[EarlierAttempt] = ()
 
 
@@ -69,19 +69,19 @@
     """Checks each step of a request before it is taken.
 
     Attributes:
-        violations: Prevented violations, by invariant.
+        violations: Number of prevented violations, by invariant.
     """
 
     def __init__(self) -> None:
         self.violations = ReasonCounter("violation", Violation)
         self._sampler = LogSampler()
 
-    def may_send(self, sending: Sending) -> bool:
+    def may_send(self, write: PendingWrite) -> bool:
         """Return whether an attempt may be written."""
-        broken = list(_broken_by(sending))
+        broken = list(_violations_of(write))
         for violation in broken:
-            self._report(sending.now, violation, sending.request, sending.server)
-        return not broken and sending.now < min(sending.deadline, sending.begin_by)
+            self._report(write.now, violation, write.request, write.server)
+        return not broken and write.now < min(write.deadline, write.send_by)
 
     def may_start(self, now: float, request: str, in_flight: bool, ended: bool) -> bool:
         """Return whether a request may start; `ended` once the router has shut down."""
@@ -92,7 +92,7 @@
         return not (in_flight or ended)
 
     def may_answer(self, now: float, request: str, pending: bool) -> bool:
-        """Return whether a request may be given its final answer."""
+        """Return whether a request may get its final response."""
         if not pending:
             self._report(now, Violation.ANSWERED_TWICE, request)
         return pending
@@ -104,7 +104,7 @@
         idempotency: Idempotency,
         attempts: Sequence[EarlierAttempt],
     ) -> bool:
-        """Return whether the answer may promise that the request had no effect."""
+        """Return whether the response may say that the request had no effect."""
         may_have_run = idempotency is Idempotency.UNSAFE and any(
             attempt.may_have_run() for attempt in attempts
         )
@@ -125,31 +125,30 @@
             log.error("invariant_violated", extra=fields)
 
 
-def _broken_by(sending: Sending) -> Iterator[Violation]:
-    if not sending.pending:
+def _violations_of(write: PendingWrite) -> Iterator[Violation]:
+    if not write.pending:
         yield Violation.SENT_AFTER_END
-    if sending.now > sending.deadline + HOLD_UP_TOLERANCE_SECONDS:
+    if write.now > write.deadline + HOLD_UP_TOLERANCE_SECONDS:
         yield Violation.SENT_AFTER_DEADLINE
-    if not sending.server_ready:
+    if not write.server_ready:
         yield Violation.SENT_TO_DRAINED
-    if sending.earlier_attempts:
-        yield from _broken_by_repeat(sending)
+    if write.earlier_attempts:
+        yield from _retry_violations(write)
 
 
-def _broken_by_repeat(sending: Sending) -> Iterator[Violation]:
-    ran = [attempt for attempt in sending.earlier_attempts if attempt.may_have_run()]
-    if sending.idempotency is Idempotency.UNSAFE and ran:
+def _retry_violations(write: PendingWrite) -> Iterator[Violation]:
+    ran = [attempt for attempt in write.earlier_attempts if attempt.may_have_run()]
+    if write.idempotency is Idempotency.UNSAFE and ran:
         yield Violation.RETRIED_UNSAFE
-    if sending.idempotency is Idempotency.IDEMPOTENCY_KEY:
+    if write.idempotency is Idempotency.IDEMPOTENCY_KEY:
         first = min((attempt.written_at for attempt in ran), default=math.inf)
         if (
-            sending.now
-            > min(sending.begin_by, first + sending.idempotency_window) + HOLD_UP_TOLERANCE_SECONDS
+            write.now
+            > min(write.send_by, first + write.idempotency_window) + HOLD_UP_TOLERANCE_SECONDS
         ):
             yield Violation.RETRIED_AFTER_WINDOW
     in_flight = any(
-        attempt.outcome is None and attempt.on_open_connection
-        for attempt in sending.earlier_attempts
+        attempt.outcome is None and attempt.on_open_connection for attempt in write.earlier_attempts
     )
-    if in_flight and not sending.hedging_allowed:
+    if in_flight and not write.hedging_allowed:
         yield Violation.HEDGED_WITHOUT_PERMISSION
--- a/ironrail/diagnostics/reasons.py
+++ b/ironrail/diagnostics/reasons.py
@@ -1,7 +1,7 @@
 """Reasons why requests, attempts and connections ended, for the metrics and the log.
 
-The values are parts of metric names, which operators' tools read: they stay as they are, also where
-the member has a clearer name.
+The values are parts of metric names that operators' tools read. They must not change, even where a
+member has a clearer name.
 """
 
 from __future__ import annotations
@@ -12,12 +12,12 @@
 
 
 class RejectionReason(StrEnum):
-    """Why a request was rejected or failed, as far as the dispatcher can tell.
+    """Why a request was rejected or failed, as far as the dispatcher knows.
 
-    It is derived from the state of the request when it ends, in `net/dispatch/request_summary.py`.
+    Derived from the state of the request at its end, in `net/dispatch/request_summary.py`.
     """
 
-    NO_ATTEMPT = "not_sent"  # shed, over its tenant's rate, or no server was usable
+    NO_ATTEMPT = "not_sent"  # shed, over its tenant's rate limit, or no server was usable
     DEADLINE_EXCEEDED = "time_up"  # its deadline passed
     ATTEMPT_FAILED = "attempt_failed"  # attempts failed, or the origin had no capacity
     SHUTDOWN = "shutdown"  # the router exits
@@ -27,7 +27,7 @@
     """Why a request was retried or hedged."""
 
     MISS = "miss"  # a cache lacks the key
-    OVERDUE = "overdue"  # the previous attempt is still unanswered: a hedged request
+    OVERDUE = "overdue"  # the previous attempt is unanswered: a hedged request
     BUSY = "busy"
     CONNECT_FAILED = "connect_failed"
     TIMEOUT = "timeout"
@@ -47,7 +47,7 @@
 
 
 def retry_reason(previous: AttemptStatus | None) -> RetryReason:
-    """Return why an attempt follows one with this outcome, None for one in flight."""
+    """Return why an attempt follows a previous one, whose outcome is None while in flight."""
     if previous is None:
         return RetryReason.OVERDUE
     return _RETRY_REASONS.get(previous, RetryReason.OTHER)
@@ -91,4 +91,4 @@
     ANSWERED = "answered"
     FAILED = "failed"
     WATCH_TIMED_OUT = "silent"
-    MALFORMED = "spoilt"  # broke off, or can't be read
+    MALFORMED = "spoilt"  # broke off, or can't be parsed
--- a/ironrail/net/access_log_writer.py
+++ b/ironrail/net/access_log_writer.py
@@ -1,4 +1,4 @@
-"""Writes the access log: a thread of its own owns the file, so that no disk delays a request."""
+"""Writes the access log in a thread of its own, so that a slow disk delays no request."""
 
 from __future__ import annotations
 
@@ -12,16 +12,17 @@
 from pathlib import Path
 
 from ironrail.access_log.record import AccessRecord, RecordBuffer, RequestOutcome, RotationLimit
-from ironrail.net.protocol.meta_codec import Command, read_figure
+from ironrail.net.protocol.meta_codec import Command, read_numeric_field
 from ironrail.net.system import REAL, System
 from ironrail.operator_file import AccessLogSettings, OperatorError
 
 log = logging.getLogger(__name__)
 
 FLUSH_INTERVAL_SECONDS = 0.5
-# Encoded at once: longer batches would hold up the event loop, which shares the interpreter.
+# Records encoded in one step. Larger batches would hold up the event loop, as the encoding thread
+# holds the interpreter lock.
 MAX_BATCH_RECORDS = 500
-# A hanging disk must not keep a router from exiting.
+# Bounded, as a hanging disk must not keep a router from exiting.
 FINAL_FLUSH_TIMEOUT_SECONDS = 0.5
 ROTATED_SUFFIX = ".1"
 MEGABYTE_BYTES = 1024**2
@@ -47,7 +48,7 @@
             raise OperatorError(f"access_log.path: {path}: {reason}") from error
 
     def reopen(self) -> None:
-        """Open the path anew, after the file was moved away; keep the old file if that fails."""
+        """Open the path again after the file was moved away; keep the old file if that fails."""
         previous = self._file
         self._file = self._path.open("ab", buffering=0)
         if previous is not None:
@@ -55,10 +56,10 @@
         self._limit.file_bytes = os.fstat(self._file.fileno()).st_size
 
     def write(self, data: bytes) -> None:
-        """Append complete lines; start a new file first if they don't fit.
+        """Append complete lines; rotate the file first if they exceed its size limit.
 
         Raises:
-            OSError: The lines are lost.
+            OSError: The lines can't be written, and are lost.
         """
         assert self._file is not None
         if self._limit.must_rotate(len(data)):
@@ -86,16 +87,16 @@
         self._thread = ThreadPoolExecutor(1, "access-log")
         self._task: asyncio.Task[None] | None = None
         self._stopping = asyncio.Event()
-        self._dropped_logged = 0  # of the buffer's dropped records
+        self._dropped_logged = 0  # how many of the buffer's dropped records were logged
 
     def start(self) -> None:
         """Write buffered records from now on."""
         self._task = asyncio.create_task(self._run())
 
-    def note(
+    def record(
         self, command: Command, duration: float, outcome: RequestOutcome, value_bytes: int
     ) -> None:
-        """Record a completed request, if it is sampled.
+        """Record a completed request if it is sampled.
 
         Args:
             command: The request.
@@ -105,13 +106,13 @@
         """
         idempotency_key = command.fields.get("k", "")
         if self._buffer.samples(idempotency_key.encode() or command.request_id):
-            self._buffer.add(self._record(command, duration, outcome, value_bytes))
+            self._buffer.add(self._make_record(command, duration, outcome, value_bytes))
 
-    def _record(
+    def _make_record(
         self, command: Command, duration: float, outcome: RequestOutcome, value_bytes: int
     ) -> AccessRecord:
         fields = command.fields
-        hint = read_figure(fields, "h")
+        hint = read_numeric_field(fields, "h")
         return AccessRecord(
             started_at=self._system.wall() - duration,
             duration=duration,
@@ -127,7 +128,7 @@
         )
 
     def reopen(self) -> None:
-        """Open the file anew, after it was moved away."""
+        """Open the file again after it was moved away."""
         self._thread.submit(_log_errors, self._file.reopen)
 
     async def _run(self) -> None:
@@ -163,7 +164,7 @@
 
 
 def _log_errors(action: Callable[..., None], *arguments: object) -> None:
-    """Run in the writer's thread; a disk that is full or gone costs lines, and no more."""
+    """Run `action` in the writer's thread; log an I/O error, at which only log lines are lost."""
     try:
         action(*arguments)
     except OSError as error:
--- a/ironrail/net/admin_server.py
+++ b/ironrail/net/admin_server.py
@@ -1,4 +1,4 @@
-"""Admin endpoint on sockets: one HTTP call a connection, with the limits of `ironrail.admin`."""
+"""Admin endpoint on sockets: one HTTP call per connection, with the limits of `ironrail.admin`."""
 
 from __future__ import annotations
 
@@ -28,16 +28,16 @@
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Register the connection, unless it was evicted meanwhile."""
-        self.transport = cast(asyncio.Transport, transport)  # uvloop's is no subclass
+        self.transport = cast(asyncio.Transport, transport)  # uvloop's class is no subclass of it
         if not self._server.opened(self._connection, self):
             self.transport.abort()
 
     def data_received(self, data: bytes) -> None:
-        """Parse a part of the request."""
+        """Parse received bytes of the request."""
         self._respond(self._call.receive(data))
 
     def eof_received(self) -> None:
-        """Answer an incomplete request; asyncio closes the connection once that is written."""
+        """Answer an incomplete request; asyncio closes the connection after the response."""
         self._respond(self._call.receive(b""))
 
     def _respond(self, response: bytes | None) -> None:
@@ -81,7 +81,7 @@
         self._loop = asyncio.get_running_loop()
 
     def listen(self, address: Address) -> Address:
-        """Accept connections from now on; return the address listened on."""
+        """Accept connections from now on; return the listening address."""
         self._acceptor = Acceptor(self._system, address, self._accepted)
         self._loop.call_later(EXPIRY_CHECK_INTERVAL_SECONDS, self._close_expired)
         return self._acceptor.address
@@ -115,7 +115,7 @@
         return True
 
     def answered(self, connection: AdminConnection) -> None:
-        """Record that a connection has its response."""
+        """Record that the response was written to a connection."""
         self._limit.answered(self._system.now(), connection)
 
     def closed(self, connection: AdminConnection) -> None:
--- a/ironrail/net/config.py
+++ b/ironrail/net/config.py
@@ -37,15 +37,15 @@
 
     Attributes:
         listen_address: Where clients connect.
-        discovery_address: Where discovery answers.
+        discovery_address: Where discovery listens.
         seed: Seed of the router's random draws.
         max_sockets: File descriptors that the process may use.
-        memory_limit: In bytes.
-        max_streams: Requests in flight on one connection to a cache.
-        cached_endpoint_list: An endpoint list in discovery's form to start with, or None.
+        memory_limit: Memory that the process may use, in bytes.
+        max_streams: Limit on the requests in flight on one connection to a cache.
+        cached_endpoint_list: An endpoint list in discovery's format for the start, or None.
         settings: Settings of the policy.
         admin_address: Where the admin endpoint listens; None for none.
-        peer_table: The fields of the other routers, not yet parsed.
+        peer_table: The fields about the other routers, not yet parsed.
     """
 
     listen_address: Address
@@ -65,14 +65,14 @@
 
     Raises:
         ConfigError: The file can't be used; the error names the file and the field.
-        SettingsError: The same for its settings.
+        SettingsError: The settings in it can't be used.
     """
     path = environ.get("NODE_CONFIG")
     if not path:
         raise ConfigError("is not set", "NODE_CONFIG")
     try:
         table = orjson.loads(Path(path).read_bytes())
-    except OSError as error:  # its text names the file
+    except OSError as error:  # its message names the file
         raise ConfigError(str(error), "NODE_CONFIG") from error
     except ValueError as error:
         raise ConfigError(f"{path}: {error}", "NODE_CONFIG") from error
@@ -81,20 +81,20 @@
     try:
         return config_of_table(table, environ)
     except InputError as error:
-        # logs may be read without the environment at hand
+        # Name the file, as a reader of the log may not know the environment.
         location = f"{path}: {error.location}" if error.location else path
         raise type(error)(error.reason, location) from error
 
 
 def config_of_table(table: dict[str, Any], environ: dict[str, str]) -> Config:
-    """Read a configuration from a decoded table; `environ` has defaults of the addresses.
+    """Read a configuration from a decoded table; `environ` holds default addresses.
 
     Raises:
         ConfigError: A field can't be used.
         SettingsError: A field of the settings can't be used.
     """
-    conf = read_section(table, "settings")
-    settings = read_settings(conf)
+    settings_table = read_section(table, "settings")
+    settings = read_settings(settings_table)
     return Config(
         listen_address=_address(table, "listen", environ.get("NODE_LISTEN")),
         discovery_address=_address(table, "discovery", environ.get("NODE_DISCOVERY")),
@@ -104,7 +104,9 @@
             read_number(read_section(table, "limits"), "memory_mb", 192, "limits.", 16)
             * MEGABYTE_BYTES
         ),
-        max_streams=int(read_number(read_section(conf, "limits"), "multiplex", 1, "limits.", 1)),
+        max_streams=int(
+            read_number(read_section(settings_table, "limits"), "multiplex", 1, "limits.", 1)
+        ),
         cached_endpoint_list=table.get("known"),
         settings=settings,
         admin_address=_admin_address(table, environ.get("NODE_OPERATOR")),
@@ -128,7 +130,7 @@
     """Parse the address in a field.
 
     Raises:
-        ConfigError: The value is no `host:port`.
+        ConfigError: The value is not a `host:port`.
     """
     try:
         return read_address(str(value))
--- a/ironrail/net/discovery/agent_watcher.py
+++ b/ironrail/net/discovery/agent_watcher.py
@@ -18,9 +18,9 @@
 
 
 class AgentWatcher(EndpointWatcher):
-    """Requests the list by itself, with hedged calls and a short interval after failures.
+    """Requests the list on its own, with hedged calls and a short interval after failures.
 
-    The policy is notified of no failure: an agent that can't be reached has no newer list either.
+    Failures are not reported to the policy: an unreachable agent has no newer list either.
     """
 
     def __init__(
@@ -39,7 +39,7 @@
         self._failure_log = LogSampler(per_second=1)
 
     def refresh(self) -> None:
-        """Request the full list anew, once changes that wait unread are taken."""
+        """Request the full list again, after changes that are received but unread were applied."""
         if self._relist_timer is None:
             self._schedule_relist()
 
@@ -52,7 +52,7 @@
 
     async def _request_full_list(self) -> Any:
         self._watch_timed_out = False
-        self._client.close()  # after a lost watch its connection is of no use
+        self._client.close()  # the connection of a lost watch can't be reused
         call = HedgedCall(
             self._make_client,
             timeouts.AGENT_CALL_INTERVAL_SECONDS,
--- a/ironrail/net/discovery/endpoint_list.py
+++ b/ironrail/net/discovery/endpoint_list.py
@@ -1,4 +1,4 @@
-"""Parser of endpoint lists in discovery's form."""
+"""Parser of endpoint lists in discovery's format."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
     "terminated": EndpointState.REMOVED,
 }
 MAX_PORT = 65535
-# The policy takes a start time of 0 for a server that started long ago.
+# A known start time is never 0, which the policy reads as "started long ago".
 MIN_STARTED_AT_SECONDS = 1e-3
 
 
@@ -33,7 +33,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _StartTime:
-    """One start of a server on two clocks."""
+    """The start time of a server on two clocks."""
 
     started_ms: float  # Unix time in milliseconds, as discovery reports it
     started_at: float  # seconds on the monotonic clock
@@ -54,15 +54,15 @@
     ) -> EndpointListMessage:
         """Parse one message, completely or not at all.
 
-        A full list may have any version, as a restarted discovery may number anew.
+        A full list may have any version, as discovery may restart its numbering.
 
         Args:
             message: The decoded JSON document.
             kind: Kind of the update; None takes it from the message.
-            min_delta_version: Lowest version of a delta; infinity rejects all.
+            min_delta_version: Lowest version of a delta; infinity rejects all deltas.
 
         Raises:
-            EndpointListError: The message can't be used; nothing of it was taken.
+            EndpointListError: The message can't be used, and nothing of it was applied.
         """
         try:
             kind = kind or _kind_of(message)
@@ -78,7 +78,7 @@
         return EndpointListMessage(version, update, addresses)
 
     def _forget_removed(self, update: EndpointListUpdate) -> None:
-        """Drop start times of servers that are no longer listed; bounds memory."""
+        """Drop the start times of servers that are no longer listed, to bound memory."""
         removed = {
             endpoint.name
             for endpoint in update.endpoints
@@ -106,14 +106,15 @@
     def _started_at(self, name: str, started_ms: float) -> float:
         """Convert a start time to the monotonic clock, in seconds; 0 if it is unknown.
 
-        The same start always gives the same result: a step of the wall clock is no restart.
+        The same input always gives the same result, so that a step of the wall clock does not look
+        like a restart.
         """
         if started_ms <= 0:
             return 0.0
         known = self._start_times.get(name)
         if known is not None and known.started_ms == started_ms:
             return known.started_at
-        # A pause between both clock reads makes the server look younger, which is safe.
+        # A pause between the reads of both clocks makes the server look younger, which is safe.
         age = self._system.wall() - started_ms / MILLISECONDS_PER_SECOND
         started_at = max(MIN_STARTED_AT_SECONDS, self._system.now() - age)
         self._start_times[name] = _StartTime(started_ms, started_at)
--- a/ironrail/net/discovery/errors.py
+++ b/ironrail/net/discovery/errors.py
@@ -6,7 +6,7 @@
 
 
 class DiscoveryError(InputError):
-    """A call to discovery that brought no usable endpoint list."""
+    """A call to discovery that returned no usable endpoint list."""
 
     advice = "look whether discovery runs and answers at the configured address"
 
@@ -17,13 +17,13 @@
     advice = "look at discovery's own log for the reason of the status"
 
     def __init__(self, status: int) -> None:
-        """Describe a response with this HTTP status."""
+        """Create the error for a response with this HTTP status."""
         super().__init__(f"discovery answered {status}")
         self.status = status
 
 
 class MalformedResponseError(DiscoveryError):
-    """A response that began and broke off, stopped short or can't be parsed."""
+    """A response that began but broke off, timed out or can't be parsed."""
 
     advice = "look at discovery's own log, and at what stands between it and the router"
 
@@ -35,18 +35,18 @@
 
 
 class ConnectTimeoutError(DiscoveryError):
-    """No connection to discovery in time."""
+    """A connect to discovery that timed out."""
 
     advice = "look whether discovery's address can be reached from this machine"
 
 
 class ResponseTimeoutError(DiscoveryError):
-    """A request without the first byte of a response in time."""
+    """A request that timed out before the first byte of its response."""
 
     advice = "look whether discovery is overloaded, or hangs"
 
 
 class WatchTimeoutError(DiscoveryError):
-    """A watch without a response when its wait and grace were over."""
+    """A watch without a response after its wait and grace period."""
 
     advice = "look whether discovery hangs, or the connection to it loses packets"
--- a/ironrail/net/discovery/factory.py
+++ b/ironrail/net/discovery/factory.py
@@ -17,7 +17,7 @@
     router_index: int = 0,
     call_results: ReasonCounter | None = None,
 ) -> EndpointWatcher:
-    """Return the watcher of a polled service, else of an agent on this machine."""
+    """Return a watcher: of a polled service if `polls`, otherwise of an agent on this machine."""
     if polls:
         return ServiceWatcher(address, reader, router_index, call_results)
     return AgentWatcher(address, reader, call_results)
--- a/ironrail/net/discovery/hedged_call.py
+++ b/ironrail/net/discovery/hedged_call.py
@@ -1,8 +1,8 @@
-"""Hedged call to discovery's agent: sends a request again while earlier ones are unanswered.
+"""Hedged call to discovery's agent: repeats a request while earlier ones are unanswered.
 
-One lost request must not hide the agent's changes, and a slow one must not be given up, so
-requests overlap and the first response wins. While a response is arriving no other request starts:
-a long list on a slow machine would only arrive later for it.
+A lost request must not delay the agent's changes, and a slow one must not be cancelled, so requests
+overlap and the first response wins. While a response is arriving no other request starts, as that
+would slow down a long list on a slow machine further.
 """
 
 from __future__ import annotations
@@ -14,12 +14,12 @@
 
 from ironrail.net.discovery.http_client import DiscoveryClient
 
-MAX_CONCURRENT_CALLS = 6  # beyond that the oldest is cancelled
+MAX_CONCURRENT_CALLS = 6  # beyond the limit, the oldest is cancelled
 
 
 @dataclass(frozen=True, slots=True)
 class HedgedResponse:
-    """The first response, and the client that received it, whose connection stays open."""
+    """The first response, and the client that received it; its connection stays open."""
 
     client: DiscoveryClient
     document: Any
@@ -40,7 +40,7 @@
         Args:
             make_client: Makes the client of one request.
             interval: Seconds between the starts of two requests.
-            first_byte_timeout: Seconds for one request until its response begins.
+            first_byte_timeout: Seconds until the response of a request must begin.
             on_failure: Called with the error of each request that fails.
         """
         self._make_client = make_client
@@ -78,9 +78,9 @@
         self._in_flight[task] = client
 
     async def _first_answered(self) -> asyncio.Task[Any] | None:
-        """Return a request that is answered before the next one is due; None if there is none."""
+        """Return a request that was answered before the next one is due; None if there is none."""
         self._next_is_due = False
-        timer = asyncio.get_running_loop().call_later(self._interval, self._note_due)
+        timer = asyncio.get_running_loop().call_later(self._interval, self._mark_next_due)
         try:
             while not self._next_is_due:
                 await self._changed.wait()
@@ -95,20 +95,20 @@
         finally:
             timer.cancel()
 
-    def _note_due(self) -> None:
+    def _mark_next_due(self) -> None:
         self._next_is_due = True
         self._changed.set()
 
     def _cancel(self, tasks: list[asyncio.Task[Any]]) -> None:
         for task in tasks:
             del self._in_flight[task]
-            if task.get_loop().is_closed():  # garbage collection after the loop's end
+            if task.get_loop().is_closed():  # garbage collection after the event loop has ended
                 continue
             task.add_done_callback(_retrieve_exception)
             task.cancel()
 
 
 def _retrieve_exception(task: asyncio.Task[Any]) -> None:
-    """Mark the outcome of a cancelled request as seen, so that asyncio doesn't log it."""
+    """Retrieve the exception of a cancelled request, so that asyncio doesn't log it."""
     if not task.cancelled():
         task.exception()
--- a/ironrail/net/discovery/http_client.py
+++ b/ironrail/net/discovery/http_client.py
@@ -62,7 +62,7 @@
             if status == HTTPStatus.OK:
                 return orjson.loads(body)
         except BaseException as error:
-            self.close()  # a late response must not be taken for that of the next request
+            self.close()  # a late response must not be mistaken for that of the next request
             if _is_malformed(error, response_began):
                 reason = str(error) or type(error).__name__
                 raise MalformedResponseError(f"malformed response: {reason}") from error
@@ -86,7 +86,7 @@
         first_bytes = await reader.read(READ_CHUNK_BYTES)
         if not first_bytes:
             raise ConnectionResetError("discovery closed the connection")
-        self._note_received()
+        self._record_received()
         return first_bytes
 
     async def _connected_stream(self) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
@@ -110,7 +110,7 @@
         while not isinstance(event := self._http.next_event(), h11.EndOfMessage):
             if event is h11.NEED_DATA:
                 self._http.receive_data(await reader.read(READ_CHUNK_BYTES))
-                self._note_received()
+                self._record_received()
             elif isinstance(event, h11.Response):
                 status = event.status_code
             elif isinstance(event, h11.Data):
@@ -129,7 +129,7 @@
         else:
             self.close()
 
-    def _note_received(self) -> None:
+    def _record_received(self) -> None:
         self.last_received_at = asyncio.get_running_loop().time()
 
     def close(self) -> None:
@@ -140,7 +140,7 @@
 
 
 def _is_malformed(error: BaseException, response_began: bool) -> bool:
-    """Return whether a call failed by what discovery sent, rather than by sending nothing."""
+    """Return whether a call failed because of what discovery sent, not because it sent nothing."""
     if isinstance(error, h11.ProtocolError):
         return True
     return response_began and isinstance(error, (OSError, ValueError))
--- a/ironrail/net/discovery/service_watcher.py
+++ b/ironrail/net/discovery/service_watcher.py
@@ -1,4 +1,4 @@
-"""Follows the endpoint list of a discovery service that all routers share and poll."""
+"""Follows the endpoint list of a discovery service, which all routers share and poll."""
 
 from __future__ import annotations
 
@@ -24,7 +24,8 @@
 class ServiceWatcher(EndpointWatcher):
     """Requests the list when the policy polls, and reports every failure to the policy.
 
-    The policy owns the backoff between polls: all routers together must not overload the service.
+    The policy controls the backoff between polls, so that the routers together do not overload the
+    service.
     """
 
     def __init__(
@@ -48,7 +49,7 @@
         self._poll_requested.set()
 
     def relist(self) -> None:
-        """Drop the call in flight and let the policy poll at the configured address."""
+        """Cancel the call in flight, and let the policy poll at the configured address."""
         self._poll_requested.clear()
         super().relist()
         self._notify(EndpointListUpdate(EndpointListKind.RELOCATED), {})
@@ -58,7 +59,7 @@
         self._poll_requested.clear()
 
     async def _after_failure(self, result: ListCallResult, started_at: float) -> None:
-        self._poll_requested.clear()  # the policy decides anew when the next call is due
+        self._poll_requested.clear()  # the policy decides when the next call is due
         uncertain_for = asyncio.get_running_loop().time() - self._current_as_of
         self._notify(EndpointListUpdate(UPDATE_KINDS[result], uncertain_for=uncertain_for), {})
 
--- a/ironrail/net/discovery/timeouts.py
+++ b/ironrail/net/discovery/timeouts.py
@@ -1,19 +1,19 @@
 """Timeouts of calls to discovery: to an agent on this machine, and to a shared service.
 
-They keep two bounds on the staleness of the endpoint list while discovery can be reached, even if
-one call is lost. An agent's change is known within 0.85 s: a lost watch is detected after 0.45 s,
-then the list is requested every 0.2 s, and hedged calls overlap, so that no single timeout has to
-fit into the bound. A service's change is known within 6 s of a failed call, and within 2 s of a
-watch that timed out; until then the policy sends to proven servers only.
+They bound the staleness of the endpoint list while discovery can be reached, even if one call is
+lost. A change at an agent is known within 0.85 s: a lost watch is detected after 0.45 s, then the
+list is requested every 0.2 s, and hedged calls overlap, so that no single timeout has to fit into
+the bound. A change at a service is known within 6 s of a failed call, and within 2 s of a watch
+that timed out; until then the policy sends only to servers that have proved to work.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-# Two connects fit into the second in which sends to a draining server must cease.
+# Two connects fit into the 1 s within which the router must stop sending to a draining server.
 AGENT_CONNECT_TIMEOUT_SECONDS = 0.3
-# Longer than the bound: later calls run beside a slow one, whose response still counts.
+# Longer than the bound: later calls run beside a slow one, whose response is still used.
 AGENT_FIRST_BYTE_TIMEOUT_SECONDS = 1.2
 # An agent answers at once and calls to it are cheap, so a lost watch is detected early.
 AGENT_WATCH_WAIT_SECONDS = 0.3
@@ -27,11 +27,12 @@
 # Shorter after a watch timed out, so that a second attempt fits into the time that is left.
 SERVICE_FIRST_BYTE_TIMEOUT_AFTER_WATCH_SECONDS = 0.7
 SERVICE_WATCH_WAIT_SECONDS = 20.0
-# Spread by router index, both ways: avoids a thundering herd when all watches fall silent at once.
+# The wait is spread by router index in both directions, which avoids a thundering herd when all
+# watches time out at once.
 SERVICE_WATCH_WAIT_SPREAD_SECONDS = 10.0
 SERVICE_WATCH_GRACE_SECONDS = 0.5
 
-# Bounds how long a change may be received but not yet usable.
+# Bounds how long a change may be received in part and not yet usable.
 RESPONSE_REST_TIMEOUT_SECONDS = 1.0
 
 # Multiples of the golden ratio's fraction are spread evenly over [0, 1), however many there are.
@@ -46,14 +47,14 @@
 
     connect: float
     first_byte: float  # from the request to the first byte of its response
-    rest: float  # from the first byte of a response to its last
+    rest: float  # from the first byte of the response to its last
 
 
 @dataclass(frozen=True, slots=True)
 class WatchTiming:
     """How long a watch may take, in seconds."""
 
-    wait: float  # that discovery is asked to hold a watch without changes
+    wait: float  # how long discovery is asked to hold a watch without changes
     grace: float  # beyond `wait`, after which the watch counts as lost
 
 
@@ -67,7 +68,7 @@
 
 
 def agent_watch_timing() -> WatchTiming:
-    """Return the duration of a watch at an agent on this machine."""
+    """Return the timing of a watch at an agent on this machine."""
     return WatchTiming(AGENT_WATCH_WAIT_SECONDS, AGENT_WATCH_GRACE_SECONDS)
 
 
@@ -81,7 +82,7 @@
 
 
 def service_watch_timing(router_index: int) -> WatchTiming:
-    """Return the duration of a watch at a shared service, spread by the router's index."""
+    """Return the timing of a watch at a shared service, spread by the router's index."""
     position = 2.0 * (router_index * _GOLDEN_RATIO_FRACTION % 1.0) - 1.0
     wait = SERVICE_WATCH_WAIT_SECONDS + SERVICE_WATCH_WAIT_SPREAD_SECONDS * position
     return WatchTiming(wait, SERVICE_WATCH_GRACE_SECONDS)
--- a/ironrail/net/discovery/watcher.py
+++ b/ironrail/net/discovery/watcher.py
@@ -1,4 +1,4 @@
-"""Keeps the endpoint list current: lists it, watches it for changes, recovers from failures.
+"""Keeps the endpoint list current: fetches it, watches it for changes, recovers from failures.
 
 `AgentWatcher` and `ServiceWatcher` differ in when they call discovery and for how long they wait.
 """
@@ -37,7 +37,7 @@
 
 
 class EndpointWatcher(ABC):
-    """Follows discovery's endpoint list; while calls fail, the latest list stays in force."""
+    """Follows discovery's endpoint list; while calls fail, the latest list remains in force."""
 
     def __init__(
         self,
@@ -47,7 +47,7 @@
         watch_timing: WatchTiming,
         call_results: ReasonCounter | None = None,
     ) -> None:
-        self._address = address  # of the next calls; the present client may have another
+        self._address = address  # for the next calls; the current client may use another
         self._timeout = timeout
         self._watch_timing = watch_timing
         self._client = self._make_client()
@@ -56,16 +56,16 @@
         self._on_update: UpdateCallback | None = None
         self._task: asyncio.Task[None] | None = None
         self._relist_timer: asyncio.TimerHandle | None = None
-        self._watch_timed_out = False  # no call was made since
+        self._watch_timed_out = False  # True until the next call
         # On the event loop's clock, in seconds:
         self._call_started_at = 0.0  # of the call in flight, or of the latest
-        self._current_as_of = 0.0  # all changes until then were passed on
+        self._current_as_of = 0.0  # all changes until then were reported
 
     def _make_client(self) -> DiscoveryClient:
         return DiscoveryClient(self._address, self._timeout)
 
     def start(self, on_update: UpdateCallback) -> None:
-        """List and watch from now on; `on_update` gets every change and every failure."""
+        """Fetch and watch the list from now on; `on_update` is called for changes and failures."""
         self._on_update = on_update
         self._start_task()
 
@@ -79,35 +79,35 @@
             self._task = None
 
     def poll(self) -> None:  # noqa: B027 - only a service is polled
-        """Request the list now, at the policy's demand."""
+        """Request the list now, as the policy demands."""
 
     def refresh(self) -> None:  # noqa: B027 - a service is polled instead
-        """Request the full list anew, because the latest may be outdated."""
+        """Request the full list again, because the latest may be outdated."""
 
     def relocate(self, address: Address) -> None:
-        """Take the full list from another address.
+        """Fetch the full list from another address.
 
-        What the present connection has already received is read first.
+        Data that the current connection has already received is processed first.
         """
         self._address = address
-        if self._relist_timer is None:  # else the pending call goes to the new address
+        if self._relist_timer is None:  # otherwise the scheduled call uses the new address
             self._schedule_relist()
 
     def _schedule_relist(self) -> None:
-        """Relist once the changes that wait unread on the present connection are taken."""
+        """Relist after the unread changes on the current connection are processed."""
         if self._task is not None:
             loop = asyncio.get_running_loop()
-            # behind callbacks that are ready then, as the task may be about to take a change
+            # after callbacks that are ready then, as the task may be about to process a change
             self._relist_timer = loop.call_later(
                 STALL_GRACE_SECONDS, loop.call_soon, self._relist_if_scheduled
             )
 
     def _relist_if_scheduled(self) -> None:
-        if self._relist_timer is not None:  # stop() may have come between
+        if self._relist_timer is not None:  # stop() may have been called in between
             self.relist()
 
     def relist(self) -> None:
-        """Drop the call in flight and start over with the full list at the configured address."""
+        """Cancel the call in flight, and fetch the full list at the configured address."""
         self.stop()
         self._start_task()
 
@@ -118,7 +118,7 @@
         self._task = asyncio.create_task(self._run())
 
     async def _run(self) -> None:
-        """List and watch, again after every failure."""
+        """Fetch and watch the list, and start over after every failure."""
         loop = asyncio.get_running_loop()
         while True:
             await self._wait_until_due()
@@ -128,18 +128,18 @@
 
     @abstractmethod
     async def _wait_until_due(self) -> None:
-        """Wait until the full list is to be requested."""
+        """Wait until the full list should be requested."""
 
     @abstractmethod
     async def _after_failure(self, result: ListCallResult, started_at: float) -> None:
-        """React to a failed call; `started_at` is when the list before it was requested."""
+        """React to a failed call; `started_at` is the time of the latest full list request."""
 
     @abstractmethod
     async def _request_full_list(self) -> Any:
         """Return discovery's response to a request for the full list."""
 
     async def _follow_until_failure(self) -> ListCallResult:
-        """List and watch until a call fails; return how it failed."""
+        """Fetch and watch the list until a call fails; return how it failed."""
         try:
             await self._follow()
         except WatchTimeoutError:
@@ -150,18 +150,18 @@
             return ListCallResult.WATCH_TIMED_OUT
         except (OSError, ValueError) as error:
             return self._record_failure(error)
-        except Exception:  # a defect must not end the updates for good
+        except Exception:  # a defect must not stop the updates forever
             log.exception("endpoint_list_call_crashed")
             return ListCallResult.FAILED
 
     async def _follow(self) -> NoReturn:
         self._call_started_at = asyncio.get_running_loop().time()
         version = self._take(await self._request_full_list(), math.inf)
-        while True:  # at once: a change between two watches would be noticed late
+        while True:  # without a pause: a change between two watches would be noticed late
             version = self._take(await self._watch(version), version)
 
     async def _watch(self, version: int) -> Any:
-        """Return discovery's response once the list has a version after `version`."""
+        """Return discovery's response when the list changes after `version` or the wait ends."""
         loop = asyncio.get_running_loop()
         self._call_started_at = started_at = loop.time()
         wait = self._watch_timing.wait
@@ -171,12 +171,12 @@
         except ResponseTimeoutError as error:
             raise WatchTimeoutError(error.reason) from error
         finally:
-            # a watch that ends sooner may have been rejected, and never have watched
+            # a watch that ends sooner may have been rejected without watching anything
             if loop.time() - started_at > self._timeout.first_byte:
                 self._current_as_of = loop.time()
 
     def _take(self, document: Any, min_delta_version: float) -> int:
-        """Pass on a list or a change; return its version."""
+        """Report a list or a change to the callback; return its version."""
         message = self._reader.read(document, min_delta_version=min_delta_version)
         self._call_results.add(ListCallResult.ANSWERED)
         if message.update.endpoints or message.update.kind is EndpointListKind.FULL:
@@ -208,7 +208,7 @@
         log.warning("endpoint_list_call_failed", extra={**fields, "suppressed": 0})
 
     def _log_change(self, message: EndpointListMessage) -> None:
-        """Log the version and the servers of each state: their number, and the first few names."""
+        """Log the version, and for each state the number of servers and the first few names."""
         update = message.update
         full = update.kind is EndpointListKind.FULL
         fields: dict[str, Any] = {"version": message.version, "full": full}
--- a/ironrail/net/dispatch/action_executor.py
+++ b/ironrail/net/dispatch/action_executor.py
@@ -29,14 +29,14 @@
 
 
 class ActionExecutor:
-    """The handler of a policy driver: passes each action to the part that carries it out."""
+    """Passes each action of the policy to the component that carries it out."""
 
     def __init__(
         self,
         driver: PolicyDriver,
         requests: ResponseTracker,
         attempts: OpenAttempts,
-        lifecycle: RequestTermination,
+        termination: RequestTermination,
         sender: AttemptDispatcher,
         pools: Mapping[str, ConnectionPool],
         fetch_endpoint_list: Callable[[], None],
@@ -44,7 +44,7 @@
         self._driver = driver
         self._requests = requests
         self._attempts = attempts
-        self._lifecycle = lifecycle
+        self._termination = termination
         self._sender = sender
         self._pools = pools
         self._fetch_endpoint_list = fetch_endpoint_list
@@ -76,10 +76,10 @@
         """Fail the request that an event was about after the policy raised an exception on it."""
         request = self._requests.by_id.get(request_id_of(event) or "")
         if request is not None:
-            self._lifecycle.drop(request)
+            self._termination.drop(request)
 
     def _cancel(self, attempt_id: AttemptId) -> None:
-        """Stop waiting for an attempt; where hedging is not allowed it must not run any more."""
+        """Stop waiting for an attempt, and keep it from running where hedging is not allowed."""
         is_in_flight = attempt_id.request_id in self._requests.by_id
         if not self._hedging_allowed and is_in_flight and attempt_id in self._attempts:
             self._attempts.revoke(attempt_id)
--- a/ironrail/net/dispatch/attempt_dispatcher.py
+++ b/ironrail/net/dispatch/attempt_dispatcher.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable, Mapping
 
 from ironrail.diagnostics.daemon import DaemonDiagnostics
-from ironrail.diagnostics.invariants import Sending
+from ironrail.diagnostics.invariants import PendingWrite
 from ironrail.diagnostics.reasons import retry_reason
 from ironrail.net.dispatch.in_flight_request import InFlightRequest
 from ironrail.net.dispatch.open_attempts import OpenAttempts
@@ -19,7 +19,8 @@
 from ironrail.policy.actions import SendAttempt
 from ironrail.policy.events import AttemptEnded, AttemptStatus
 
-# a request forwarded so soon is forwarded in the turn of the event loop in which it was read
+# A request forwarded sooner than this is forwarded in the same iteration of the event loop in
+# which it was read.
 SAME_TURN_SECONDS = 0.01
 
 
@@ -32,7 +33,7 @@
         driver: PolicyDriver,
         requests: ResponseTracker,
         attempts: OpenAttempts,
-        lifecycle: RequestTermination,
+        termination: RequestTermination,
         streamer: ValueStreamer,
         pools: Mapping[str, ConnectionPool],
         diagnostics: DaemonDiagnostics,
@@ -42,7 +43,7 @@
         self._driver = driver
         self._requests = requests
         self._attempts = attempts
-        self._lifecycle = lifecycle
+        self._termination = termination
         self._streamer = streamer
         self._pools = pools
         self._diagnostics = diagnostics
@@ -65,7 +66,8 @@
         if pool is not None:
             self._hand_to_pool(attempt, pool, action, now)
         else:
-            # removed from the endpoint list after the policy chose it: like a failed connect
+            # The server was removed from the endpoint list after the policy chose it, which is
+            # reported like a failed connect.
             status = AttemptStatus.CONNECT_FAILED
             self._driver.submit(AttemptEnded(attempt.request_id, attempt.number, status))
 
@@ -73,8 +75,8 @@
         self, attempt: Attempt, pool: ConnectionPool, action: SendAttempt, now: float
     ) -> None:
         attempt_id = self._attempts.add(attempt, pool)
-        # also for an attempt that outlives its request: without an outcome the policy would count
-        # it as load for good
+        # The timer is set even though the attempt may outlive its request: without an outcome the
+        # policy would count the attempt as load on the server forever.
         attempt.timer = self._loop.call_later(
             attempt.deadline - now, self._attempts.abandon, attempt_id, AttemptStatus.TIMEOUT
         )
@@ -89,17 +91,17 @@
         waited = bool(request.attempts) or age > SAME_TURN_SECONDS
         if self._requests.has_expired_all:
             return False
-        return not self._lifecycle.end_if_disconnected(request, waited)
+        return not self._termination.end_if_disconnected(request, waited)
 
     def _make_attempt(self, request: InFlightRequest, action: SendAttempt, now: float) -> Attempt:
-        until = request.deadline
+        deadline = request.deadline
         if action.timeout is not None:
-            until = min(until, now + action.timeout)
+            deadline = min(deadline, now + action.timeout)
         attempt = Attempt(
             action.request_id,
             len(request.attempts),
             now,
-            until,
+            deadline,
             request.command,
             self._on_outcome,
         )
@@ -107,17 +109,17 @@
         attempt.on_stream_data = self._streamer.forward
         attempt.is_still_wanted = self._is_still_wanted
         attempt.may_write = self._may_write
-        # a write is not exposed to the faults of other attempts
+        # A write must not be affected by the faults of other attempts on its connection.
         attempt.is_exclusive = request.command.is_write
         attempt.server = action.server
         return attempt
 
     def _is_still_wanted(self, attempt: Attempt) -> bool:
-        """Whether an attempt that waited for a connection is still to be sent."""
+        """Whether an attempt that waited for a connection should still be sent."""
         request = self._requests.by_id.get(attempt.request_id)
         if request is None or self._now() >= min(request.deadline, attempt.send_by):
             return False
-        return not self._lifecycle.end_if_disconnected(request, True)
+        return not self._termination.end_if_disconnected(request, True)
 
     def _may_write(self, attempt: Attempt, server_ready: bool) -> bool:
         """Check the invariants before an attempt is written; a violation drops the request."""
@@ -126,14 +128,14 @@
         violations_before = guard.violations.total()
         may_write = guard.may_send(self._describe_write(attempt, request, server_ready))
         if request is not None and guard.violations.total() > violations_before:
-            self._lifecycle.drop(request)
+            self._termination.drop(request)
         return may_write
 
     def _describe_write(
         self, attempt: Attempt, request: InFlightRequest | None, server_ready: bool
-    ) -> Sending:
+    ) -> PendingWrite:
         request_class = self._settings.classes[attempt.command.fields["c"]]
-        return Sending(
+        return PendingWrite(
             self._now(),
             attempt.request_id,
             attempt.server,
@@ -148,14 +150,14 @@
         )
 
     def _on_outcome(self, attempt: Attempt, status: AttemptStatus, body: bytes) -> None:
-        """Respond with what an attempt brought, or leave the next step to the policy."""
+        """Respond with the value of a successful attempt, and report its outcome to the policy."""
         self._attempts.remove(attempt)
         attempt.status = status
         self._streamer.release(attempt)
         request = self._requests.by_id.get(attempt.request_id)
         latency = self._now() - attempt.sent_at
         if request is not None and request.streamed_attempt is attempt:
-            # from then on the client's own speed counts
+            # After the stream started, the duration depends on the speed of the client.
             latency = request.streaming_since - attempt.sent_at
             self._streamer.end(request, status is AttemptStatus.OK)
             request = None
--- a/ironrail/net/dispatch/dispatcher.py
+++ b/ironrail/net/dispatch/dispatcher.py
@@ -1,4 +1,4 @@
-"""Puts the request path together: accepts requests, and applies updates of the endpoint list."""
+"""The entry point of the request path: accepts requests and applies endpoint list updates."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 from ironrail.net.dispatch.response_tracker import CompletionObserver, ResponseTracker
 from ironrail.net.dispatch.value_streamer import ValueStreamer
 from ironrail.net.lifecycle.loop_monitor import LoopMonitor
-from ironrail.net.protocol.meta_codec import Command, read_figure
+from ironrail.net.protocol.meta_codec import Command, read_numeric_field
 from ironrail.net.system import REAL, Address, System
 from ironrail.net.upstream.connection_pool import ConnectionPool
 from ironrail.net.upstream.pool_registry import PoolRegistry
@@ -31,7 +31,7 @@
 from ironrail.policy.router import Router
 
 IDLE_CHECK_INTERVAL_SECONDS = 1.0
-DEFAULT_STREAM_MEMORY_BYTES = 64 * 1024**2  # for all long values together
+DEFAULT_STREAM_MEMORY_BYTES = 64 * 1024**2  # shared by all long values
 MICROSECONDS_PER_SECOND = 1e6
 
 
@@ -42,10 +42,10 @@
         router: The policy.
         make_pool: Makes the connection pool of a server.
         fetch_endpoint_list: Has the endpoint list fetched again.
-        max_connections: To all servers together.
-        system: Gives the clock and the sockets.
+        max_connections: Limit on the connections to all servers together.
+        system: Provides the clock and the sockets.
         on_stall: Called after a stall of the process; has the endpoint list fetched again.
-        memory_budget: For long values.
+        memory_budget: Limits the memory for long values.
         on_completed: Called for each request that ends.
         diagnostics: The counters of the router.
     """
@@ -70,7 +70,7 @@
         self.requests = ResponseTracker(
             router.settings, self._now, self.attempts, self.diagnostics, on_completed
         )
-        self.figures = self.requests.figures
+        self.request_metrics = self.requests.request_metrics
         self.driver = PolicyDriver(router, system, on_stall)
         self._pool_registry = PoolRegistry(make_pool, max_connections)
         self._connect_parts(memory_budget or MemoryBudget(DEFAULT_STREAM_MEMORY_BYTES))
@@ -78,22 +78,22 @@
         self.driver.start(self._make_executor(fetch_endpoint_list))
 
     def _connect_parts(self, memory_budget: MemoryBudget) -> None:
-        """Build the parts that work on the requests in flight and their attempts."""
+        """Build the components that work on the requests in flight and their attempts."""
         driver = self.driver
         requests = self.requests
         attempts = self.attempts
         self.pools = self._pool_registry.by_name
-        self._admission = RequestValidator(
+        self._validator = RequestValidator(
             driver.router.settings, requests, attempts, self.diagnostics.invariants
         )
-        self.lifecycle = RequestTermination(driver, requests, attempts)
+        self.termination = RequestTermination(driver, requests, attempts)
         self.streamer = ValueStreamer(memory_budget, self._now, requests, attempts, driver.submit)
         self.sender = AttemptDispatcher(
             self._now,
             driver,
             requests,
             attempts,
-            self.lifecycle,
+            self.termination,
             self.streamer,
             self.pools,
             self.diagnostics,
@@ -104,7 +104,7 @@
             self.driver,
             self.requests,
             self.attempts,
-            self.lifecycle,
+            self.termination,
             self.sender,
             self.pools,
             fetch_endpoint_list,
@@ -116,11 +116,11 @@
         return self.streamer.memory_budget
 
     def can_serve(self) -> bool:
-        """Whether any server may be sent to."""
+        """Whether any server is ready for requests."""
         return any(pool.is_ready for pool in self.pools.values())
 
     def gauges(self) -> dict[str, int]:
-        """Return the current values for the metrics, by name."""
+        """Return the current values of the gauges, by metric name."""
         counts = self.driver.router.server_counts(self._now())
         return {
             "inflight": len(self.requests.by_id),
@@ -129,9 +129,9 @@
         }
 
     def metrics(self) -> bytes:
-        """Return all metrics in the form of statsd."""
+        """Return all metrics in the statsd format."""
         self.diagnostics.held_up = self.monitor.detector.count
-        return self.figures.render(self.gauges(), self.diagnostics.counts())
+        return self.request_metrics.render(self.gauges(), self.diagnostics.counts())
 
     def accept(
         self, command: Command, respond: Respond, stream: ResponseStream | None = None
@@ -140,15 +140,15 @@
 
         Args:
             command: The request.
-            respond: Called once with the final response, unless that is streamed.
-            stream: Takes a long value; without it an attempt with a long value has failed.
+            respond: Called once with the final response, unless the response is streamed.
+            stream: Receives a long value; without it an attempt that returns a long value fails.
 
         Returns:
-            The request's id, or None if it was rejected, which `respond` was called for.
+            The request's id, or None if it was rejected and `respond` was called with the error.
         """
         request_id = command.request_id.decode()
         timeout = client_timeout(command)
-        error = self._admission.check(command, request_id, timeout, self._now())
+        error = self._validator.check(command, request_id, timeout, self._now())
         if error is not None:
             respond(error.value)
             return None
@@ -157,11 +157,11 @@
 
     def on_client_disconnected(self, request_id: str) -> None:
         """End a request whose client has disconnected."""
-        self.lifecycle.on_client_disconnected(request_id)
+        self.termination.on_client_disconnected(request_id)
 
     def expire_all(self) -> None:
-        """Respond to all requests in flight now; from now on nothing is sent."""
-        self.lifecycle.expire_all()
+        """Respond to all requests in flight now, and start no attempts from now on."""
+        self.termination.expire_all()
 
     def update_endpoints(self, update: EndpointListUpdate, addresses: dict[str, Address]) -> None:
         """Apply an update of the endpoint list to the policy and the pools."""
@@ -186,10 +186,10 @@
             command,
             respond,
             now + time_left,
-            self._loop.call_later(time_left, self.lifecycle.on_deadline, request_id),
+            self._loop.call_later(time_left, self.termination.on_deadline, request_id),
             stream,
             received_at=now,
-            reader=stream.reader if stream is not None else None,
+            client_region=stream.client_region if stream is not None else None,
             read_delay=read_delay,
         )
         self.requests.add(request)
@@ -202,21 +202,21 @@
 
 
 def _read_delay(stream: ResponseStream | None, now: float) -> float:
-    """Return the seconds for which the last byte of a request may have waited unread."""
+    """Return for how many seconds the last byte of a request may have been unread."""
     arrived_at = stream.arrived_at if stream is not None else None
     return 0.0 if arrived_at is None else now - arrived_at
 
 
 def _time_left(stream: ResponseStream | None, seconds: float) -> float:
     """Return how many of the client's `seconds` remain for dispatch."""
-    reader = stream.reader if stream is not None else None
-    if reader is not None:
-        seconds = reader.time_left(seconds)
+    client_region = stream.client_region if stream is not None else None
+    if client_region is not None:
+        seconds = client_region.time_left(seconds)
     return max(0.0, seconds)
 
 
 def _received_event(request_id: str, command: Command, time_left: float) -> RequestReceived:
-    hint = read_figure(command.fields, "h")
+    hint = read_numeric_field(command.fields, "h")
     return RequestReceived(
         request_id,
         command.fields["c"],
--- a/ironrail/net/dispatch/open_attempts.py
+++ b/ironrail/net/dispatch/open_attempts.py
@@ -1,4 +1,4 @@
-"""The attempts that have no outcome yet, and the pool that carries out each."""
+"""The attempts that have no outcome yet, and the connection pool of each."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 
 
 class AttemptId(NamedTuple):
-    """Identifies an attempt; a request's attempts are numbered from 0 in the order sent."""
+    """Identifies an attempt; the attempts of a request are numbered from 0 in the order sent."""
 
     request_id: str
     attempt_number: int
 
 
 class OpenAttempt(NamedTuple):
-    """An attempt without an outcome, and the pool that has it."""
+    """An attempt without an outcome, and the connection pool that it was handed to."""
 
     attempt: Attempt
     pool: ConnectionPool
@@ -61,12 +61,12 @@
             entry.pool.abandon(entry.attempt, status)
 
     def revoke(self, attempt_id: AttemptId) -> None:
-        """Stop waiting for an open attempt, and end its connection so that it can't run."""
+        """Stop waiting for an open attempt, and close its connection so that it can't run."""
         entry = self._by_id[attempt_id]
         entry.pool.revoke(entry.attempt)
 
     def withdraw_unsent(self, request: InFlightRequest) -> None:
-        """Take back what is unsent of a request whose response is settled."""
+        """Withdraw the unsent attempts of a request whose response is decided."""
         for attempt in request.attempts:
             if attempt is request.streamed_attempt:
                 continue
--- a/ironrail/net/dispatch/policy_driver.py
+++ b/ironrail/net/dispatch/policy_driver.py
@@ -1,4 +1,4 @@
-"""Hands events to the policy one by one, and none while its endpoint list may be stale."""
+"""Passes events to the policy one by one, but not while its endpoint list may be stale."""
 
 from __future__ import annotations
 
@@ -26,11 +26,13 @@
 
 log = logging.getLogger(__name__)
 
-# Finds processes that were stopped for long, after which the policy's view is stale. Short hold-ups
-# are found by `diagnostics/hold_up.py`.
+# This check detects long stops of the process, after which the policy's state is stale. Short
+# hold-ups are detected by `diagnostics/hold_up.py`.
 STALL_CHECK_INTERVAL_SECONDS = 0.25
-STALL_THRESHOLD_SECONDS = 0.75  # without a check: the process was stopped or starved
-CATCH_UP_SECONDS = 0.3  # after a stall, at most, until the endpoint list has been fetched again
+# Without a check for longer than this, the process was stopped or short of CPU.
+STALL_THRESHOLD_SECONDS = 0.75
+# After a stall, how long events wait at most for the endpoint list to be fetched again.
+CATCH_UP_SECONDS = 0.3
 
 RequestEvent = (
     RequestReceived | StreamingStarted | AttemptEnded | ClientDisconnected | DeadlineReached
@@ -44,7 +46,7 @@
         """Carry out one action."""
 
     def on_policy_failed(self, event: Event) -> None:
-        """Take over what an event was about after the policy raised an exception on it."""
+        """Handle an event on which the policy raised an exception."""
 
 
 class PolicyDriver:
@@ -52,7 +54,7 @@
 
     Args:
         router: The policy.
-        system: Gives the clock.
+        system: Provides the clock.
         on_stall: Called after a stall; has the endpoint list fetched again.
     """
 
@@ -61,7 +63,7 @@
     def __init__(self, router: Router, system: System, on_stall: Callable[[], None]) -> None:
         self.router = router
         self.before_event: Callable[[float], None] | None = None  # called with the time
-        self.is_catching_up = False  # after a stall, until the endpoint list is known again
+        self.is_catching_up = False  # after a stall, until the endpoint list is fetched
         self._now = system.now
         self._on_stall = on_stall
         self._loop = asyncio.get_running_loop()
@@ -75,7 +77,7 @@
         self._loop.call_later(STALL_CHECK_INTERVAL_SECONDS, self._beat)
 
     def submit(self, event: Event) -> None:
-        """Queue an event, and hand over the queue unless that is under way already."""
+        """Queue an event, and process the queue unless that is already in progress."""
         self._events.append(event)
         self.check_stall()
         self._drain_queue()
@@ -83,9 +85,9 @@
     def submit_endpoint_list(
         self, update: EndpointListUpdate, apply_to_pools: Callable[[], None]
     ) -> None:
-        """Queue an update of the endpoint list ahead of what its application to the pools causes.
+        """Queue an endpoint list update ahead of the events that `apply_to_pools` causes.
 
-        After a stall it also goes ahead of all that was queued meanwhile.
+        After a stall the update also precedes all events that were queued meanwhile.
         """
         if self.is_catching_up:
             self._events.appendleft(update)
@@ -100,24 +102,24 @@
         self._drain_queue()
 
     def apply_now(self, change: PolicyOverridesChanged | ZoneLinksChanged) -> None:
-        """Hand over a change at once, ahead of an event that is about to be handed over."""
+        """Pass a change to the policy at once, ahead of all queued events."""
         for action in self.router.handle(self._now(), change):
             self._handler.carry_out(action)
 
     def expire_now(self, request_id: str) -> None:
-        """Hand over at once what is queued of one request, as of one whose time is up."""
+        """Process the queued events of one request at once, with no time left for it."""
         while queued := [e for e in self._events if request_id_of(e) == request_id]:
             for event in queued:
                 self._events.remove(event)
                 self.handle_now(_without_time_left(event))
 
     def handle_now(self, event: Event) -> None:
-        """Hand over one event, ahead of those queued, and carry out the policy's actions."""
+        """Process one event ahead of the queued ones, and carry out the policy's actions."""
         if self.before_event is not None:
             self.before_event(self._now())
         try:
             actions = self.router.handle(self._now(), event)
-        except Exception:  # keeps a fault that one event exposes from affecting other requests
+        except Exception:  # a defect that one event exposes must not affect other requests
             log.exception("policy_failed", extra={"on": repr(event)})
             self._handler.on_policy_failed(event)
             return
@@ -125,7 +127,7 @@
             self._handler.carry_out(action)
 
     def check_stall(self) -> None:
-        """Stop handing over events if the process stalled: servers may be draining or gone."""
+        """Stop processing events if the process stalled: servers may be draining or gone."""
         now = self._now()
         stalled_for = now - self._heartbeat_at
         if stalled_for > STALL_THRESHOLD_SECONDS:
@@ -136,7 +138,7 @@
             self._loop.call_later(CATCH_UP_SECONDS, self._end_catch_up)
 
     def _drain_queue(self) -> None:
-        """Hand over queued events one by one; what an action causes is queued behind them."""
+        """Process queued events one by one; events that an action causes are queued behind them."""
         if self._is_busy or self.is_catching_up:
             return
         self._is_busy = True
--- a/ironrail/net/dispatch/request_summary.py
+++ b/ironrail/net/dispatch/request_summary.py
@@ -31,7 +31,7 @@
 
 
 def summarize(request: InFlightRequest, now: float) -> RequestSummary:
-    """Summarize a request that got its response late or not at all."""
+    """Summarize a request that was answered late or not at all."""
     attempts = tuple(
         AttemptSummary(
             attempt.server,
--- a/ironrail/net/dispatch/request_termination.py
+++ b/ironrail/net/dispatch/request_termination.py
@@ -1,4 +1,4 @@
-"""How a request in flight ends other than by a response that the policy chose."""
+"""Ends requests in flight for reasons other than a response that the policy chose."""
 
 from __future__ import annotations
 
@@ -27,19 +27,21 @@
         self._attempts = attempts
 
     def on_deadline(self, request_id: str) -> None:
-        """Respond to a request whose client stops waiting now."""
+        """Respond to a request whose deadline is reached."""
         if not self._expire(self._requests.by_id[request_id]):
             log.error("request_dropped_by_policy", extra={"request": request_id})
 
     def expire_all(self) -> None:
-        """Respond to all requests in flight now; from now on nothing is sent."""
+        """Respond to all requests in flight now, and start no attempts from now on."""
         self._requests.has_expired_all = True
         for request in list(self._requests.by_id.values()):
-            if request.request_id in self._requests.by_id:  # another's end may have ended it
+            if (
+                request.request_id in self._requests.by_id
+            ):  # the end of another request may have ended this one
                 self._expire(request)
 
     def drop(self, request: InFlightRequest) -> None:
-        """Fail a request that the policy no longer tracks correctly, and have it forgotten."""
+        """Fail a request that the policy no longer tracks correctly, and remove it there too."""
         self._requests.fail(request)
         self._driver.submit(ClientDisconnected(request.request_id))
 
@@ -53,11 +55,11 @@
         self._driver.submit(ClientDisconnected(request_id))
 
     def end_if_disconnected(self, request: InFlightRequest, waited: bool) -> bool:
-        """End a request whose client has disconnected unnoticed; returns whether it had.
+        """End a request if its client has disconnected unnoticed; return whether it has.
 
         Args:
             request: The request.
-            waited: Time has passed since the request was read.
+            waited: Whether time has passed since the request was read.
         """
         if request.stream is None or not request.stream.has_disconnected(waited):
             return False
@@ -66,9 +68,9 @@
         return True
 
     def _expire(self, request: InFlightRequest) -> bool:
-        """Have the policy respond to a request whose time is up; returns whether it did."""
+        """Let the policy respond to a request that has no time left; return whether it did."""
         request_id = request.request_id
-        self._driver.check_stall()  # a stall noticed later would hold up the events below
+        self._driver.check_stall()  # a stall noticed later would delay the events below
         for attempt in request.attempts:
             self._attempts.abandon(id_of(attempt), AttemptStatus.TIMEOUT)
         if self._driver.is_catching_up:
--- a/ironrail/net/dispatch/request_validation.py
+++ b/ironrail/net/dispatch/request_validation.py
@@ -1,4 +1,4 @@
-"""Which requests are accepted for dispatch, and what a client is answered otherwise."""
+"""Decides which requests are accepted for dispatch, and how the others are answered."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class RequestValidator:
-    """Checks requests against the settings and against those in flight."""
+    """Checks requests against the settings and against the requests in flight."""
 
     def __init__(
         self,
@@ -47,10 +47,10 @@
             return RequestError.UNKNOWN_CLASS
         if settings.names_tenants and "t" not in command.fields:
             return RequestError.MISSING_TENANT
-        # bounds the memory and the timers of a request by what a client may wait
+        # Bounds how long a request may hold memory and timers.
         if timeout > request_class.client_timeout:
             return RequestError.CLIENT_TIMEOUT_TOO_LONG
-        # responses and attempts are matched by id, also those of an earlier request
+        # Responses and attempts are matched by id, even if their request has ended.
         is_in_flight = request_id in self._requests.by_id
         if is_in_flight or self._attempts.has_request(request_id, settings.max_attempts):
             return RequestError.ID_IN_USE
--- a/ironrail/net/dispatch/response_tracker.py
+++ b/ironrail/net/dispatch/response_tracker.py
@@ -14,10 +14,13 @@
 from ironrail.net.protocol.meta_codec import Command
 from ironrail.policy.settings import Settings
 
-# of a request that ended: its command, its duration in seconds, its outcome, bytes of its value
+# Called for a request that ended, with its command, its duration in seconds, its outcome and the
+# size of its value in bytes.
 CompletionObserver = Callable[[Command, float, RequestOutcome, int], None]
 
-LATE_RESPONSE_SECONDS = 0.03  # after the deadline; the protocol tolerates 0.05
+# A response that comes later than this after the deadline counts as late. The protocol tolerates
+# 0.05 s.
+LATE_RESPONSE_SECONDS = 0.03
 
 
 class ResponseTracker:
@@ -32,8 +35,8 @@
         on_completed: CompletionObserver | None,
     ) -> None:
         self.by_id: dict[str, InFlightRequest] = {}
-        self.figures = RequestMetrics(settings.classes)
-        # set at the response deadline of a shutdown, long after SIGTERM: nothing is sent any more
+        self.request_metrics = RequestMetrics(settings.classes)
+        # Set at the response deadline of a shutdown, long after SIGTERM: no attempt is sent then.
         self.has_expired_all = False
         self._classes = settings.classes
         self._now = now
@@ -41,9 +44,9 @@
         self._diagnostics = diagnostics
         self._on_completed = on_completed
         self._counts = {
-            RequestOutcome.SERVED: self.figures.success,
-            RequestOutcome.REJECTED: self.figures.busy,
-            RequestOutcome.FAILED: self.figures.failure,
+            RequestOutcome.SERVED: self.request_metrics.success,
+            RequestOutcome.REJECTED: self.request_metrics.busy,
+            RequestOutcome.FAILED: self.request_metrics.failure,
         }
 
     def add(self, request: InFlightRequest) -> None:
@@ -57,11 +60,11 @@
         self.respond(request, RequestOutcome.SERVED, response)
 
     def fail(self, request: InFlightRequest) -> None:
-        """Respond that the request failed, which says nothing of its effect."""
+        """Respond that the request failed; it may have had an effect."""
         self.respond(request, RequestOutcome.FAILED, meta_codec.FAILED)
 
     def reject(self, request: InFlightRequest, retry_after: float | None) -> None:
-        """Respond that the request had no effect where that is certain, and else that it failed.
+        """Respond that the request had no effect if that is certain, otherwise that it failed.
 
         Args:
             request: The request.
@@ -86,7 +89,7 @@
             request.respond(response)
 
     def complete(self, request: InFlightRequest, outcome: RequestOutcome) -> None:
-        """Count a request and stop tracking it; the caller writes the rest of its response."""
+        """Count a request and stop tracking it; the caller writes its response."""
         self._counts[outcome][request.command.fields["c"]] += 1
         if outcome is not RequestOutcome.SERVED:
             reason = rejection_reason(request, self._now(), self.has_expired_all)
@@ -100,7 +103,7 @@
         self._report_end(request, outcome, value_bytes)
 
     def remove_disconnected(self, request_id: str) -> InFlightRequest | None:
-        """Stop tracking a request whose client has disconnected; None if it had its response."""
+        """Stop tracking a request whose client has disconnected; None if it was complete."""
         request = self.by_id.pop(request_id, None)
         if request is None:
             return None
--- a/ironrail/net/dispatch/value_streamer.py
+++ b/ironrail/net/dispatch/value_streamer.py
@@ -1,4 +1,4 @@
-"""Forwards long values to clients while they arrive from a server."""
+"""Forwards long values to clients as they arrive from a server."""
 
 from __future__ import annotations
 
@@ -13,11 +13,12 @@
 from ironrail.net.upstream.connection import Attempt, Connection
 from ironrail.policy.events import AttemptStatus, Event, StreamingStarted
 
-STREAM_BUFFER_BYTES = 320 * 1024  # one read from the server, and what the client has not taken
+# Memory for one stream: one read from the server, and the bytes that the client has not read yet.
+STREAM_BUFFER_BYTES = 320 * 1024
 
 
 class ValueStreamer:
-    """Connects the server's end of a long value to the client's, within the memory budget."""
+    """Forwards long values from server connections to clients, within a memory budget."""
 
     def __init__(
         self,
@@ -34,9 +35,9 @@
         self._submit = submit
 
     def begin(self, attempt: Attempt, length: int, connection: Connection) -> None:
-        """Forward the value of `length` bytes that an attempt is answered with, or abandon it.
+        """Start to forward the value of `length` bytes in reply to an attempt, or abandon it.
 
-        From now on the response of the request is this attempt's, whatever others bring.
+        From now on the request is answered by this attempt, whatever the outcomes of others.
         """
         request = self._requests.by_id.get(attempt.request_id)
         stream = _free_stream(request)
@@ -61,7 +62,7 @@
         self._submit(StreamingStarted(attempt.request_id, attempt.number))
 
     def forward(self, attempt: Attempt, data: bytes) -> None:
-        """Forward a part of a value."""
+        """Forward a chunk of a value."""
         request = self._requests.by_id.get(attempt.request_id)
         if request is None or request.stream is None:
             return
@@ -69,7 +70,7 @@
             request.stream.write(data)
 
     def end(self, request: InFlightRequest, is_complete: bool) -> None:
-        """Complete a request whose value has been forwarded, or can't be forwarded to its end."""
+        """Complete a request whose value has been forwarded, or is broken off."""
         assert request.stream is not None
         if is_complete:
             self._requests.complete(request, RequestOutcome.SERVED)
@@ -79,13 +80,13 @@
             request.stream.abort()
 
     def release(self, attempt: Attempt) -> None:
-        """Return the memory of an attempt that has ended."""
+        """Release the memory of an attempt that has ended."""
         if attempt.holds_stream_memory:
             self.memory_budget.release(attempt)
 
 
 def _free_stream(request: InFlightRequest | None) -> ResponseStream | None:
-    """Return the client's end of a request that no long value has been begun for."""
+    """Return the client's stream of a request, unless a long value is being forwarded on it."""
     if request is None or request.streamed_attempt is not None:
         return None
     return request.stream
--- a/ironrail/net/downstream/client_connection.py
+++ b/ironrail/net/downstream/client_connection.py
@@ -1,4 +1,4 @@
-"""One client's connection: transport events, timeouts and the close."""
+"""The connection of one client: transport events, timeouts and close."""
 
 from __future__ import annotations
 
@@ -16,19 +16,19 @@
 
 
 class ClientConnection(asyncio.Protocol):
-    """One client's connection."""
+    """The connection of one client."""
 
     transport: asyncio.Transport
     session: ClientSession
-    reader: ClientRegion | None
+    client_region: ClientRegion | None
 
     def __init__(self, context: SessionContext[ClientConnection]) -> None:
-        """Wait for `connection_made`; `context` is what all connections share."""
+        """Wait for `connection_made`; `context` is shared by all connections."""
         self._context = context
         # The first bytes may have arrived before the connection was accepted.
         self._earliest_arrival = context.dispatcher.monitor.earliest_event
         self.arrived_at: float | None = None
-        """When the data that is being parsed arrived at the earliest; None outside of that."""
+        """Earliest arrival time of the data that is being parsed; None at other times."""
         self._pipeline = CommandPipeline(context, self)
         self._half_closed: HalfClosedConnection | None = None
         self._finish_reason = ClientCloseReason.BAD_COMMANDS
@@ -39,12 +39,12 @@
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Begin the client's session."""
-        self.transport = cast(asyncio.Transport, transport)  # uvloop's is no subclass
+        self.transport = cast(asyncio.Transport, transport)  # uvloop's class is no subclass of it
         self.session = self._context.add(self)
-        self.reader = self._context.reader_for(self.transport)
+        self.client_region = self._context.client_region_of(self.transport)
 
     def data_received(self, data: bytes) -> None:
-        """Parse received data, or drop it once the session ends."""
+        """Parse received data, or discard it once the session ends."""
         if self.session.is_ending:
             if self._half_closed is not None:
                 self._half_closed.discard(len(data))
@@ -56,11 +56,11 @@
         self.arrived_at = None
 
     def pause_writing(self) -> None:
-        """Record that the client has stopped taking responses."""
+        """Record that the client has stopped reading responses."""
         self._set_responses_unread(True)
 
     def resume_writing(self) -> None:
-        """Record that the client takes responses again."""
+        """Record that the client reads responses again."""
         self._set_responses_unread(False)
 
     def _set_responses_unread(self, is_unread: bool) -> None:
@@ -69,7 +69,7 @@
         self._pipeline.update_flow_control()
 
     def eof_received(self) -> bool:
-        """Cancel what the client has requested, and keep the connection while data is unsent."""
+        """Cancel the client's requests, and keep the connection open while data is unsent."""
         self._cancel_requests()
         if not self.transport.get_write_buffer_size():
             return False  # the transport closes now
@@ -77,7 +77,7 @@
         return True
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Cancel what the client has requested, and forget the connection."""
+        """Cancel the client's requests, and unregister the connection."""
         self._context.remove(self)
         self._cancel_requests()
 
@@ -93,9 +93,10 @@
         return self._half_closed is not None or self.transport.is_closing()
 
     def has_left(self, waited: bool) -> bool:
-        """Whether the client has gone, as far as the system knows.
+        """Whether the client has disconnected, as far as the operating system knows.
 
-        The event loop reports an end late when it is busy, and not at all while it does not read.
+        The event loop reports a disconnect late when it is busy, and not at all while reading is
+        paused.
 
         Args:
             waited: Whether time has passed since the command was read.
@@ -107,7 +108,7 @@
         return self._context.system.has_hung_up(self.transport)
 
     def has_unread_input(self) -> bool:
-        """Whether something was received that is not parsed."""
+        """Whether received input is not parsed yet."""
         if self._pipeline.is_parse_scheduled:
             return True
         return self._context.system.unread_check(self.transport)()
@@ -115,7 +116,7 @@
     def can_close_cleanly(self) -> bool:
         """Whether a close now loses neither received input nor unwritten responses.
 
-        Input that arrives in that instant is read and dropped: the client retries elsewhere.
+        Input that arrives in that moment is discarded; its client retries at another router.
         """
         if self.is_closing:
             return True
@@ -135,7 +136,7 @@
             self.transport.pause_reading()
 
     def perform(self, action: NextAction) -> None:
-        """Do what is due once responses are written."""
+        """Take the action that is due after responses were written."""
         match action:
             case NextAction.FINISH:
                 self.close(self._finish_reason)
@@ -150,11 +151,11 @@
         return ClientCloseReason.SHUTDOWN
 
     def close(self, reason: ClientCloseReason | None = None, peer_closed: bool = False) -> None:
-        """Half-close the connection behind what is written, and drop what still arrives.
+        """Half-close the connection after pending writes, and discard further input.
 
         Args:
-            reason: Why the router closes it; None if the client does.
-            peer_closed: Whether the client sends nothing more.
+            reason: Why the router closes the connection; None if the client closed it.
+            peer_closed: Whether the client has closed its side.
         """
         if self.is_closing:
             return
@@ -171,7 +172,7 @@
         self._context.start_linger(self)
 
     def check_timeouts(self, now: float) -> None:
-        """Apply the timeout that is running."""
+        """Apply the session's timeout if it has expired."""
         if self.is_closing:
             return
         match timeout_action(self.session, now):
@@ -181,6 +182,6 @@
             case TimeoutAction.REJECT_COMMAND:
                 self._finish_reason = ClientCloseReason.PARTIAL_COMMAND
                 self._pipeline.reject_partial_command()
-            # Even if the client takes the last of its responses late or never.
+            # Applies even if the client has not read the last of its responses.
             case TimeoutAction.CLOSE if not self.has_unread_input():
                 self.close(ClientCloseReason.IDLE)
--- a/ironrail/net/downstream/client_listener.py
+++ b/ironrail/net/downstream/client_listener.py
@@ -1,4 +1,4 @@
-"""Accepts client connections, checks their timeouts, and ends them at shutdown.
+"""Accepts client connections, checks their timeouts, and closes them at shutdown.
 
 The rules for admission, eviction and timeouts are in `ironrail/connections/downstream`.
 """
@@ -38,12 +38,12 @@
         """Prepare to listen.
 
         Args:
-            dispatcher: Takes the requests.
-            is_ready: Whether the router can serve requests, as far as its other parts know.
+            dispatcher: Receives the requests.
+            is_ready: Whether the router can serve requests, according to its other components.
             sessions: Decides on admission and eviction.
-            system: The clock and the sockets.
-            max_lingering: Connections that are shut down for writing and not yet closed.
-            accepts_per_turn: Connections accepted in one turn of the event loop.
+            system: Provides the clock and the sockets.
+            max_lingering: Limit on half-closed connections, which are not yet closed.
+            accepts_per_turn: Limit on the accepts in one iteration of the event loop.
         """
         self.context = SessionContext[ClientConnection](
             dispatcher, is_ready, sessions, system, max_lingering
@@ -56,13 +56,13 @@
         self._opening: set[asyncio.Task[None]] = set()
 
     def listen(self, address: Address) -> Address:
-        """Accept connections from now on, and return the address listened on."""
+        """Accept connections from now on, and return the listening address."""
         self._acceptor = Acceptor(self._system, address, self._accepted, self._accepts_per_turn)
         self._loop.call_later(TIMEOUT_CHECK_INTERVAL_SECONDS, self._check_timeouts)
         return self._acceptor.address
 
     def stop_listening(self) -> None:
-        """Take the connections that the system has accepted already, and no more."""
+        """Accept the connections in the backlog, and stop listening."""
         self._acceptor.close()
 
     def can_serve(self) -> bool:
@@ -70,7 +70,7 @@
         return self.context.can_serve()
 
     def open_connections(self) -> list[ClientConnection]:
-        """The connections that are not closing, the oldest first."""
+        """The connections that are not closing, oldest first."""
         return self.context.open_connections()
 
     def _accepted(self, connection: socket.socket) -> None:
@@ -95,7 +95,7 @@
     def _check_timeouts(self) -> None:
         now = self._system.now()
         for session in self.sessions:
-            # The check of one connection may evict another.
+            # The check of one connection may have closed another.
             connection = self.context.connections.get(session)
             if connection is not None:
                 connection.check_timeouts(now)
@@ -104,11 +104,11 @@
     # Graceful shutdown
 
     def start_draining(self) -> None:
-        """Close a connection from now on once its responses are written and no input is unread."""
+        """Close connections from now on, once responses are written and no input is unread."""
         self.sessions.is_draining = True
 
     def close_idle(self, close_partial: bool) -> None:
-        """Close connections that wait for a command, unless one has just been received.
+        """Close connections without a request, unless one has just been received.
 
         Args:
             close_partial: Whether to close those with a partial command too.
@@ -119,7 +119,7 @@
                 connection.close(ClientCloseReason.SHUTDOWN)
 
     def reject_all(self) -> None:
-        """Answer all requests in flight with an error now, and reject all that follow."""
+        """Answer all requests in flight now, and reject all later ones."""
         self.context.rejects_all = True
         self._dispatcher.expire_all()
 
--- a/ironrail/net/downstream/command_pipeline.py
+++ b/ironrail/net/downstream/command_pipeline.py
@@ -14,43 +14,44 @@
 
 
 class PipelineConnection(SlotConnection, Protocol):
-    """What a pipeline needs of its connection."""
+    """The interface of a connection to its pipeline."""
 
     @property
     def is_closing(self) -> bool:
         """Whether the connection is closing or half closed."""
 
     def perform(self, action: NextAction) -> None:
-        """Do what is due once responses are written."""
+        """Take the action that is due after responses were written."""
 
     def update_reading(self) -> None:
         """Pause or resume reading, as the session's state requires."""
 
 
 class CommandPipeline:
-    """The commands of one connection whose responses are not written."""
+    """The commands of one connection whose responses are not yet written."""
 
     def __init__(self, context: SessionContext[Any], connection: PipelineConnection) -> None:
-        """Begin without commands."""
+        """Start without commands."""
         self._context = context
         self._connection = connection
         self._parser = CommandParser()
         self._slots: deque[ResponseSlot] = deque()
         self._is_parsing = False
         self.is_parse_scheduled = False
-        """Whether buffered input is parsed in the next turn of the event loop."""
+        """Whether buffered input will be parsed in the next iteration of the event loop."""
 
     # Commands
 
     def feed(self, data: bytes) -> None:
-        """Take received bytes, and handle the commands that they complete."""
+        """Buffer received bytes, and handle the commands that are complete now."""
         self._parser.feed(data)
         self._parse()
 
     def _parse(self) -> None:
-        """Handle complete commands up to the limit.
+        """Handle complete commands up to the limit of the session.
 
-        The rest waits for the next turn, so that one client does not delay the others.
+        The rest waits for the next iteration of the event loop, so that one client does not delay
+        the others.
         """
         self.is_parse_scheduled = False
         session = self._connection.session
@@ -71,7 +72,7 @@
         self.flush()
 
     def _reserve_value_memory(self) -> None:
-        """Reserve memory for a long value, which is read once there is enough for all of it."""
+        """Reserve memory for a whole long value, or wait for it, before the value is read."""
         session = self._connection.session
         size = self._parser.long_value_bytes
         if not size or session.has_long_value:
@@ -83,7 +84,7 @@
         session.long_value_started(self._context.system.now(), is_reserved)
 
     def memory_granted(self) -> None:
-        """Read the long value that had to wait for memory."""
+        """Resume reading a long value that waited for memory."""
         self._connection.session.memory_granted(self._context.system.now())
         self._connection.update_reading()
 
@@ -117,7 +118,7 @@
         return True
 
     def reject_partial_command(self) -> None:
-        """Send an error for a command that is not complete in time, behind other responses."""
+        """Send an error for a command that timed out incomplete, after earlier responses."""
         self._connection.session.reject_partial_command()
         self._slots.append(ResponseSlot(self._connection, self, meta_codec.COMMAND_TIMEOUT))
         self.flush()
@@ -131,7 +132,7 @@
         ]
 
     def cancel_requests(self) -> None:
-        """Cancel all requests once, as the client may reuse their ids on another connection."""
+        """Cancel all requests, whose ids the client may reuse on another connection."""
         dispatcher = self._context.dispatcher
         slots = self._slots
         self._slots = deque()
@@ -149,7 +150,7 @@
         return slot is self._slots[0] and not self._is_parsing
 
     def response_completed(self, slot: ResponseSlot) -> None:
-        """Write a complete response if it is its turn, and release the memory of its command."""
+        """Write a complete response if it is next, and release the memory of its command."""
         if self.is_next(slot):
             self.flush()
         if slot.holds_memory:
@@ -162,7 +163,7 @@
             self._slots[0].update_flow_control()
 
     def flush(self) -> None:
-        """Write the responses whose turn it is, and do what is due then."""
+        """Write the responses that are next, and take the action that is due then."""
         written = self._write_ready()
         if self._slots and self._slots[0].is_streaming:
             self._slots[0].update_flow_control()
@@ -179,7 +180,7 @@
         self._connection.update_reading()
 
     def _write_ready(self) -> int:
-        """Write the responses whose turn it is, and return how many are complete."""
+        """Write the responses that are next, and return how many of them are complete."""
         ready: list[bytes] = []
         written = 0
         while self._slots:
--- a/ironrail/net/downstream/half_closed.py
+++ b/ironrail/net/downstream/half_closed.py
@@ -1,7 +1,7 @@
-"""The orderly close of a connection: shut down for writing, drop what still arrives, close.
+"""Lingering close of a connection: shut down writing, discard further input, then close.
 
-A close while input is unread, or arrives just then, resets the connection, which destroys
-responses that are still under way.
+A close while input is unread or still arriving resets the connection, and the client loses
+responses that are still in transit.
 """
 
 from __future__ import annotations
@@ -16,18 +16,18 @@
     """One connection between its shutdown for writing and its close."""
 
     def __init__(self, transport: asyncio.Transport, *, peer_closed: bool = False) -> None:
-        """Half-close the transport behind what is written.
+        """Half-close the transport after pending writes.
 
         Args:
             transport: The connection.
-            peer_closed: Whether the client sends nothing more.
+            peer_closed: Whether the client has closed its side.
         """
         self._transport = transport
         self._loop = asyncio.get_running_loop()
         self._started_at = self._loop.time()
         self._bytes_to_discard = MAX_DISCARDED_BYTES
-        # The event loop shuts the socket down in its next turn only. A command read before that
-        # would be dropped although the client may take it for accepted.
+        # The event loop shuts the socket down only in its next iteration. A command that is read
+        # before would be discarded, although the client may assume that it was accepted.
         transport.pause_reading()
         transport.write_eof()
         if not peer_closed:
@@ -39,13 +39,13 @@
             self._transport.resume_reading()
 
     def discard(self, size: int) -> None:
-        """Drop received bytes, up to a limit that bounds the CPU they cost."""
+        """Discard received bytes, up to a limit that bounds their CPU cost."""
         self._bytes_to_discard -= size
         if self._bytes_to_discard <= 0 and not self._transport.is_closing():
             self._transport.pause_reading()
 
     def _close_or_wait(self) -> None:
-        """Close the connection unless the client may still take responses."""
+        """Close the connection unless the client may still read responses."""
         has_unsent = not self._transport.is_closing() and self._transport.get_write_buffer_size()
         waited_seconds = self._loop.time() - self._started_at
         if has_unsent and waited_seconds < UNREAD_RESPONSE_TIMEOUT_SECONDS:
--- a/ironrail/net/downstream/rejected_connection.py
+++ b/ironrail/net/downstream/rejected_connection.py
@@ -1,4 +1,4 @@
-"""A connection that is rejected for lack of descriptors."""
+"""A connection that is rejected for lack of file descriptors."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class RejectedConnection(asyncio.Protocol):
-    """Sends an error and lingers: a close at once could destroy the error by a reset."""
+    """Sends an error and lingers: an immediate close could cause a reset, which loses the error."""
 
     transport: asyncio.Transport
 
@@ -20,16 +20,16 @@
         self._context = context
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Send the error, and shut the connection down."""
-        self.transport = cast(asyncio.Transport, transport)  # uvloop's is no subclass
+        """Send the error, and half-close the connection."""
+        self.transport = cast(asyncio.Transport, transport)  # uvloop's class is no subclass of it
         self.transport.write(meta_codec.TOO_MANY_CONNECTIONS)
         self._half_closed = HalfClosedConnection(self.transport)
         self._context.start_linger(self)
 
     def data_received(self, data: bytes) -> None:
-        """Drop what the client sends."""
+        """Discard what the client sends."""
         self._half_closed.discard(len(data))
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Forget the connection."""
+        """Unregister the connection."""
         self._context.lingering.remove(self)
--- a/ironrail/net/downstream/response_slots.py
+++ b/ironrail/net/downstream/response_slots.py
@@ -11,33 +11,33 @@
 from ironrail.net.protocol import meta_codec
 
 MAX_BUFFERED_BYTES = 64 * 1024
-"""Of a streamed response that waits for earlier ones: at that, its server is paused."""
+"""If this much of a streamed response waits for earlier ones, its server is paused."""
 
 
 class SlotConnection(Protocol):
-    """What a slot needs of its connection."""
+    """The interface of a connection to its slots."""
 
     transport: asyncio.Transport
     session: ClientSession
-    reader: ClientRegion | None
+    client_region: ClientRegion | None
     arrived_at: float | None
 
     def has_left(self, waited: bool) -> bool:
-        """Whether the client has gone, as far as the system knows."""
+        """Whether the client has disconnected, as far as the operating system knows."""
 
 
 class SlotQueue(Protocol):
-    """What a slot needs of the queue that it is in."""
+    """The interface of a queue to its slots."""
 
     def is_next(self, slot: ResponseSlot) -> bool:
         """Whether all responses before this one are written."""
 
     def response_completed(self, slot: ResponseSlot) -> None:
-        """Write a complete response once it is its turn."""
+        """Write a complete response once it is next."""
 
 
 class ResponseSlot:
-    """The response to one command, which is complete at once or a long value in chunks."""
+    """The response to one command: complete in one piece, or a long value in chunks."""
 
     __slots__ = (
         "_buffered",
@@ -56,7 +56,7 @@
         queue: SlotQueue,
         response: bytes | None = None,
     ) -> None:
-        """Wait for the response, unless it is known already."""
+        """Wait for the response, unless it is already known."""
         self._connection = connection
         self._queue = queue
         self.request_id: str | None = None
@@ -67,33 +67,33 @@
         self._buffered_bytes = 0
 
     @property
-    def reader(self) -> ClientRegion | None:
-        """The client, if the router distinguishes regions of clients."""
-        return self._connection.reader
+    def client_region(self) -> ClientRegion | None:
+        """Region of the client, where latency is measured by region."""
+        return self._connection.client_region
 
     @property
     def arrived_at(self) -> float | None:
-        """When the command may have arrived at the earliest; None if that was not just now."""
+        """Earliest arrival time of the command; None after it has been parsed."""
         return self._connection.arrived_at
 
     def has_disconnected(self, waited: bool) -> bool:
-        """Whether the client has gone; `waited`: time has passed since its command was read."""
+        """Whether the client has disconnected; `waited`: time has passed since the read."""
         return self._connection.has_left(waited)
 
     def complete(self, response: bytes) -> None:
-        """Take the complete response."""
+        """Set the complete response."""
         self.response = response
         self._queue.response_completed(self)
 
     # A long value in chunks
 
-    def start(self, head: bytes, hold: Callable[[bool], None]) -> None:
-        """Take the header of a long value; `hold` pauses or resumes the server."""
-        self._pause_server = hold
+    def start(self, head: bytes, set_paused: Callable[[bool], None]) -> None:
+        """Write the header of a long value; `set_paused` pauses or resumes the server."""
+        self._pause_server = set_paused
         self.write(head)
 
     def write(self, data: bytes) -> None:
-        """Write a chunk, or buffer it behind earlier responses."""
+        """Write a chunk, or buffer it if earlier responses are not yet written."""
         if self._queue.is_next(self):
             self._connection.transport.write(data)
         else:
@@ -102,31 +102,31 @@
         self.update_flow_control()
 
     def finish(self) -> None:
-        """End a long value that is complete."""
+        """Finish a complete long value."""
         if self._pause_server is not None:
-            self._pause_server(False)  # its connection goes on with other requests
+            self._pause_server(False)  # its connection carries other requests from now on
         self._pause_server = None
         self.complete(meta_codec.LINE_END)
 
     def abort(self) -> None:
-        """Abort the connection, as the client would take a partial value for a complete one."""
+        """Abort the connection: the client must not mistake a partial value for a whole one."""
         self._pause_server = None
         self._connection.transport.abort()
 
     @property
     def is_streaming(self) -> bool:
-        """Whether the response is a long value with chunks to come or buffered."""
+        """Whether the response is a long value with chunks that are expected or buffered."""
         return self._pause_server is not None or bool(self._buffered)
 
     def take_buffered(self) -> list[bytes]:
-        """Take the chunks that waited for earlier responses."""
+        """Remove and return the chunks that waited for earlier responses."""
         chunks = self._buffered
         self._buffered = []
         self._buffered_bytes = 0
         return chunks
 
     def update_flow_control(self) -> None:
-        """Pause the server while the client takes nothing or too much is buffered."""
+        """Pause the server while the client does not read, or while too much is buffered."""
         if self._pause_server is None:
             return
         is_unread = self._connection.session.responses_unread_since is not None
--- a/ironrail/net/downstream/session_context.py
+++ b/ironrail/net/downstream/session_context.py
@@ -1,4 +1,4 @@
-"""What the client connections of one router share."""
+"""State that the client connections of one router share."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class LingeringConnection(Protocol):
-    """A connection that is shut down for writing and not yet closed."""
+    """A connection that is half-closed and not yet closed."""
 
     transport: asyncio.Transport
 
@@ -36,21 +36,21 @@
         """Whether a close now loses neither received input nor unwritten responses."""
 
     def close(self, reason: ClientCloseReason) -> None:
-        """Half-close the connection behind what is written."""
+        """Half-close the connection after pending writes."""
 
 
 class MemoryWaiter(Protocol):
     """A connection whose long value waits for memory."""
 
     def memory_granted(self) -> None:
-        """Read the long value."""
+        """Resume reading the long value."""
 
 
 Connection = TypeVar("Connection", bound=OpenConnection)
 
 
 class SessionContext(Generic[Connection]):
-    """The open connections, and the parts of the router that they use."""
+    """The open connections, and the components of the router that they use."""
 
     def __init__(
         self,
@@ -60,24 +60,24 @@
         system: System,
         max_lingering: int,
     ) -> None:
-        """Begin without connections.
+        """Start without connections.
 
         Args:
-            dispatcher: Takes the requests.
-            is_ready: Whether the router can serve requests, as far as its other parts know.
+            dispatcher: Receives the requests.
+            is_ready: Whether the router can serve requests, according to its other components.
             sessions: Decides on admission and eviction.
-            system: The clock and the sockets.
-            max_lingering: Connections that are shut down for writing and not yet closed.
+            system: Provides the clock and the sockets.
+            max_lingering: Limit on half-closed connections, which are not yet closed.
         """
         self.dispatcher = dispatcher
         self.sessions = sessions
         self.system = system
         self.lingering = LingeringCloseRegistry[LingeringConnection](max_lingering)
         self.connections: dict[ClientSession, Connection] = {}
-        self.identify_reader: Callable[[asyncio.Transport], ClientRegion] | None = None
-        """Identifies a client where the router distinguishes regions of clients."""
+        self.identify_client_region: Callable[[asyncio.Transport], ClientRegion] | None = None
+        """Returns the region of a client; None where latency is not measured by region."""
         self.rejects_all = False
-        """Whether all new requests are rejected, as the time for the shutdown is over."""
+        """Whether all new requests are rejected, as the shutdown's response deadline has passed."""
         self._is_ready = is_ready
         self._all_closed = asyncio.Event()
         self._all_closed.set()
@@ -86,21 +86,21 @@
         """Whether clients may send requests."""
         return self._is_ready() and not self.sessions.is_draining
 
-    def reader_for(self, transport: asyncio.Transport) -> ClientRegion | None:
-        """Identify the client if the router distinguishes regions of clients."""
-        if self.identify_reader is None:
+    def client_region_of(self, transport: asyncio.Transport) -> ClientRegion | None:
+        """Return the region of a client; None where latency is not measured by region."""
+        if self.identify_client_region is None:
             return None
-        return self.identify_reader(transport)
+        return self.identify_client_region(transport)
 
     def add(self, connection: Connection) -> ClientSession:
-        """Begin the session of a new connection."""
+        """Start the session of a new connection."""
         session = self.sessions.add(self.system.now())
         self.connections[session] = connection
         self._all_closed.clear()
         return session
 
     def remove(self, connection: Connection) -> None:
-        """Forget a connection that has closed."""
+        """Unregister a connection that has closed."""
         self.sessions.remove(connection.session)
         self.lingering.remove(connection)
         self.connections.pop(connection.session, None)
@@ -114,23 +114,23 @@
             oldest.transport.abort()
 
     def grant_memory(self) -> None:
-        """Resume the connections whose long values fit into memory now."""
+        """Resume the connections whose long values fit into the memory budget now."""
         while (waiter := self.dispatcher.memory_budget.grant_next_waiter()) is not None:
             cast(MemoryWaiter, waiter).memory_granted()
 
     def evict_idle(self) -> None:
-        """Close idle connections beyond the number to retain, where that loses no data."""
+        """Close idle connections beyond the number to retain, unless that would lose data."""
         while (session := self.sessions.next_idle_to_evict()) is not None:
             connection = self.connections[session]
             if connection.can_close_cleanly():
                 connection.close(ClientCloseReason.EVICTED)
-                self.sessions.remove(session)  # also if it was closing already
+                self.sessions.remove(session)  # even if it was already closing
             else:
                 self.sessions.defer_eviction(session)
 
     def open_connections(self) -> list[Connection]:
-        """The connections that are not closing, the oldest first."""
-        return [one for one in self.connections.values() if not one.is_closing]
+        """The connections that are not closing, oldest first."""
+        return [connection for connection in self.connections.values() if not connection.is_closing]
 
     async def wait_all_closed(self) -> None:
         """Wait until the last connection has closed."""
--- a/ironrail/net/io_timeout.py
+++ b/ironrail/net/io_timeout.py
@@ -1,7 +1,7 @@
 """A timeout on I/O that allows for stalls of the process itself.
 
-The event loop runs timers before it polls sockets. After a stall a plain timeout would cancel an
-operation whose result has been readable for long.
+The event loop runs due timers before it polls sockets. After a stall, a plain timeout would cancel
+an operation whose result has long been readable.
 """
 
 from __future__ import annotations
@@ -11,15 +11,15 @@
 from contextlib import asynccontextmanager
 
 STALL_THRESHOLD_SECONDS = 0.01
-"""Delay of a timer from which on the process is taken to have stalled."""
+"""If a timer fires later than this, the process is assumed to have stalled."""
 
 STALL_GRACE_SECONDS = 0.05
-"""To read what arrived during a stall."""
+"""Extra time to read the data that arrived during a stall."""
 
 
 @asynccontextmanager
 async def io_timeout(seconds: float) -> AsyncIterator[None]:
-    """Limit the time of the body.
+    """Limit the time of the `async with` body.
 
     Raises:
         TimeoutError: The body takes longer, and not because of a stall of the process.
@@ -31,7 +31,7 @@
         try:
             yield
         finally:
-            # A timer that is due in this turn must not find the timeout ended.
+            # A timer that is due in this iteration must not reschedule a timeout that has ended.
             timer.cancel()
 
 
--- a/ironrail/net/lifecycle/admin_pages.py
+++ b/ironrail/net/lifecycle/admin_pages.py
@@ -31,13 +31,13 @@
         clients: ClientListener,
         is_listening: Callable[[], bool],
     ) -> None:
-        """Read from these parts; `is_listening` returns whether clients can connect."""
+        """Serve these components' state; `is_listening` returns whether clients can connect."""
         self._dispatcher = dispatcher
         self._clients = clients
         self._is_listening = is_listening
 
     def listen(self, address: Address, system: System, peer_runtime: PeerRuntime | None) -> None:
-        """Accept calls at `address`, also for the pages of `peer_runtime`."""
+        """Accept calls at `address`, including calls of the pages of `peer_runtime`."""
         pages: dict[str, Handler] = {"/-/ready": self._ready, "/-/metrics": self._metrics}
         posts: dict[str, PostHandler] = {}
         if peer_runtime is not None:
--- a/ironrail/net/lifecycle/assembly.py
+++ b/ironrail/net/lifecycle/assembly.py
@@ -1,4 +1,4 @@
-"""Builds the parts of a router from its configuration."""
+"""Builds the components of a router from its configuration."""
 
 from __future__ import annotations
 
@@ -22,19 +22,19 @@
 if TYPE_CHECKING:
     from ironrail.net.access_log_writer import AccessLogRecorder
 
-# A router's memory without large values, with some reserve.
+# Memory of a router without large values, with some reserve.
 BASE_MEMORY_BYTES = 36 * 1024**2
-# One value of the largest size fits.
+# Enough for one value of the largest size.
 MIN_VALUE_MEMORY_BYTES = 5 * 1024**2
 
 
 def make_access_log(
     config: Config, operator: OperatorSettings, system: System
 ) -> AccessLogRecorder | None:
-    """Return the access log, or None if the operator's file has none."""
+    """Return the access log, or None if the operator's file configures none."""
     if operator.access_log is None:
         return None
-    # imported late: a router without an access log has no threads
+    # Imported late: a router without an access log starts no threads.
     from ironrail.net.access_log_writer import AccessLogRecorder  # noqa: PLC0415
 
     path = operator.access_log.path.replace("{index}", str(config.settings.router_index))
@@ -42,7 +42,7 @@
 
 
 def make_value_memory(config: Config) -> MemoryBudget:
-    """Return the memory for large values: half of what the limit leaves."""
+    """Return the memory budget for large values: half of what the limit leaves."""
     available = (config.memory_limit - BASE_MEMORY_BYTES) // 2
     return MemoryBudget(max(MIN_VALUE_MEMORY_BYTES, available))
 
--- a/ironrail/net/lifecycle/graceful_shutdown.py
+++ b/ironrail/net/lifecycle/graceful_shutdown.py
@@ -13,23 +13,23 @@
 if TYPE_CHECKING:
     from ironrail.net.downstream.client_listener import ClientListener
 
-# SIGKILL follows SIGTERM by min(longest client timeout, MAX_CLIENT_TIMEOUT_SECONDS) +
-# KILL_GRACE_SECONDS, as the protocol has it.
+# The deployment protocol sends SIGKILL after SIGTERM by min(longest client timeout,
+# MAX_CLIENT_TIMEOUT_SECONDS) + KILL_GRACE_SECONDS.
 MAX_CLIENT_TIMEOUT_SECONDS = 3.0
 KILL_GRACE_SECONDS = 0.7
-# The signal may be noticed late, and answers take time on the wire.
+# The signal may be noticed late, and responses take time on the network.
 KILL_MARGIN_SECONDS = 0.15
-# For clients to read the last answers, and to close first.
+# Time for clients to read the last responses, and to close first.
 FLUSH_SECONDS = 0.1
 # The platform routes new clients to this process for 0.4 s after SIGTERM.
 ACCEPT_SECONDS = 0.45
 # After the listener is closed, how long an idle connection may still be used.
 MAX_IDLE_SECONDS = 0.55
-# How long a command may take to arrive, if no other process serves the address: waiting for slow
-# ones keeps the process from being restarted.
+# How long a command may take to arrive if no other process serves the address: while this process
+# waits for slow clients, it can't be restarted.
 MAX_PARTIAL_COMMAND_SECONDS = 1.5
 POLL_INTERVAL_SECONDS = 0.1
-MIN_POLL_INTERVAL_SECONDS = 0.01  # once all pending requests are being answered
+MIN_POLL_INTERVAL_SECONDS = 0.01  # while the last responses are written
 
 log = logging.getLogger(__name__)
 
@@ -38,16 +38,16 @@
 class ShutdownSchedule:
     """The phases of a shutdown, in seconds after SIGTERM, in ascending order."""
 
-    accept_until: float  # new connections are accepted
+    accept_until: float  # new connections are accepted until then
     idle_close_at: float  # idle connections are closed
     partial_command_deadline: float  # incomplete commands are dropped, if no other process serves
-    response_deadline: float  # pending requests get their final answer
-    exit_at: float  # the process exits, whatever connections are left
+    response_deadline: float  # pending requests are answered
+    exit_at: float  # the process exits, even if connections are open
 
 
 def shutdown_schedule(settings: Settings) -> ShutdownSchedule:
     """Return the schedule for these settings; short client timeouts shorten all phases."""
-    longest = max(known.client_timeout for known in settings.classes.values())
+    longest = max(request_class.client_timeout for request_class in settings.classes.values())
     kill_at = min(MAX_CLIENT_TIMEOUT_SECONDS, longest) + KILL_GRACE_SECONDS
     response_deadline = kill_at - KILL_MARGIN_SECONDS
     idle_seconds = min(MAX_IDLE_SECONDS, (response_deadline - ACCEPT_SECONDS) / 2)
@@ -80,8 +80,8 @@
     async def run(self, is_served_by_other: Callable[[], bool]) -> None:
         """Return once all connections are closed, or at `exit_at`.
 
-        `is_served_by_other` returns whether another process listens at the address; it is called
-        once this process does not.
+        `is_served_by_other` returns whether another process listens on the address; it is called
+        after this process has stopped listening.
         """
         await self._sleep_until(self.schedule.accept_until)
         self.clients.stop_listening()
@@ -104,10 +104,10 @@
     async def _wait_for_responses(self, drained: asyncio.Task[None], serves_alone: bool) -> None:
         """Close connections as their requests are answered, until `response_deadline`."""
         deadline = self.started_at + self.schedule.response_deadline
-        while not drained.done() and (left := deadline - self.now()) > 0:
+        while not drained.done() and (remaining := deadline - self.now()) > 0:
             partial_commands_expired = self._elapsed() >= self.schedule.partial_command_deadline
             self.clients.close_idle(serves_alone and partial_commands_expired)
-            timeout = max(MIN_POLL_INTERVAL_SECONDS, min(POLL_INTERVAL_SECONDS, left))
+            timeout = max(MIN_POLL_INTERVAL_SECONDS, min(POLL_INTERVAL_SECONDS, remaining))
             await asyncio.wait([drained], timeout=timeout)
 
     async def _wait_for_flush(self, drained: asyncio.Task[None]) -> None:
--- a/ironrail/net/lifecycle/handover.py
+++ b/ironrail/net/lifecycle/handover.py
@@ -1,4 +1,4 @@
-"""Handover of an address: clients are accepted only once the endpoint list is known."""
+"""Handover of an address between processes: the new one listens once it has an endpoint list."""
 
 from __future__ import annotations
 
@@ -7,14 +7,14 @@
 import logging
 from collections.abc import Callable
 
-# Discovery may be out of reach; the cached list serves then.
+# Discovery may be unreachable; the cached list is used then.
 ENDPOINT_LIST_TIMEOUT_SECONDS = 2.0
 
 log = logging.getLogger(__name__)
 
 
 class Handover:
-    """Postpones listening while the other process still serves.
+    """Postpones listening while the previous process still serves.
 
     Without an endpoint list this process would have to reject requests.
     """
@@ -30,7 +30,7 @@
         self._task = asyncio.create_task(self._take_over())
 
     def endpoint_list_received(self) -> None:
-        """Record that a full endpoint list was taken."""
+        """Record that a full endpoint list was received."""
         self._list_received.set()
 
     def cancel(self) -> None:
--- a/ironrail/net/lifecycle/loop_monitor.py
+++ b/ironrail/net/lifecycle/loop_monitor.py
@@ -1,4 +1,4 @@
-"""Heartbeat of the event loop: detects hold-ups, and since when input may have waited."""
+"""Heartbeat of the event loop: detects hold-ups, and how long input may have been unread."""
 
 from __future__ import annotations
 
@@ -27,14 +27,11 @@
         self._schedule()
 
     def earliest_arrival(self) -> float:
-        """Return when data that is read now may have arrived at the earliest.
-
-        Seconds on the system's clock.
-        """
+        """Return the earliest arrival time of data that is read now, on the monotonic clock."""
         return self.detector.earliest_arrival(self._system.now())
 
     def earliest_event(self) -> float:
-        """Return the same for a signal, or for the first bytes on a new connection."""
+        """Return the earliest time of a signal, or of the first bytes on a new connection."""
         return self.detector.earliest_event(self._system.now())
 
     def _schedule(self) -> None:
@@ -45,8 +42,8 @@
         hold_up = self.detector.beat(now)
         if hold_up is not None:
             self._log_hold_up(hold_up)
-            # Timers and the callbacks they schedule run before sockets are read: only in the turn
-            # after next has everything been read.
+            # Timers and the callbacks that they schedule run before sockets are read: everything
+            # has been read only in the iteration after the next.
             self._loop.call_soon(self._loop.call_soon, self.detector.caught_up, hold_up)
         self._schedule()
 
--- a/ironrail/net/lifecycle/node.py
+++ b/ironrail/net/lifecycle/node.py
@@ -1,4 +1,4 @@
-"""One router on real sockets: assembles its parts, starts them, follows signals and stops them."""
+"""One router: assembles its components, starts them, handles signals and stops them."""
 
 from __future__ import annotations
 
@@ -42,7 +42,7 @@
 
 
 class Node:
-    """All parts of one running router.
+    """All components of one router.
 
     Attributes:
         peer_runtime: The connection to other routers; None without peers.
@@ -57,19 +57,19 @@
         read_latest_config: Callable[[], Config] = read_current_config,
         store: RecordStore | None = None,
     ) -> None:
-        """Assemble a router that does not run yet.
+        """Assemble a router without starting it.
 
         Args:
-            config: What the deployment sets.
-            operator: What the operator's file sets.
-            system: Clocks and listeners.
+            config: Settings of the deployment.
+            operator: Settings of the operator's file.
+            system: Provides clocks and sockets.
             read_latest_config: Reads the configuration again, at SIGHUP.
-            store: Where a voter keeps its record; None for the folder of the operator's file.
+            store: Where a voter stores its record; None for the folder that the operator sets.
         """
         self._config = config
         self._system = system
         self._is_listening = False
-        self._shutdown_requested_at: float | None = None  # at the earliest, on the system's clock
+        self._shutdown_requested_at: float | None = None  # earliest time, on the monotonic clock
         self._handover = Handover(self._listen)
         self._assemble(operator, read_latest_config)
         self.peer_runtime = self._make_peer_runtime(operator, store)
@@ -106,7 +106,7 @@
             self._system,
             self._endpoint_watcher.refresh,
             make_value_memory(config),
-            self._access_log.note if self._access_log is not None else None,
+            self._access_log.record if self._access_log is not None else None,
             diagnostics,
         )
 
@@ -115,7 +115,7 @@
     ) -> PeerRuntime | None:
         if operator.peers is None:
             return None
-        # imported late: saves memory without peers
+        # Imported late, which saves memory without peers.
         from ironrail.net.peers.runtime import PeerRuntime  # noqa: PLC0415
 
         runtime = PeerRuntime(
@@ -126,7 +126,7 @@
         return runtime
 
     def _apply_cached_list(self) -> None:
-        """Use the endpoint list of the configuration until discovery answers."""
+        """Apply the endpoint list of the configuration, which is used until discovery answers."""
         if self._config.cached_endpoint_list is None:
             return
         try:
@@ -143,15 +143,15 @@
         )
 
     def _attempt_written(self) -> None:
-        self._dispatcher.figures.attempt_written()
+        self._dispatcher.request_metrics.attempt_written()
 
     def _link_observer(self, zone: str) -> LinkObserver | None:
         return self.peer_runtime.link_observer(zone) if self.peer_runtime is not None else None
 
     def start(self) -> Address:
-        """Listen and follow discovery; return the address listened on.
+        """Listen and follow discovery; return the listening address.
 
-        Where another process serves the address, this one listens once it has the endpoint list.
+        If another process serves the address, this one listens once it has the endpoint list.
         """
         address = self._config.listen_address
         if self._system.is_served(address):
@@ -178,7 +178,7 @@
             self._handover.endpoint_list_received()
 
     async def serve(self) -> None:
-        """Start, follow the signals, and return after a graceful shutdown."""
+        """Start, handle signals, and return after a graceful shutdown."""
         shutdown_requested = asyncio.Event()
         self._handle_signals(shutdown_requested)
         if self.peer_runtime is not None:
@@ -193,7 +193,7 @@
         await self.stop()
 
     def _handle_signals(self, shutdown_requested: asyncio.Event) -> None:
-        """Register handlers: shutdown, reload of the configuration, rotation of the access log."""
+        """Register handlers: shutdown, reload of the configuration, reopening of the access log."""
         loop = asyncio.get_running_loop()
 
         def _request_shutdown() -> None:
@@ -215,7 +215,7 @@
         self._reloader.reload()
 
     async def stop(self) -> None:
-        """Run the graceful shutdown: answer all pending requests, then close every part."""
+        """Run the graceful shutdown: answer all pending requests, then close every component."""
         self._client_listener.start_draining()
         self._handover.cancel()
         if self._is_listening:
@@ -239,7 +239,7 @@
 
 
 async def serve(config: Config, operator: OperatorSettings = NO_OPERATOR_FILE) -> None:
-    """Run one router until a signal ends it."""
+    """Run one router until a signal stops it."""
     await Node(config, operator).serve()
-    # a second signal would kill the process once the event loop has removed its handlers
+    # The event loop removes its signal handlers now; a second signal would kill the process.
     signal.pthread_sigmask(signal.SIG_BLOCK, {signal.SIGTERM, signal.SIGINT, signal.SIGHUP})
--- a/ironrail/net/lifecycle/reload.py
+++ b/ironrail/net/lifecycle/reload.py
@@ -19,7 +19,7 @@
 
 
 class ConfigReloader:
-    """Holds the configuration in force and applies the part that may change while the router runs.
+    """Holds the configuration in force, and applies the settings that may change at runtime.
 
     Attributes:
         config: The configuration in force.
@@ -31,7 +31,7 @@
         read: Callable[[], Config],
         relocate_discovery: Callable[[Address], None],
     ) -> None:
-        """Start from `config`; `read` returns the latest one."""
+        """Start with `config`; `read` returns the latest configuration."""
         self.config = config
         self._read = read
         self._relocate_discovery = relocate_discovery
@@ -40,7 +40,7 @@
         """Read the configuration again; an unusable one changes nothing."""
         try:
             latest = self._read()
-        except Exception as error:  # whatever the file holds, the router goes on
+        except Exception as error:  # no content of the file may stop the router
             log.error("reload_rejected", extra={"error": str(error)})  # noqa: TRY400
             return
         log.info(
@@ -48,7 +48,7 @@
             extra={"address": "{}:{}".format(*latest.discovery_address)},
         )
         updated = replace(self.config, discovery_address=latest.discovery_address)
-        # each start has its own seed and cached list
+        # The seed and the cached list differ at each start, and need no restart.
         if (
             replace(latest, seed=updated.seed, cached_endpoint_list=updated.cached_endpoint_list)
             != updated
--- a/ironrail/net/listener.py
+++ b/ironrail/net/listener.py
@@ -12,10 +12,10 @@
 
 log = logging.getLogger(__name__)
 
-LISTEN_BACKLOG_COUNT = 512
+MAX_LISTEN_BACKLOG = 512
 
 ACCEPT_RETRY_DELAY_SECONDS = 0.1
-"""Without accepting while the system has no descriptor left."""
+"""Pause after an accept that failed, such as when no file descriptors are left."""
 
 
 class Acceptor:
@@ -32,15 +32,15 @@
 
         Args:
             system: Opens the listening socket.
-            address: To listen on; port 0 for any free one.
-            on_accepted: Is called with each accepted socket, which is non-blocking.
-            accepts_per_turn: Connections accepted in one turn of the event loop.
+            address: Address to listen on; port 0 selects any free port.
+            on_accepted: Called with each accepted socket, which is non-blocking.
+            accepts_per_turn: Limit on the accepts in one iteration of the event loop.
         """
         self._on_accepted = on_accepted
         self._accepts_per_turn = accepts_per_turn
         self._is_paused = False
         self._loop = asyncio.get_running_loop()
-        self._socket = system.listen(address, LISTEN_BACKLOG_COUNT)
+        self._socket = system.listen(address, MAX_LISTEN_BACKLOG)
         self._loop.add_reader(self._socket, self._accept_some)
         host, port = self._socket.getsockname()[:2]
         self.address: Address = host, port
@@ -52,7 +52,7 @@
                 connection, _ = self._socket.accept()
             except BlockingIOError:
                 return False
-            except ConnectionError:  # aborted while it was queued; others may follow
+            except ConnectionError:  # aborted while in the backlog; others may follow
                 continue
             except OSError as error:
                 self._pause(error)
@@ -63,8 +63,8 @@
         return True
 
     def _pause(self, error: OSError) -> None:
-        """Stop accepting for a while, as the socket stays readable and would spin the loop."""
-        if not self._is_paused:  # logged once in a shortage
+        """Pause accepting: the socket stays readable, which would make the event loop spin."""
+        if not self._is_paused:  # logged once per shortage
             log.error("accept_paused", extra={"error": str(error)})
         self._is_paused = True
         self._loop.remove_reader(self._socket)
@@ -75,8 +75,8 @@
             self._loop.add_reader(self._socket, self._accept_some)
 
     def close(self) -> None:
-        """Accept what the system has queued, which a close would reset, and stop listening."""
-        for _ in range(LISTEN_BACKLOG_COUNT // self._accepts_per_turn + 1):
+        """Accept the connections in the backlog, which a close would reset, and stop listening."""
+        for _ in range(MAX_LISTEN_BACKLOG // self._accepts_per_turn + 1):
             if not self._accept_some():
                 break
         self._loop.remove_reader(self._socket)
--- a/ironrail/net/peers/link_evidence.py
+++ b/ironrail/net/peers/link_evidence.py
@@ -34,7 +34,7 @@
     def time_left(self, left: float) -> float:
         return self._evidence.time_left(self.region, left)
 
-    def ended(self, request_class: str, seconds: float, ended: RequestOutcome) -> None:
+    def request_ended(self, request_class: str, seconds: float, ended: RequestOutcome) -> None:
         self._evidence.ended(self, request_class, seconds, ended)
 
 
@@ -68,7 +68,7 @@
         now, asked = self._system.now(), 0
         for _ in range(min(PASSED_OVER, len(self._waiting))):
             connection = self._waiting.popleft()
-            one = connection.reader
+            one = connection.client_region
             if not isinstance(one, One) or connection.session.last_received_at <= one.looked:
                 continue
             seconds = self._system.round_trip(connection.transport)
--- a/ironrail/net/peers/readers.py
+++ b/ironrail/net/peers/readers.py
@@ -96,7 +96,7 @@
     def serve(self, clients: ClientListener) -> None:
         """Those whose requests come to this router."""
         self._clients = clients
-        clients.context.identify_reader = self._evidence.one
+        clients.context.identify_client_region = self._evidence.one
         self._timer = asyncio.get_running_loop().call_later(TICK, self._tick)
 
     def close(self) -> None:
@@ -181,7 +181,7 @@
         resting: list[Resting] = []
         looked = [self._to_move.popleft() for _ in range(min(LOOKED_AT, len(self._to_move)))]
         for number, connection in enumerate(looked):
-            one, at = connection.reader, connection.session
+            one, at = connection.client_region, connection.session
             if isinstance(one, One) and one.region in self._rows and connection not in self._leaving:
                 owed = not at.is_idle or not at.has_been_used or at.responses_unread_since is not None
                 resting.append(
--- a/ironrail/net/peers/zone_latency.py
+++ b/ironrail/net/peers/zone_latency.py
@@ -31,19 +31,19 @@
     def __init__(self, room: LatencyRoom, hall: int, now: Callable[[], float]) -> None:
         self._room, self._hall, self._now = room, hall, now
 
-    def connected(self, seconds: float) -> None:
+    def on_connect_answered(self, seconds: float) -> None:
         """A connection came up, or was refused: the server's system answered by itself."""
         self._room.observe(self._now(), self._hall, seconds)
 
-    def unconnected(self) -> None:
+    def on_connect_timed_out(self) -> None:
         """Nothing answered a connect."""
         self._room.lost(self._now(), self._hall)
 
-    def heard(self) -> None:
+    def on_reply(self) -> None:
         """A reply: how long the way was can't be told from how long the work was."""
         self._room.heard(self._now(), self._hall)
 
-    def silent(self, seconds: float) -> None:
+    def on_attempt_abandoned(self, seconds: float) -> None:
         """An attempt was given up, and for so long not a byte had come on its connection."""
         self._room.silent(self._now(), self._hall, seconds)
 
--- a/ironrail/net/protocol/commands.py
+++ b/ironrail/net/protocol/commands.py
@@ -1,4 +1,4 @@
-"""Parsing of the commands that clients send, piece by piece as bytes arrive."""
+"""Incremental parser of the commands that clients send."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 MAX_REQUEST_ID_BYTES = 64
 
 UNKNOWN_COMMAND = b"ERROR\r\n"
-"""The response to a line that is no command."""
+"""The response to a line that is not a known command."""
 
 REQUEST_ID_FLAG = b"O"
 FIELDS_FLAG = b"P"
@@ -26,19 +26,19 @@
 
 READ_FLAGS = {REQUEST_ID_FLAG, FIELDS_FLAG, VALUE_FLAG}
 WRITE_FLAGS = {REQUEST_ID_FLAG, FIELDS_FLAG}
-"""The flags of each command: others would change the form of the response."""
+"""The permitted flags of each command; others would change the format of the response."""
 
 REQUIRED_FIELDS = ("c", "d")
 
 
 @dataclass(slots=True, frozen=True)
 class Command:
-    """A client's `mg` or `ms`."""
+    """A client's `mg` (read) or `ms` (write)."""
 
     key: bytes
     request_id: bytes
     raw_fields: bytes
-    """The list of names and values as received."""
+    """The list of field names and values, as received."""
     fields: dict[str, str]
     value: bytes | None
     """None for a read."""
@@ -56,7 +56,7 @@
 
 @dataclass(slots=True, frozen=True)
 class BadCommand:
-    """An invalid command; the connection closes where the framing is lost."""
+    """An invalid command; `is_fatal` if the start of the next command is unknown."""
 
     response: bytes
     is_fatal: bool = False
@@ -80,17 +80,17 @@
         """Expect a command line."""
         self._buffer = ReceiveBuffer()
         self._state = _COMMAND_LINE
-        self._write_line: list[bytes] = []  # words of the line whose value is expected
+        self._write_line: list[bytes] = []  # words of the `ms` line whose value is expected
         self._value_bytes = 0
 
     @property
     def has_partial_command(self) -> bool:
-        """Whether a part of a command was received."""
+        """Whether a command was received in part."""
         return self._state is _VALUE or len(self._buffer) > 0
 
     @property
     def long_value_bytes(self) -> int:
-        """Size of the value that is expected, if it is a long one; else 0."""
+        """Size in bytes of the expected value if it is a long one, otherwise 0."""
         if self._state is _VALUE and self._value_bytes > MAX_BUFFERED_VALUE_BYTES:
             return self._value_bytes
         return 0
@@ -100,9 +100,9 @@
         self._buffer.append(data)
 
     def next_command(self) -> Command | Noop | BadCommand | None:
-        """Take the next complete command; None if there is none.
+        """Remove and return the next complete command; None if there is none.
 
-        After a fatal one the parser must not be used any more.
+        After a fatal `BadCommand` the parser must not be used any more.
         """
         try:
             if self._state is _VALUE:
@@ -155,7 +155,7 @@
     """Build the command of an `mg` or `ms` line.
 
     Raises:
-        ProtocolError: The key, a flag or a field is bad.
+        ProtocolError: The key, a flag or a field is invalid.
     """
     key = words[1]
     if not is_printable(key, MAX_KEY_BYTES):
--- a/ironrail/net/protocol/errors.py
+++ b/ironrail/net/protocol/errors.py
@@ -4,16 +4,16 @@
 
 
 class ProtocolError(ValueError):
-    """Bytes that don't follow the protocol."""
+    """Received bytes that violate the protocol."""
 
 
 class FramingError(ProtocolError):
-    """Bytes after which the start of the next message is unknown."""
+    """Received bytes after which the start of the next message is unknown."""
 
 
 class CommandError(ProtocolError):
-    """A command line with a bad key or bad flags."""
+    """A command line with an invalid key or invalid flags."""
 
 
 class FieldError(ProtocolError):
-    """A bad list of names and values, as the `P` flag carries it."""
+    """An invalid list of field names and values in the `P` flag."""
--- a/ironrail/net/protocol/fields.py
+++ b/ironrail/net/protocol/fields.py
@@ -1,4 +1,4 @@
-"""The list of names and values that a command carries in its `P` flag."""
+"""The list of field names and values in the `P` flag of a command."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 PRINTABLE = re.compile(rb"[!-~]+")
 
 NUMBER = re.compile(r"(0|[1-9][0-9]{0,8})(\.[0-9]{1,6})?")
-"""Without sign, "_" or exponent, which servers may not parse; bounded to keep timers in range."""
+"""No sign, "_" or exponent, which servers may not parse; bounded to keep timers in range."""
 
 WORD = re.compile(r"[!-+.-<>-~-]{1,250}")
 """Printable characters without the "," and "=" that separate names and values."""
@@ -27,7 +27,7 @@
 
 
 def parse_fields(raw_fields: bytes) -> dict[str, str]:
-    """Parse a list of names and values.
+    """Parse a list of field names and values.
 
     Raises:
         FieldError: A field is unknown, repeated or malformed.
@@ -44,11 +44,11 @@
     return fields
 
 
-def read_figure(fields: dict[str, str], name: str) -> float | None:
-    """The value of a numeric field; None if it is absent."""
+def read_numeric_field(fields: dict[str, str], name: str) -> float | None:
+    """Return the value of a numeric field; None if it is absent."""
     return float(fields[name]) if name in fields else None
 
 
 def is_printable(token: bytes, max_bytes: int) -> bool:
-    """Whether a token fits into a command line, or into an HTTP header."""
+    """Whether a token is valid in a command line and in an HTTP header."""
     return len(token) <= max_bytes and PRINTABLE.fullmatch(token) is not None
--- a/ironrail/net/protocol/framing.py
+++ b/ironrail/net/protocol/framing.py
@@ -1,4 +1,4 @@
-"""Received bytes, taken line by line and block by block."""
+"""Splits received bytes into lines and data blocks."""
 
 from __future__ import annotations
 
@@ -17,10 +17,10 @@
 
 
 class ReceiveBuffer:
-    """Received bytes that are not parsed."""
+    """Received bytes that are not parsed yet."""
 
     def __init__(self) -> None:
-        """Begin empty."""
+        """Start empty."""
         self._data = bytearray()
 
     def __len__(self) -> int:
@@ -31,10 +31,10 @@
         self._data += data
 
     def take_line(self) -> bytes | None:
-        """Take the next line without its end; None until it is complete.
+        """Remove and return the next line without its line end; None if it is incomplete.
 
         Raises:
-            FramingError: The line is too long, which bounds the memory for incomplete ones.
+            FramingError: The line is too long; the limit bounds the memory for incomplete lines.
         """
         end = self._data.find(LINE_END, 0, MAX_LINE_BYTES + len(LINE_END))
         if end < 0:
@@ -46,13 +46,13 @@
         return line
 
     def take_available(self, max_bytes: int) -> bytes:
-        """Take what was received, up to a number of bytes."""
+        """Remove and return the received bytes, `max_bytes` at most."""
         data = bytes(self._data[:max_bytes])
         del self._data[:max_bytes]
         return data
 
     def take_block(self, size: int) -> bytes | None:
-        """Take a data block without the line end behind it; None until both are complete.
+        """Remove and return a data block without its line end; None if it is incomplete.
 
         Raises:
             FramingError: No line end follows the block.
@@ -71,7 +71,7 @@
     """Parse the length of a value in bytes.
 
     Raises:
-        FramingError: It is no length, or above the limit; the end of the value is unknown.
+        FramingError: It is not a number or above the limit, so the end is unknown.
     """
     if not (token.isdigit() and len(token) <= MAX_LENGTH_DIGITS):
         raise FramingError("bad data length")
--- a/ironrail/net/protocol/meta_codec.py
+++ b/ironrail/net/protocol/meta_codec.py
@@ -1,4 +1,4 @@
-"""The memcache meta commands and responses as they are written, and their parsers."""
+"""Encoders of memcache meta commands and responses, and their parsers."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 from ironrail.net.protocol.commands import BadCommand, Command, CommandParser, Noop
 from ironrail.net.protocol.errors import FramingError
-from ironrail.net.protocol.fields import is_printable, parse_fields, read_figure
+from ironrail.net.protocol.fields import is_printable, parse_fields, read_numeric_field
 from ironrail.net.protocol.framing import LINE_END, MAX_BUFFERED_VALUE_BYTES, MAX_VALUE_BYTES
 from ironrail.net.protocol.replies import Reply, ReplyKind, ReplyParser, ValueChunk, ValueHeader
 
@@ -27,7 +27,7 @@
     "info_with_wait",
     "is_printable",
     "parse_fields",
-    "read_figure",
+    "read_numeric_field",
     "write_busy",
     "write_command",
     "write_served",
@@ -46,10 +46,10 @@
 
 
 def info_with_wait(command: Command, wait_ms: int) -> bytes:
-    """The list of names and values for a server.
+    """Return the list of field names and values for a server.
 
     Args:
-        command: Its list is passed on unchanged, apart from the wait.
+        command: The command whose list is forwarded, with `d` replaced.
         wait_ms: Milliseconds for which the router waits for the server.
     """
     pairs = command.raw_fields.split(b",")
@@ -57,7 +57,7 @@
 
 
 def write_command(command: Command, wait_ms: int) -> bytes:
-    """The command for a cache server, for which the router waits `wait_ms` milliseconds."""
+    """Encode a command for a cache server, whose reply is awaited for `wait_ms` milliseconds."""
     flags = b"O%b P%b" % (command.request_id, info_with_wait(command, wait_ms))
     if command.value is None:
         return b"mg %b v %b\r\n" % (command.key, flags)
@@ -65,19 +65,19 @@
 
 
 def write_value_header(request_id: bytes, length: int) -> bytes:
-    """The header of a response with a value of `length` bytes, which a line end follows."""
+    """Encode the header of a value of `length` bytes; the value and a line end follow it."""
     return b"VA %d O%b\r\n" % (length, request_id)
 
 
 def write_served(command: Command, body: bytes) -> bytes:
-    """The response to a served request: its value, or the receipt of a write."""
+    """Encode the response to a served request: a value, or the receipt of a write."""
     if command.value is None:
         return b"%b%b\r\n" % (write_value_header(command.request_id, len(body)), body)
     return b"HD O%b c%b\r\n" % (command.request_id, body)
 
 
 def write_busy(retry_after: float | None) -> bytes:
-    """The rejection of a request; `retry_after`: seconds until a retry, if known."""
+    """Encode a rejection; `retry_after` is the seconds until a retry makes sense, if known."""
     if retry_after is None:
         return b"SERVER_ERROR busy\r\n"
     return b"SERVER_ERROR busy %d\r\n" % math.ceil(retry_after * MILLISECONDS_PER_SECOND)
--- a/ironrail/net/protocol/replies.py
+++ b/ironrail/net/protocol/replies.py
@@ -1,4 +1,4 @@
-"""Parsing of the replies of cache servers, piece by piece as bytes arrive."""
+"""Incremental parser of the replies of cache servers."""
 
 from __future__ import annotations
 
@@ -17,11 +17,11 @@
 RECEIPT_FLAG = b"c"
 
 MAX_QUOTED_BYTES = 80
-"""Of a line that is no reply, in the error."""
+"""How much of an invalid line an error quotes."""
 
 
 class ReplyKind(Enum):
-    """What a cache server replied."""
+    """Kinds of replies from cache servers."""
 
     VALUE = "VA"
     STORED = "HD"
@@ -32,7 +32,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Reply:
-    """A complete reply; `request_id` is None if the line carries none."""
+    """A complete reply; `request_id` is None if the reply line has none."""
 
     kind: ReplyKind
     request_id: bytes | None
@@ -49,7 +49,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ValueChunk:
-    """A part of a long value; the last one is empty and confirms that the value was complete."""
+    """A chunk of a long value; the last one is empty and confirms that the value is complete."""
 
     data: bytes
     is_last: bool = False
@@ -75,19 +75,19 @@
         """Expect a reply line."""
         self._buffer = ReceiveBuffer()
         self._state = _REPLY_LINE
-        self._request_id: bytes | None = None  # of the value that is expected
+        self._request_id: bytes | None = None  # of the expected value
         self._remaining_bytes = 0
 
     @property
     def has_partial_reply(self) -> bool:
-        """Whether a part of a reply was received."""
+        """Whether a reply was received in part."""
         return self._state is not _REPLY_LINE or len(self._buffer) > 0
 
     def feed(self, data: bytes) -> Iterator[Reply | ValueHeader | ValueChunk]:
-        """Yield complete replies, and long values in chunks.
+        """Parse received bytes; yield complete replies, and long values in chunks.
 
         Raises:
-            FramingError: The bytes are no reply.
+            FramingError: The bytes are not a valid reply.
         """
         self._buffer.append(data)
         while (reply := self._next()) is not None:
@@ -138,7 +138,7 @@
 
 
 def _find_flag(words: list[bytes], letter: bytes) -> bytes | None:
-    """The argument of a flag; None if it is absent."""
+    """Return the argument of a flag; None if it is absent."""
     return next((word[1:] for word in words if word[:1] == letter), None)
 
 
@@ -146,7 +146,7 @@
     """Read a reply without a value.
 
     Raises:
-        FramingError: The line is no reply.
+        FramingError: The line is not a valid reply.
     """
     flags = words[1:]
     match words[0]:
--- a/ironrail/net/system.py
+++ b/ironrail/net/system.py
@@ -1,6 +1,6 @@
-"""The clocks and sockets of the operating system, as far as the event loop does not cover them.
+"""The operating system's clocks and sockets, as far as the event loop does not provide them.
 
-A simulation passes in a system of its own.
+A simulation passes in its own implementation.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 TCP_INFO_BYTES = 72
 """Size of `struct tcp_info` up to the end of `tcpi_rtt` (linux/tcp.h)."""
 
-SECONDS_PER_MICROSECOND_FACTOR = 1e-6
+SECONDS_PER_MICROSECOND = 1e-6
 
 
 class System(Protocol):
@@ -48,16 +48,16 @@
         """Whether another process listens on an address already."""
 
     def unread_check(self, transport: asyncio.Transport) -> Callable[[], bool]:
-        """Return a function that checks whether data, or the end, is ready to be read."""
+        """Return a function that checks whether data or an end of file can be read."""
 
     def has_hung_up(self, transport: asyncio.Transport) -> bool:
-        """Whether the peer sends nothing more, detected even while nothing is read."""
+        """Whether the peer has closed its side, detected even while reading is paused."""
 
     def round_trip(self, transport: asyncio.Transport) -> float | None:
         """Round-trip time in seconds as estimated by the system; None if it is unknown."""
 
     def startup_complete(self) -> None:
-        """Record that the objects of the router which exist now are permanent."""
+        """Declare all objects that exist now permanent, as the router has started."""
 
 
 def _family(address: Address) -> socket.AddressFamily:
@@ -89,13 +89,13 @@
         return False
 
     def unread_check(self, transport: asyncio.Transport) -> Callable[[], bool]:
-        """Return a function that checks whether data, or the end, is ready to be read."""
+        """Return a function that checks whether data or an end of file can be read."""
         poll = select.poll()
         poll.register(transport.get_extra_info("socket").fileno(), select.POLLIN)
         return lambda: bool(poll.poll(0))
 
     def has_hung_up(self, transport: asyncio.Transport) -> bool:
-        """Whether the peer sends nothing more."""
+        """Whether the peer has closed its side."""
         poll = select.poll()
         poll.register(transport.get_extra_info("socket").fileno(), select.POLLRDHUP)
         return any(events & HANGUP_EVENTS for _, events in poll.poll(0))
@@ -111,7 +111,7 @@
         if len(info) < TCP_INFO_BYTES:
             return None
         (microseconds,) = TCP_INFO_RTT.unpack_from(info, TCP_INFO_BYTES - TCP_INFO_RTT.size)
-        return microseconds * SECONDS_PER_MICROSECOND_FACTOR or None
+        return microseconds * SECONDS_PER_MICROSECOND or None
 
     def startup_complete(self) -> None:
         """Exclude the permanent objects from garbage collection."""
--- a/ironrail/net/upstream/cache_connection.py
+++ b/ironrail/net/upstream/cache_connection.py
@@ -30,7 +30,7 @@
         return [meta_codec.write_command(attempt.command, self.remaining_milliseconds(attempt))]
 
     def data_received(self, data: bytes) -> None:
-        """Report what one read holds."""
+        """Parse one read, and report the replies in it."""
         replies: list[AttemptReply] = []
         fault = None
         try:
@@ -38,7 +38,7 @@
                 if isinstance(item, Reply):
                     replies.append(self._match(item, len(replies)))
                     continue
-                if replies:  # what follows belongs to the next attempt
+                if replies:  # the next item belongs to another attempt
                     self.report_read(replies, True)
                     replies = []
                 if isinstance(item, ValueHeader):
@@ -46,38 +46,42 @@
                     if self.transport.is_closing():
                         return
                 else:
-                    replies += self._read_piece(item)
+                    replies += self._handle_chunk(item)
         except meta_codec.FramingError as e:
             fault = e
         self.report_read(replies, self._parser.has_partial_reply, fault)
 
-    def _read_piece(self, piece: ValueChunk) -> list[AttemptReply]:
-        """Forward a part of a long value; returns its outcome once it is complete."""
-        if piece.is_last:
+    def _handle_chunk(self, chunk: ValueChunk) -> list[AttemptReply]:
+        """Forward a chunk of a long value; return the outcome once the value is complete."""
+        if chunk.is_last:
             return [AttemptReply(AttemptStatus.OK)]
-        self.pool.on_stream_data(self.upstream, piece.data)
+        self.pool.on_stream_data(self.upstream, chunk.data)
         return []
 
-    def _start_stream(self, opening: ValueHeader) -> None:
-        self._check_id(opening.request_id, 0)
-        if opening.request_id is None or self.in_flight[0].command.is_write:
-            raise meta_codec.FramingError("a long value does not fit the command")
-        self.pool.on_stream_started(self.upstream, opening.length)
+    def _start_stream(self, header: ValueHeader) -> None:
+        self._check_id(header.request_id, 0)
+        if header.request_id is None or self.in_flight[0].command.is_write:
+            raise meta_codec.FramingError("unexpected long value in reply to the command")
+        self.pool.on_stream_started(self.upstream, header.length)
 
     def _check_id(self, request_id: bytes | None, position: int) -> None:
-        """Check that a reply is for the attempt at a position among those in flight."""
+        """Check that a reply belongs to the attempt at this position in `in_flight`."""
         if len(self.in_flight) <= position:
             raise meta_codec.FramingError("a reply without a request")
         if request_id is not None and request_id != self.in_flight[position].command.request_id:
-            raise meta_codec.FramingError("a reply to another request")
+            raise meta_codec.FramingError(
+                "request id of the reply does not match the request in flight"
+            )
 
     def _match(self, reply: Reply, position: int) -> AttemptReply:
-        """Return the outcome that a reply means for the attempt at a position in flight."""
+        """Return the outcome of the attempt at this position in `in_flight`, given its reply."""
         self._check_id(reply.request_id, position)
         command = self.in_flight[position].command
         if reply.kind not in (ReplyKind.BUSY, ReplyKind.ERROR):
-            misfit = ReplyKind.VALUE if command.is_write else ReplyKind.STORED
+            unexpected_kind = ReplyKind.VALUE if command.is_write else ReplyKind.STORED
             lacks_receipt = reply.kind is ReplyKind.STORED and not reply.body
-            if reply.request_id is None or reply.kind is misfit or lacks_receipt:
-                raise meta_codec.FramingError(f"{reply.kind.value} does not fit the command")
+            if reply.request_id is None or reply.kind is unexpected_kind or lacks_receipt:
+                raise meta_codec.FramingError(
+                    f"unexpected {reply.kind.value} in reply to the command"
+                )
         return AttemptReply(STATUS_OF_REPLY[reply.kind], reply.body)
--- a/ironrail/net/upstream/connection.py
+++ b/ironrail/net/upstream/connection.py
@@ -1,4 +1,4 @@
-"""A connection to a server and an attempt on it, whatever the protocol."""
+"""A connection to a server and an attempt on it, independent of the protocol."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class ConnectionObserver(Protocol):
-    """The pool of a connection, to which it reports."""
+    """The pool of a connection, which receives its events."""
 
     system: System
     address: Address
@@ -32,16 +32,16 @@
         is_partial: bool,
         fault: Fault | None,
     ) -> None:
-        """Handle one read: complete replies, then a part of another or a fault."""
+        """Handle one read: complete replies, then a partial reply or a fault."""
 
     def on_stream_started(self, connection: UpstreamConnection, length: int) -> None:
         """Handle the start of a long value, of `length` bytes, in reply to the oldest attempt."""
 
     def on_stream_data(self, connection: UpstreamConnection, data: bytes) -> None:
-        """Forward a part of a long value."""
+        """Forward a chunk of a long value."""
 
     def on_client_paused(self, connection: UpstreamConnection, is_paused: bool) -> None:
-        """Handle that the client of a long value is too slow, or has caught up."""
+        """Handle that the client of a long value reads too slowly, or has caught up."""
 
     def retire(self, connection: UpstreamConnection) -> None:
         """Stop using a connection that the server is about to close."""
@@ -51,19 +51,19 @@
 
 
 class LinkObserver(Protocol):
-    """Collects evidence of the network link to a server's zone."""
+    """Collects measurements of the network link to a server's zone."""
 
-    def connected(self, seconds: float) -> None:
-        """Record that a connect was answered, also by a refusal."""
+    def on_connect_answered(self, seconds: float) -> None:
+        """Record a connect that was accepted or refused after `seconds`."""
 
-    def unconnected(self) -> None:
+    def on_connect_timed_out(self) -> None:
         """Record that a connect timed out."""
 
-    def heard(self) -> None:
-        """Record a reply."""
+    def on_reply(self) -> None:
+        """Record that a reply was received."""
 
-    def silent(self, seconds: float) -> None:
-        """Record an attempt that was given up, and for how long nothing had been read."""
+    def on_attempt_abandoned(self, seconds: float) -> None:
+        """Record an attempt that was abandoned when nothing had been read for `seconds`."""
 
 
 @dataclass(slots=True, eq=False)
@@ -74,15 +74,15 @@
     on_ended: Callable[[Attempt, AttemptStatus, bytes], None] | None
     on_stream_started: Callable[[Attempt, int, Connection], None] | None = None
     on_stream_data: Callable[[Attempt, bytes], None] | None = None
-    # called before the write if it had to wait
+    # called before the write if the attempt had to wait for a connection
     is_still_wanted: Callable[[Attempt], bool] | None = None
-    # called right before the write, with whether the server is ready
+    # called right before the write; the argument is whether the server is ready
     may_write: Callable[[Attempt, bool], bool] | None = None
-    send_by: float = math.inf  # nothing of it is sent after that
+    send_by: float = math.inf  # latest time of the write
     timer: asyncio.TimerHandle | None = None
     holds_stream_memory: bool = False
     server: str = ""
-    status: AttemptStatus | None = None  # its outcome
+    status: AttemptStatus | None = None  # the outcome
 
     def finish(self, status: AttemptStatus, body: bytes) -> None:
         """Report the outcome; later ones are ignored."""
@@ -93,12 +93,12 @@
         if on_ended is not None:
             on_ended(self, status, body)
         if self.command.value and len(self.command.value) > MAX_BUFFERED_VALUE_BYTES:
-            # an abandoned attempt is kept until its reply, which does not take its value
+            # An abandoned attempt is kept until its reply arrives, but its value is not needed.
             self.command = replace(self.command, value=b"")
 
 
 class Connection(asyncio.Protocol):
-    """One connection, with its attempts in the order written; a subclass knows the protocol."""
+    """One connection and its attempts in the order written; subclasses implement the protocol."""
 
     transport: asyncio.Transport
 
@@ -110,15 +110,15 @@
 
     @property
     def in_flight(self) -> Sequence[Attempt]:
-        """Attempts without a complete reply, abandoned ones among them; the oldest is first."""
+        """Attempts without a complete reply, including abandoned ones, oldest first."""
         return cast(Sequence[Attempt], self.upstream.in_flight)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Set up a new transport."""
-        self.transport = cast(asyncio.Transport, transport)  # uvloop's is no subclass
+        self.transport = cast(asyncio.Transport, transport)  # uvloop's class is no subclass of it
         self._has_unread_bytes = self.pool.system.unread_check(self.transport)
-        # with a high-water mark of 0 writing is paused until the kernel has the last byte; until
-        # then the latest attempt can't have run
+        # With a high-water mark of 0, writing is paused until the kernel has taken the last byte.
+        # Until then the latest attempt can't have run.
         self.transport.set_write_buffer_limits(high=0)
 
     def pause_writing(self) -> None:
@@ -142,12 +142,12 @@
         raise NotImplementedError
 
     def remaining_milliseconds(self, attempt: Attempt) -> int:
-        """Return how long the router will wait for the reply, for the server; at least 1."""
+        """Return the milliseconds until the attempt's deadline, to tell the server; at least 1."""
         seconds = attempt.deadline - self.pool.system.now()
         return max(1, int(seconds * MILLISECONDS_PER_SECOND))
 
     def set_paused(self, is_paused: bool) -> None:
-        """Stop reading a long value while its client is slow, or go on."""
+        """Pause reading a long value while its client is slow, or resume it."""
         if self._is_paused is is_paused or self.transport.is_closing():
             return
         self._is_paused = is_paused
@@ -160,5 +160,5 @@
     def report_read(
         self, replies: list[AttemptReply], is_partial: bool, fault: Fault | None = None
     ) -> None:
-        """Report one read: complete replies, then a part of another or a fault."""
+        """Report one read: complete replies, then a partial reply or a fault."""
         self.pool.on_read(self.upstream, replies, is_partial, fault)
--- a/ironrail/net/upstream/connection_pool.py
+++ b/ironrail/net/upstream/connection_pool.py
@@ -33,17 +33,17 @@
 
 
 class ConnectionPool:
-    """The connections to one server, whatever their protocol.
+    """The connections to one server, independent of their protocol.
 
     Args:
-        name: Of the server.
-        address: Of the server.
+        name: Name of the server.
+        address: Address of the server.
         make_connection: Makes the protocol of a connection.
-        settings: Limits and costs.
-        connect_timeout: Seconds.
-        system: Gives the clock and the sockets.
-        on_written: Called for each attempt written.
-        link_observer: Collects evidence of the link to the server.
+        settings: Limits of the pool, and the cost of a connect.
+        connect_timeout: Limit on a connect, in seconds.
+        system: Provides the clock and the sockets.
+        on_written: Called for each attempt that is written.
+        link_observer: Collects measurements of the link to the server.
     """
 
     def __init__(
@@ -78,7 +78,7 @@
         self._handlers = self._make_handlers()
 
     def _make_handlers(self) -> dict[type, Callable[[Any], None]]:
-        """Return a table: matching classes one by one is slow for four actions a request."""
+        """Return a lookup table: `match` over classes is slow for four actions per request."""
         return {
             CheckIdle: self._check_idle,
             WriteAttempt: self._write,
@@ -92,11 +92,11 @@
 
     @property
     def is_ready(self) -> bool:
-        """Whether the server may be sent to."""
+        """Whether requests may be sent to the server."""
         return self.manager.state.is_ready
 
     def send(self, attempt: Attempt) -> None:
-        """Send an attempt, whose outcome `on_ended` reports."""
+        """Send an attempt; its outcome is reported to its `on_ended`."""
         self._submit(self.manager.assign, attempt)
 
     def abandon(self, attempt: Attempt, status: AttemptStatus) -> None:
@@ -104,15 +104,15 @@
         connection = attempt.connection
         if self._link_observer is not None and attempt.is_open and connection is not None:
             since = max(attempt.written_at, connection.last_read_at)
-            self._link_observer.silent(self._now() - since)
+            self._link_observer.on_attempt_abandoned(self._now() - since)
         self._submit(self.manager.abandon, attempt, status)
 
     def revoke(self, attempt: Attempt) -> None:
-        """Stop waiting for an attempt, such that it is not in flight any more."""
+        """Stop waiting for an attempt, and make sure that it is no longer in flight."""
         self._submit(self.manager.revoke, attempt)
 
     def withdraw(self, attempt: Attempt) -> None:
-        """Take an attempt back if it is unsent."""
+        """Withdraw an attempt if it is unsent."""
         if is_unsent(attempt):
             self._submit(self.manager.withdraw, attempt)
 
@@ -123,9 +123,9 @@
         is_partial: bool,
         fault: Fault | None,
     ) -> None:
-        """Handle one read: complete replies, then a part of another or a fault."""
+        """Handle one read: complete replies, then a partial reply or a fault."""
         if self._link_observer is not None:
-            self._link_observer.heard()
+            self._link_observer.on_reply()
         self._submit(self.manager.on_read, connection, replies, is_partial, fault)
 
     def on_stream_started(self, connection: UpstreamConnection, length: int) -> None:
@@ -133,14 +133,14 @@
         self._submit(self.manager.on_stream_started, connection, length)
 
     def on_stream_data(self, connection: UpstreamConnection, data: bytes) -> None:
-        """Forward a part of a long value."""
+        """Forward a chunk of a long value."""
         if connection.in_flight:
             attempt = cast(Attempt, connection.in_flight[0])
             if attempt.is_open and attempt.on_stream_data is not None:
                 attempt.on_stream_data(attempt, data)
 
     def on_client_paused(self, connection: UpstreamConnection, is_paused: bool) -> None:
-        """Handle that the client of a long value is too slow, or has caught up."""
+        """Handle that the client of a long value reads too slowly, or has caught up."""
         self._submit(self.manager.on_client_paused, connection, is_paused)
 
     def on_closed(self, connection: UpstreamConnection) -> None:
@@ -153,7 +153,7 @@
         self.manager.retire(self._now(), connection)
 
     def expire(self) -> None:
-        """Close what has been idle for long, and abort where a reply has stopped midway."""
+        """Close connections that were idle too long; abort those with a stalled partial reply."""
         self._submit(self.manager.expire)
 
     def close_idle(self) -> None:
@@ -161,7 +161,7 @@
         self._submit(self.manager.close_idle)
 
     def resume(self) -> None:
-        """Send to the server again."""
+        """Allow sends to the server again."""
         self.manager.resume()
 
     def stop(self) -> None:
@@ -169,7 +169,7 @@
         self._submit(self.manager.stop)
 
     def on_server_restarted(self, started_at: float) -> None:
-        """Abort the connections to the process before."""
+        """Abort the connections to the server's previous process."""
         self._submit(self.manager.on_server_restarted, started_at)
 
     def move_to(self, address: Address) -> None:
@@ -182,14 +182,14 @@
             self._handlers[type(action)](action)
 
     def _check_idle(self, check: CheckIdle) -> None:
-        """Report the check at once: what it causes precedes the remaining actions."""
+        """Check a connection, and carry out the resulting actions before the remaining ones."""
         if check.attempt is None:
             self._withdraw_unwanted()
         is_quiet = self._connections[check.connection].is_quiet()
         self._carry_out(self.manager.on_idle_checked(self._now(), check, is_quiet))
 
     def _withdraw_unwanted(self) -> None:
-        """Take back waiting attempts of clients that have disconnected unnoticed."""
+        """Withdraw waiting attempts that are no longer wanted, such as after a disconnect."""
         for waiting in list(self.manager.state.waiting):
             attempt = cast(Attempt, waiting)
             if attempt.is_still_wanted is not None and not attempt.is_still_wanted(attempt):
@@ -232,12 +232,12 @@
         self._fault_log.warn(action.fault)
 
     def _on_connect_failed(self, upstream: UpstreamConnection) -> None:
-        self._withdraw_unwanted()  # the others may be written to busy connections now
+        self._withdraw_unwanted()  # the remaining ones may be written to busy connections now
         self._submit(self.manager.on_connect_failed, upstream)
 
     def _on_connected(self, upstream: UpstreamConnection, connection: Connection) -> None:
         self._connections[upstream] = connection
         is_closing = connection.transport.is_closing()
         self._submit(self.manager.on_connected, upstream, is_closing)
-        if is_closing:  # its end may have been reported before it was added
+        if is_closing:  # `on_closed` may have been called before it was added
             self._connections.pop(upstream, None)
--- a/ironrail/net/upstream/connector.py
+++ b/ironrail/net/upstream/connector.py
@@ -1,4 +1,4 @@
-"""Opens connections to one server, and observes how the connects end."""
+"""Opens connections to one server, and reports the results to the link observer."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
     """Runs a task for each connection that is being opened.
 
     Args:
-        connect_timeout: Seconds.
-        now: The clock.
+        connect_timeout: Limit on a connect, in seconds.
+        now: Returns the time in seconds on the monotonic clock.
         make_connection: Makes the protocol of a connection.
         on_connected: Called with an open connection.
         on_failed: Called after a connect that failed or timed out.
-        link_observer: Collects evidence of the link to the server.
+        link_observer: Collects measurements of the link to the server.
     """
 
     def __init__(
@@ -69,8 +69,8 @@
         if isinstance(error, ConnectionRefusedError):
             self._observe_answer(started_at)
         elif self._link_observer is not None and isinstance(error, TimeoutError):
-            self._link_observer.unconnected()
+            self._link_observer.on_connect_timed_out()
 
     def _observe_answer(self, started_at: float) -> None:
         if self._link_observer is not None:
-            self._link_observer.connected(self._now() - started_at)
+            self._link_observer.on_connect_answered(self._now() - started_at)
--- a/ironrail/net/upstream/event_queue.py
+++ b/ironrail/net/upstream/event_queue.py
@@ -1,4 +1,4 @@
-"""Hands events to the decisions of a pool one by one, and carries out each before the next."""
+"""Passes events to a pool's decisions one by one, and carries out their actions in between."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 
 
 class EventQueue:
-    """Events that wait until the actions of the event before them are carried out.
+    """A queue in which each event waits until the actions of the previous one are carried out.
 
-    Between a decision and its execution a connection that is about to take an attempt would seem
-    idle, so an event that an action causes must wait.
+    Between a decision and its execution, a connection that is about to take an attempt seems idle.
+    An event that is caused by an action must therefore wait.
     """
 
     def __init__(
--- a/ironrail/net/upstream/fault_log.py
+++ b/ironrail/net/upstream/fault_log.py
@@ -1,4 +1,4 @@
-"""Log lines about faults on the connections to one server, at a bounded rate."""
+"""Rate-limited log of faults on the connections to one server."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class FaultLog:
-    """Logs one fault for each interval, and how many were suppressed before it."""
+    """Logs at most one fault per interval, with the number of those suppressed before it."""
 
     def __init__(self, server: str, now: Callable[[], float]) -> None:
         self._server = server
--- a/ironrail/net/upstream/origin_connection.py
+++ b/ironrail/net/upstream/origin_connection.py
@@ -20,13 +20,13 @@
 from ironrail.net.upstream.connection import Attempt, Connection, ConnectionObserver
 from ironrail.policy.events import AttemptStatus
 
-SAFE_IN_PATH = "/:@!$&'()*+,;=-._~"  # of a key; other bytes are percent-encoded
+SAFE_PATH_CHARACTERS = "/:@!$&'()*+,;=-._~"  # all other bytes of a key are percent-encoded
 MAX_RECEIPT_BYTES = 1024
-OVERLOADED = (HTTPStatus.SERVICE_UNAVAILABLE, HTTPStatus.GATEWAY_TIMEOUT)
+OVERLOADED_STATUSES = (HTTPStatus.SERVICE_UNAVAILABLE, HTTPStatus.GATEWAY_TIMEOUT)
 
 
 class OriginConnection(Connection):
-    """Carries one request at a time."""
+    """An HTTP/1.1 connection with one request in flight at a time."""
 
     def __init__(self, pool: ConnectionObserver, upstream: UpstreamConnection) -> None:
         super().__init__(pool, upstream)
@@ -50,7 +50,7 @@
         return [head, body] if body else [head]
 
     def data_received(self, data: bytes) -> None:
-        """Report what one read holds."""
+        """Parse one read, and report the response if it is complete."""
         replies: list[AttemptReply] = []
         fault = None
         try:
@@ -68,7 +68,7 @@
             self.transport.close()
 
     def eof_received(self) -> None:
-        """Complete a response without a length; any other is incomplete."""
+        """Complete a response that has no length; with a length it would be incomplete."""
         if self.in_flight and self._response is not None:
             with contextlib.suppress(h11.RemoteProtocolError):
                 self._http.receive_data(b"")
@@ -77,13 +77,13 @@
 
     def _check_expected(self) -> None:
         if not self.in_flight:
-            raise h11.RemoteProtocolError("a response to nothing")
+            raise h11.RemoteProtocolError("response without a request")
 
     def _has_begun(self) -> bool:
         return self._response is not None or bool(self._http.trailing_data[0])
 
     def _read_response(self) -> bool:
-        """Read what has arrived; returns whether the response is complete."""
+        """Parse the received bytes; return whether the response is complete."""
         while True:
             event = self._http.next_event()
             if isinstance(event, h11.Response):
@@ -107,7 +107,7 @@
             raise h11.RemoteProtocolError("value too large")
 
     def _start_stream_if_long(self, response: h11.Response) -> None:
-        """Forward a long value while it arrives; one without a length is buffered."""
+        """Start to forward a long value as it arrives; a value without a length is buffered."""
         length = int(_header(response, b"content-length") or b"0")
         if length > MAX_VALUE_BYTES:
             raise h11.RemoteProtocolError("value too large")
@@ -119,15 +119,15 @@
             self.pool.on_stream_started(self.upstream, length)
 
     def _match(self) -> AttemptReply:
-        """Return the outcome that the response means; it carries no id, so its form is checked."""
+        """Return the outcome of the request; as a response has no id, its form is checked."""
         response = self._response
         body = bytes(self._body)
         if response is None:
-            raise h11.RemoteProtocolError("a response to nothing")
+            raise h11.RemoteProtocolError("body without a response header")
         status = status_of(response)
         is_receipt = status is AttemptStatus.OK and self.in_flight[0].command.is_write
         if is_receipt and not is_printable(body, MAX_RECEIPT_BYTES):
-            raise h11.RemoteProtocolError("a receipt that fits no line")
+            raise h11.RemoteProtocolError("receipt does not fit into a response line")
         self._response = None
         self._body = bytearray()
         self._is_streaming = False
@@ -135,7 +135,7 @@
         return AttemptReply(status, body)
 
     def _prepare_next(self) -> None:
-        """Reuse the connection, unless the origin closes it or has sent surplus bytes."""
+        """Prepare for the next request, unless the origin closes or has sent surplus bytes."""
         http = self._http
         surplus, _ = http.trailing_data
         if not surplus and http.our_state is h11.DONE and http.their_state is h11.DONE:
@@ -153,7 +153,7 @@
     ]
     if command.is_write:
         headers.append((b"Content-Length", b"%d" % length))
-    target = "/" + quote_from_bytes(command.key, SAFE_IN_PATH)
+    target = "/" + quote_from_bytes(command.key, SAFE_PATH_CHARACTERS)
     return h11.Request(method="PUT" if command.is_write else "GET", target=target, headers=headers)
 
 
@@ -165,8 +165,9 @@
     """Return the outcome that a response means for its attempt."""
     if response.status_code == HTTPStatus.OK:
         return AttemptStatus.OK
-    # a proxy on the way may answer 503 or 504 as well; only this header proves that it never ran
+    # A proxy in between may answer 503 or 504 as well. Only this header proves that the request
+    # never ran.
     never_ran = any(name == b"not-started" and value == b"1" for name, value in response.headers)
-    if response.status_code in OVERLOADED and never_ran:
+    if response.status_code in OVERLOADED_STATUSES and never_ran:
         return AttemptStatus.BUSY
     return AttemptStatus.ERROR
