--- a/ironrail/net/upstream/pool_factory.py
+++ b/ironrail/net/upstream/pool_factory.py
@@ -1,4 +1,4 @@
-"""Makes the connection pool of one server by the settings and the operator's file."""
+"""Makes connection pools from the settings and the operator's file."""
 
 from __future__ import annotations
 
@@ -19,13 +19,13 @@
 
 
 class PoolFactory:
-    """Knows what all pools of a router have in common.
+    """Makes the connection pool of a server, with the settings that all pools share.
 
     Args:
-        config: Of the router.
-        operator: The operator's file.
-        system: Gives the clock and the sockets.
-        on_written: Called for each attempt written.
+        config: Configuration of the router.
+        operator: Settings of the operator's file.
+        system: Provides the clock and the sockets.
+        on_written: Called for each attempt that is written.
         link_observer_of: Returns the observer of the link to a zone.
     """
 
@@ -44,7 +44,7 @@
         self._link_observer_of = link_observer_of
 
     def make(self, endpoint: Endpoint, address: Address) -> ConnectionPool:
-        """Make the pool of a listed server."""
+        """Make the pool of a server in the endpoint list."""
         settings = self._config.settings
         limits = self._operator.connections
         is_origin = settings.cache_aside and endpoint.kind == settings.origin_kind
--- a/ironrail/net/upstream/pool_registry.py
+++ b/ironrail/net/upstream/pool_registry.py
@@ -16,11 +16,11 @@
 
 
 class PoolRegistry:
-    """One pool for each listed server, and their shares of the router's descriptors.
+    """The pools by server name, which share the router's file descriptors.
 
     Args:
         make_pool: Makes the pool of a server.
-        max_connections: To all servers together.
+        max_connections: Limit on the connections to all servers together.
     """
 
     def __init__(
@@ -37,7 +37,7 @@
         removed = {e.name for e in update.endpoints} - listed
         if update.kind in (EndpointListKind.FULL, EndpointListKind.CACHED):
             removed |= self.by_name.keys() - listed
-        # in an order that does not depend on hashes
+        # sorted, so that the order does not depend on hashes
         for name in sorted(removed & self.by_name.keys()):
             self.by_name.pop(name).stop()
             self._started_at.pop(name)
@@ -66,7 +66,7 @@
         states = [pool.manager.state for pool in self.by_name.values()]
         demands = []
         for state in states:
-            is_single = state.max_streams == 1  # with fewer connections it carries fewer requests
+            is_single = state.max_streams == 1  # each connection less is a request in flight less
             minimum = state.wanted_connections if is_single else MIN_CONNECTIONS_PER_SERVER
             demands.append(SocketDemand(minimum, state.wanted_connections))
         shares = share_sockets(self._max_connections, demands)
--- a/tests/diagnostics/test_invariants.py
+++ b/tests/diagnostics/test_invariants.py
@@ -10,7 +10,12 @@
 from ironrail.connections.upstream.connection import Attempt
 from ironrail.connections.upstream.pool_actions import PoolAction
 from ironrail.connections.upstream.pool_manager import UpstreamPoolManager
-from ironrail.diagnostics.invariants import HOLD_UP_TOLERANCE_SECONDS, EarlierAttempt, InvariantGuard, Sending
+from ironrail.diagnostics.invariants import (
+    HOLD_UP_TOLERANCE_SECONDS,
+    EarlierAttempt,
+    InvariantGuard,
+    PendingWrite,
+)
 from ironrail.diagnostics.reasons import Violation
 from ironrail.policy.events import AttemptStatus
 from ironrail.policy.retry_policy import RetryPolicy
@@ -19,14 +24,14 @@
 from ironrail.rehearsal.virtual.play import play_virtual
 from tests.peers import World, scenario
 
-SENDING = Sending(
+SENDING = PendingWrite(
     now=100.0,
     request="r",
     server="s",
     server_ready=True,
     pending=True,
     deadline=101.0,
-    begin_by=101.0,
+    send_by=101.0,
     idempotency=Idempotency.SAFE,
     idempotency_window=0.5,
     hedging_allowed=True,
@@ -78,10 +83,10 @@
     assert InvariantGuard().may_send(replace(SENDING, **changes))
 
 
-@pytest.mark.parametrize("bound", ["deadline", "begin_by"])
+@pytest.mark.parametrize("bound", ["deadline", "send_by"])
 def test_a_step_delayed_by_a_hold_up_is_prevented_but_no_violation(bound: str) -> None:
     guard = InvariantGuard()
-    late = replace(SENDING, deadline=99.95) if bound == "deadline" else replace(SENDING, begin_by=99.95)
+    late = replace(SENDING, deadline=99.95) if bound == "deadline" else replace(SENDING, send_by=99.95)
     assert not guard.may_send(late)
     assert guard.violations.total() == 0
 
--- a/tests/net/dispatch/test_disconnected_clients.py
+++ b/tests/net/dispatch/test_disconnected_clients.py
@@ -24,7 +24,7 @@
 class Client:
     """The stream of a client whose disconnect is not reported."""
 
-    reader: None = None
+    client_region: None = None
     arrived_at: float | None = None
     gone: bool = False
     just_read: bool = False  # its end is there, and not read yet
@@ -33,7 +33,7 @@
     def has_disconnected(self, waited: bool) -> bool:
         return self.gone and (waited or not self.just_read)
 
-    def start(self, head: bytes, hold: Callable[[bool], None]) -> None:
+    def start(self, head: bytes, set_paused: Callable[[bool], None]) -> None:
         raise AssertionError
 
     def write(self, data: bytes) -> None:
--- a/tests/test_halls.py
+++ b/tests/test_halls.py
@@ -80,17 +80,17 @@
     def __init__(self) -> None:
         self.seen: list[str] = []
 
-    def connected(self, seconds: float) -> None:
+    def on_connect_answered(self, seconds: float) -> None:
         assert 0.0 < seconds < 0.25
         self.seen.append("connected")
 
-    def unconnected(self) -> None:
+    def on_connect_timed_out(self) -> None:
         self.seen.append("unconnected")
 
-    def heard(self) -> None:
+    def on_reply(self) -> None:
         self.seen.append("heard")
 
-    def silent(self, seconds: float) -> None:
+    def on_attempt_abandoned(self, seconds: float) -> None:
         assert 0.05 < seconds < 1.0
         self.seen.append("silent")
 
--- a/tests/test_readers.py
+++ b/tests/test_readers.py
@@ -24,7 +24,7 @@
     client = await world.client_at(AWAY)
     for n in range(8):
         await world.served(client, str(n))
-        (one,) = (c.reader for c in world.connections())
+        (one,) = (c.client_region for c in world.connections())
         assert isinstance(one, One) and one.region == "north"
         one.looked = 0.0
         world.readers._evidence.measure(world.node._client_listener)
@@ -61,7 +61,7 @@
     stranger = await world.client()
     await world.served(stranger, "3")
     assert seen[2][0] == "" and seen[2][3:] == (True, False)
-    (one,) = (c.reader for c in world.connections())
+    (one,) = (c.client_region for c in world.connections())
     assert isinstance(one, One)
     one.rtt = 2.0  # as long as is wanted
     await world.served(stranger, "4")
@@ -152,7 +152,7 @@
     with socket.socket(fileno=os.dup(client.writer.get_extra_info("socket").fileno())) as raw:
         raw.send(b"mg k v O3 Pc=read,t=x,d=5000\r\n")  # it has come, and this loop has not read it
     host = world.node._dispatcher
-    host.lifecycle.drop(host.requests.by_id["2"])
+    host.termination.drop(host.requests.by_id["2"])
     assert not connection.transport.is_closing()
     assert await client.line() == b"SERVER_ERROR failed\r\n"
     (await world.cache.next()).reply_value(b"v")
@@ -204,4 +204,4 @@
     while not world.node._client_listener.open_connections():
         await asyncio.sleep(0.01)
     (connection,) = world.node._client_listener.open_connections()
-    assert connection.reader is None and world.node.peer_runtime is None
+    assert connection.client_region is None and world.node.peer_runtime is None
