--- a/ironrail/net/peers/client_measurements.py
+++ b/ironrail/net/peers/client_measurements.py
@@ -44,7 +44,7 @@
         """Return the seconds left to the router of those until the client needs the answer."""
         return self._measurements.time_left(self.region, left)
 
-    def ended(self, request_class: str, seconds: float, ended: RequestOutcome) -> None:
+    def request_ended(self, request_class: str, seconds: float, ended: RequestOutcome) -> None:
         """Record the end of a request after some seconds."""
         self._measurements.ended(self, request_class, seconds, ended)
 
@@ -101,7 +101,7 @@
         now, num_reads = self._system.now(), 0
         for _ in range(min(MAX_CONNECTIONS_VISITED, len(self._unvisited))):
             connection = self._unvisited.popleft()
-            client = connection.reader
+            client = connection.client_region
             if (
                 not isinstance(client, MeasuredClient)
                 or connection.session.last_received_at <= client.measured_at
--- a/ironrail/net/peers/client_steering.py
+++ b/ironrail/net/peers/client_steering.py
@@ -132,7 +132,7 @@
     def serve(self, clients: ClientListener) -> None:
         """Begin to steer the clients of a listener."""
         self._clients = clients
-        clients.context.identify_reader = self._measurements.identify
+        clients.context.identify_client_region = self._measurements.identify
         self._timer = asyncio.get_running_loop().call_later(TICK_SECONDS, self._tick)
 
     def close(self) -> None:
@@ -230,7 +230,7 @@
             self._unchecked.popleft() for _ in range(min(MAX_CONNECTIONS_PER_TICK, len(self._unchecked)))
         ]
         for number, connection in enumerate(checked):
-            client, session = connection.reader, connection.session
+            client, session = connection.client_region, connection.session
             if (
                 isinstance(client, MeasuredClient)
                 and client.region in self._rows
--- a/ironrail/net/peers/zone_latency.py
+++ b/ironrail/net/peers/zone_latency.py
@@ -38,19 +38,19 @@
         """
         self._protocol, self._zone, self._now = protocol, zone, now
 
-    def connected(self, seconds: float) -> None:
+    def on_connect_answered(self, seconds: float) -> None:
         """Record a connect that was accepted or refused: the server's kernel answers it."""
         self._protocol.record_round_trip(self._now(), self._zone, seconds)
 
-    def unconnected(self) -> None:
+    def on_connect_timed_out(self) -> None:
         """Record that a connect was not answered."""
         self._protocol.record_loss(self._now(), self._zone)
 
-    def heard(self) -> None:
+    def on_reply(self) -> None:
         """Record a reply. Its round trip is not known, as it includes the server's work."""
         self._protocol.record_reply(self._now(), self._zone)
 
-    def silent(self, seconds: float) -> None:
+    def on_attempt_abandoned(self, seconds: float) -> None:
         """Record that an attempt was given up, and for how long nothing had been read."""
         self._protocol.record_silence(self._now(), self._zone, seconds)
 
--- a/tests/test_client_steering.py
+++ b/tests/test_client_steering.py
@@ -24,7 +24,7 @@
     client = await world.client_at(AWAY)
     for n in range(8):
         await world.serve(client, str(n))
-        (one,) = (c.reader for c in world.connections())
+        (one,) = (c.client_region for c in world.connections())
         assert isinstance(one, MeasuredClient) and one.region == "north"
         one.measured_at = 0.0
         world.steering._measurements.measure(world.node._client_listener)
@@ -61,7 +61,7 @@
     unknown_client = await world.client()
     await world.serve(unknown_client, "3")
     assert recorded[2][0] == "" and recorded[2][3:] == (True, False)
-    (one,) = (c.reader for c in world.connections())
+    (one,) = (c.client_region for c in world.connections())
     assert isinstance(one, MeasuredClient)
     one.rtt = 2.0  # as long as the latency objective
     await world.serve(unknown_client, "4")
@@ -157,7 +157,7 @@
     with socket.socket(fileno=os.dup(client.writer.get_extra_info("socket").fileno())) as raw:
         raw.send(b"mg k v O3 Pc=read,t=x,d=5000\r\n")  # received, but not read by the event loop
     host = world.node._dispatcher
-    host.lifecycle.drop(host.requests.by_id["2"])
+    host.termination.drop(host.requests.by_id["2"])
     assert not connection.transport.is_closing()
     assert await client.line() == b"SERVER_ERROR failed\r\n"
     (await world.cache.next()).reply_value(b"v")
@@ -210,4 +210,4 @@
     while not world.node._client_listener.open_connections():
         await asyncio.sleep(0.01)
     (connection,) = world.node._client_listener.open_connections()
-    assert connection.reader is None and world.node.peer_runtime is None
+    assert connection.client_region is None and world.node.peer_runtime is None
