--- a/ironrail/net/peers/admin_documents.py
+++ b/ironrail/net/peers/admin_documents.py
@@ -21,7 +21,9 @@
 _TOO_MANY_DOTS = re.compile(rb"(?:\.[^.\n={},]*+){%d}" % (MAX_KEY_DOTS + 1))
 
 
-def parse_proposal(body: bytes, policy_in_force: Callable[[], p.Policy]) -> tuple[p.Policy, tuple[int, ...]]:
+def parse_proposal(
+    body: bytes, policy_in_force: Callable[[], p.Policy]
+) -> tuple[p.Policy, tuple[int, ...]]:
     """Parse a proposed policy document.
 
     Args:
@@ -39,7 +41,11 @@
     voters = fields.pop("voters", None)
     if voters is None:
         return p.parse(fields), ()
-    if not isinstance(voters, list) or any(type(voter) is not int for voter in voters) or not voters:
+    if (
+        not isinstance(voters, list)
+        or any(type(voter) is not int for voter in voters)
+        or not voters
+    ):
         raise VotersError("must be a non-empty list of router indices", "voters")
     policy = p.parse(fields)
     if fields.keys() == {"version"}:
@@ -71,7 +77,9 @@
     if policy is None:
         return None
     fields = {name: getattr(policy, name) for name in policy.__struct_fields__}
-    return {name: msgspec.to_builtins(row) for name, row in fields.items() if row or name == "version"}
+    return {
+        name: msgspec.to_builtins(row) for name, row in fields.items() if row or name == "version"
+    }
 
 
 def text_response(status: int, text: str) -> Response:
--- a/ironrail/net/peers/client_measurements.py
+++ b/ironrail/net/peers/client_measurements.py
@@ -87,8 +87,13 @@
 
         The duration of a request that was not served is not used: a refusal is quick.
         """
-        was_served, left_early = (ended is RequestOutcome.SERVED, ended is RequestOutcome.CLIENT_DISCONNECTED)
-        is_in_time = was_served and seconds + client.rtt <= self._classes[request_class].latency_objective
+        was_served, left_early = (
+            ended is RequestOutcome.SERVED,
+            ended is RequestOutcome.CLIENT_DISCONNECTED,
+        )
+        is_in_time = (
+            was_served and seconds + client.rtt <= self._classes[request_class].latency_objective
+        )
         service_time = seconds if was_served or left_early else math.inf
         self._protocol.record_request(
             self._system.now(), client.region, request_class, service_time, is_in_time, left_early
--- a/ironrail/net/peers/client_steering.py
+++ b/ironrail/net/peers/client_steering.py
@@ -101,7 +101,9 @@
             classes,
             identity.rng,
         )
-        self._measurements = ClientMeasurements(identity.system, self.regions, self.protocol, settings)
+        self._measurements = ClientMeasurements(
+            identity.system, self.regions, self.protocol, settings
+        )
         self._weights = RequestWeights(
             {name: known.priority_weight for name, known in settings.classes.items()}
         )
@@ -113,7 +115,9 @@
         voters = sorted(operator.peers.voters)
         if operator.peers.steering_interval and identity.own_index in voters:
             interval = operator.peers.steering_interval
-            self._schedule = ProposalSchedule(now, voters.index(identity.own_index), len(voters), interval)
+            self._schedule = ProposalSchedule(
+                now, voters.index(identity.own_index), len(voters), interval
+            )
             self.protocol.history = ChangeHistory(DWELL_PERIODS * interval)
         self._versions: tuple[int, ...] = ()  # in force at the last check
         self._rows: SteeringRows = {}
@@ -150,7 +154,9 @@
             found = [
                 (
                     e.name,
-                    ServerInfo(e.zone, e.weight, e.started_at) if e.state is EndpointState.READY else None,
+                    ServerInfo(e.zone, e.weight, e.started_at)
+                    if e.state is EndpointState.READY
+                    else None,
                 )
                 for e in update.endpoints
                 if origin is None or e.kind != origin
@@ -180,7 +186,9 @@
         self._versions, self._in_force_since = decided.versions, now
         # The fallback policy moves no clients. Between two policies only rows that both have are in
         # force.
-        self._rows = decided.policy.steering if decided.policy is not None and decided.versions else {}
+        self._rows = (
+            decided.policy.steering if decided.policy is not None and decided.versions else {}
+        )
         for connection in list(self._migrating):  # started by rows that are no longer in force
             self._cancel_migration(connection)
         if len(decided.versions) == 1:
@@ -189,7 +197,9 @@
             self._schedule.restart(now)
 
     def _current_state(self, now: float) -> tuple[CellEstimates, dict[str, ZoneState]]:
-        if now - self._cells_at >= MIN_CELL_REFRESH_SECONDS + REFRESH_SECONDS_PER_CELL * len(self._cells):
+        if now - self._cells_at >= MIN_CELL_REFRESH_SECONDS + REFRESH_SECONDS_PER_CELL * len(
+            self._cells
+        ):
             self._cells, self._cells_at = self.protocol.cell_estimates(now), now
         policy = self._policies.in_force().policy if self._policies is not None else None
         emptied_zones = policy.emptied if policy is not None else ()
@@ -209,8 +219,8 @@
     def _migrate_connections(self, now: float, clients: ClientListener) -> None:
         """Close idle connections of clients whose assigned zone is another one.
 
-        They close after their next response. A client that waits for each response before it sends the next request can't have sent one
-        meanwhile, so none is lost.
+        They close after their next response. A client that waits for each response before it
+        sends the next request can't have sent one meanwhile, so none is lost.
         """
         _, zones = self._current_state(now)
         accepting_zones = find_accepting_zones(zones)
@@ -227,7 +237,8 @@
             self._unchecked.extend(clients.open_connections())
         candidates: list[MigrationCandidate] = []
         checked = [
-            self._unchecked.popleft() for _ in range(min(MAX_CONNECTIONS_PER_TICK, len(self._unchecked)))
+            self._unchecked.popleft()
+            for _ in range(min(MAX_CONNECTIONS_PER_TICK, len(self._unchecked)))
         ]
         for number, connection in enumerate(checked):
             client, session = connection.client_region, connection.session
@@ -274,14 +285,19 @@
             return  # another change is under way, or none is possible
         policy = decided.policy
         rest = msgspec.structs.replace(policy, steering={}, version=p.MAX_VERSION)
-        max_rows_bytes = min(DEFAULT_LIMITS.max_rows_bytes, p.MAX_DOCUMENT_BYTES - len(p.encode(rest)) - 2)
+        max_rows_bytes = min(
+            DEFAULT_LIMITS.max_rows_bytes, p.MAX_DOCUMENT_BYTES - len(p.encode(rest)) - 2
+        )
         limits = replace(
-            DEFAULT_LIMITS, exploration_ratio=self._peers.exploration_ratio, max_rows_bytes=max_rows_bytes
+            DEFAULT_LIMITS,
+            exploration_ratio=self._peers.exploration_ratio,
+            max_rows_bytes=max_rows_bytes,
         )
         cells, zones = self._current_state(now)
         if len(cells) > MAX_CELLS:
             self._refused = TooLargeError(
-                f"{len(cells)} pairs of region and zone are known, at most {MAX_CELLS} can be planned for",
+                f"{len(cells)} pairs of region and zone are known,"
+                f" at most {MAX_CELLS} can be planned for",
                 "steering",
             )
             return
@@ -326,14 +342,25 @@
             tuple(self._settings.classes),
             now - self._cells_at,
         )
-        error = None if self._rows else NoRowsError.for_versions(self._policies is not None, self._versions)
+        error = (
+            None
+            if self._rows
+            else NoRowsError.for_versions(self._policies is not None, self._versions)
+        )
         if error is not None:
             document["error"] = {"type": type(error).__name__, "told": error.with_advice()}
         if self.proposal is not None:
-            document["looked"] = {"reason": self.proposal.reason.value, "moved": self.proposal.moved_rate}
+            document["looked"] = {
+                "reason": self.proposal.reason.value,
+                "moved": self.proposal.moved_rate,
+            }
         if self._refused is not None:
-            document["refused"] = {"type": type(self._refused).__name__, "told": self._refused.with_advice()}
+            document["refused"] = {
+                "type": type(self._refused).__name__,
+                "told": self._refused.with_advice(),
+            }
         document["let_go"] = self.migrated
         return Response(
-            200 if error is None else 503, orjson.dumps(document, option=orjson.OPT_INDENT_2) + b"\n"
+            200 if error is None else 503,
+            orjson.dumps(document, option=orjson.OPT_INDENT_2) + b"\n",
         )
--- a/ironrail/net/peers/policies.py
+++ b/ironrail/net/peers/policies.py
@@ -79,7 +79,9 @@
 
     Titles come with requests, so a policy may name any.
     """
-    return p.ValidationContext(frozenset(settings.classes), None, frozenset(peers.zones), frozenset(regions))
+    return p.ValidationContext(
+        frozenset(settings.classes), None, frozenset(peers.zones), frozenset(regions)
+    )
 
 
 class Policies:
@@ -178,10 +180,13 @@
         before, self._published = self._published, decided
         policy = decided.policy or self.protocol.document_store.fallback
         log.info(
-            "decides_by", extra={"versions": list(decided.versions), "ready": decided.policy is not None}
+            "decides_by",
+            extra={"versions": list(decided.versions), "ready": decided.policy is not None},
         )
         if before is None or policy != (before.policy or self.protocol.document_store.fallback):
-            self._publish(PolicyOverridesChanged(policy.emptied, policy.shed, policy.further, policy.rates))
+            self._publish(
+                PolicyOverridesChanged(policy.emptied, policy.shed, policy.further, policy.rates)
+            )
 
     def _on_record_written(self, token: int, error: OSError | None) -> None:
         if error is None:
@@ -224,7 +229,9 @@
     def page(self) -> Response:
         """Return the effective policy and the state of the protocol as JSON."""
         return Response(
-            200, orjson.dumps(self._status(), option=orjson.OPT_INDENT_2 | orjson.OPT_NON_STR_KEYS) + b"\n"
+            200,
+            orjson.dumps(self._status(), option=orjson.OPT_INDENT_2 | orjson.OPT_NON_STR_KEYS)
+            + b"\n",
         )
 
     def _status(self) -> dict[str, Any]:
@@ -269,7 +276,9 @@
         """
         now = self._now()
         try:
-            policy, voters = admin_documents.parse_proposal(body, lambda: self.protocol.policy_in_force(now))
+            policy, voters = admin_documents.parse_proposal(
+                body, lambda: self.protocol.policy_in_force(now)
+            )
             self.latest_proposal = self.protocol.propose(now, policy, voters=voters)
         except RejectedError as e:
             return admin_documents.text_response(409, e.with_advice())
--- a/ironrail/net/peers/record_store.py
+++ b/ironrail/net/peers/record_store.py
@@ -20,7 +20,10 @@
 class RecordError(InputError):
     """A stored record that can't be read: truncated, corrupt, foreign, or of another version."""
 
-    advice = "move the file away and start again: a voter without a record asks the others where things stand"
+    advice = (
+        "move the file away and start again:"
+        " a voter without a record asks the others where things stand"
+    )
 
 
 class RecordStore(Protocol):
--- a/ironrail/net/peers/runtime.py
+++ b/ironrail/net/peers/runtime.py
@@ -96,7 +96,9 @@
                 f"settings.me is {own_index}, but there are only {len(table.peers)} peers", "peers"
             )
         incarnation = draw_incarnation(system)
-        self.transport = PeerTransport(own_index, table, peers, incarnation, system, self._publish_changes)
+        self.transport = PeerTransport(
+            own_index, table, peers, incarnation, system, self._publish_changes
+        )
         self.policies: Policies | None = None
         if peers.voters:
             process = ProcessIdentity(own_index, incarnation, system.now(), config.seed)
@@ -121,7 +123,9 @@
             self.transport.register(self.policies.protocol)
         self.components: list[PeerComponent] = []
         self.steering: ClientSteering | None = None
-        identity = NodeIdentity(own_index, incarnation, system, peers.zones, random.Random(config.seed))
+        identity = NodeIdentity(
+            own_index, incarnation, system, peers.zones, random.Random(config.seed)
+        )
         self.zone_latency: ZoneLatencyComponent | None = None
         is_cut_off = None  # whether a zone is cut off from others, according to the latency map
         if peers.zone_latency_map:
@@ -136,7 +140,9 @@
         if operator.regions:
             from ironrail.net.peers.client_steering import ClientSteering  # noqa: PLC0415 - as above
 
-            self.steering = ClientSteering(identity, operator, config.settings, self.policies, is_cut_off)
+            self.steering = ClientSteering(
+                identity, operator, config.settings, self.policies, is_cut_off
+            )
             self.components.append(self.steering)
         for component in self.components:
             self.transport.register(component.protocol)
@@ -203,7 +209,9 @@
         return {"/-/policy": self.policies.propose, "/-/policy/found": self.policies.bootstrap}
 
     def _counters_page(self) -> Response:
-        return Response(200, orjson.dumps(self.transport.counters(), option=orjson.OPT_INDENT_2) + b"\n")
+        return Response(
+            200, orjson.dumps(self.transport.counters(), option=orjson.OPT_INDENT_2) + b"\n"
+        )
 
     def _publish_changes(self) -> None:
         if self.policies is not None:
--- a/ironrail/net/peers/transport.py
+++ b/ironrail/net/peers/transport.py
@@ -190,7 +190,11 @@
         now = self._system.now()
         for outgoing in [
             *self.codec.take_outgoing(now),
-            *(outgoing for protocol in self._protocols.values() for outgoing in protocol.take_outgoing()),
+            *(
+                outgoing
+                for protocol in self._protocols.values()
+                for outgoing in protocol.take_outgoing()
+            ),
         ]:
             self._send_queue.enqueue(now, outgoing)
         for to, datagram in self._send_queue.take_sendable(now):
@@ -215,7 +219,9 @@
 
     def _seal(self, outgoing: Outgoing) -> list[tuple[int, bytes]]:
         timestamp = self._timestampers.get(outgoing.topic)
-        return self.codec.seal(outgoing if timestamp is None else timestamp(self._system.now(), outgoing))
+        return self.codec.seal(
+            outgoing if timestamp is None else timestamp(self._system.now(), outgoing)
+        )
 
     def _send(self, to: int, datagram: bytes) -> None:
         if self._transport is None or self._transport.is_closing():
@@ -237,7 +243,12 @@
     def counters(self) -> dict[str, int]:
         """Return counts of datagrams and bytes since the start of the process."""
         dropped = {
-            f"dropped_{reason.name.lower()}": count for reason, count in self.codec.drop_counts().items()
+            f"dropped_{reason.name.lower()}": count
+            for reason, count in self.codec.drop_counts().items()
+        }
+        own = {
+            "opened": self.codec.opened,
+            "sent_bytes": self._send_queue.sent_bytes,
+            "unread": self.unread,
         }
-        own = {"opened": self.codec.opened, "sent_bytes": self._send_queue.sent_bytes, "unread": self.unread}
         return own | {"unsent": self.unsent} | dropped
--- a/ironrail/net/peers/zone_latency.py
+++ b/ironrail/net/peers/zone_latency.py
@@ -63,7 +63,9 @@
         estimate: Returns what is known of a link between two zones, by their numbers.
     """
 
-    def __init__(self, identity: NodeIdentity, on_links_changed: Callable[[ZoneLinksChanged], None]) -> None:
+    def __init__(
+        self, identity: NodeIdentity, on_links_changed: Callable[[ZoneLinksChanged], None]
+    ) -> None:
         """Initialize the component.
 
         Args:
@@ -100,10 +102,16 @@
         snapshot = self._zone_latency.take_snapshot()
         if snapshot is None:
             return
-        old_states, self._snapshot = {link.zone: link.state for link in self._snapshot.links}, snapshot
+        old_states, self._snapshot = (
+            {link.zone: link.state for link in self._snapshot.links},
+            snapshot,
+        )
         states = {link.zone: link.state for link in snapshot.links}
         if states != old_states:
-            log.info("halls", extra={"hall": snapshot.zone, "links": {z: s.name for z, s in states.items()}})
+            log.info(
+                "halls",
+                extra={"hall": snapshot.zone, "links": {z: s.name for z, s in states.items()}},
+            )
         now = self._system.now()
         self._on_links_changed(
             ZoneLinksChanged(
--- a/ironrail/peers/consensus/acceptor.py
+++ b/ironrail/peers/consensus/acceptor.py
@@ -135,7 +135,12 @@
         self._send_when_persisted(
             to,
             m.Promise(
-                ballot, self.acceptor_state, decided_step, seen, tuple(blocking_routers[:4]), rejection
+                ballot,
+                self.acceptor_state,
+                decided_step,
+                seen,
+                tuple(blocking_routers[:4]),
+                rejection,
             ),
         )
 
@@ -163,7 +168,9 @@
             self._send_when_persisted(to, m.AcceptBlocked(ballot))
         else:
             self._update_state(m.AcceptorState(ballot, ballot, state))
-            self._send_when_persisted(to, m.Accepted(ballot, self.seen_incarnations(state.all_voters)))
+            self._send_when_persisted(
+                to, m.Accepted(ballot, self.seen_incarnations(state.all_voters))
+            )
 
     def on_lease_request(
         self,
@@ -185,11 +192,15 @@
         )
         if granted is not None:
             newer_state = (
-                latest_decided if latest_decided and latest_decided.step > lease_request.known_step else None
+                latest_decided
+                if latest_decided and latest_decided.step > lease_request.known_step
+                else None
             )
             self.outgoing.append(
                 (
                     process[0],
-                    m.LeaseReply(lease_request.sequence, granted, self.is_voting, self.epoch, newer_state),
+                    m.LeaseReply(
+                        lease_request.sequence, granted, self.is_voting, self.epoch, newer_state
+                    ),
                 )
             )
--- a/ironrail/peers/consensus/acceptor_recovery.py
+++ b/ironrail/peers/consensus/acceptor_recovery.py
@@ -63,7 +63,11 @@
     @property
     def epoch(self) -> int:
         """The epoch of the bootstrap that this voter's state comes from; 0 without a state."""
-        return self.acceptor_state.accepted.step // m.STEPS_PER_EPOCH if self.acceptor_state.accepted else 0
+        return (
+            self.acceptor_state.accepted.step // m.STEPS_PER_EPOCH
+            if self.acceptor_state.accepted
+            else 0
+        )
 
     def seen_incarnations(self, asked_voters: Iterable[int] = ()) -> m.SeenIncarnations:
         """Return the incarnation of each voter that it was last received from directly.
@@ -72,7 +76,9 @@
             asked_voters: If not empty, only these voters are included.
         """
         seen = [
-            (voter, incarnation) for voter, incarnation in sorted(self.incarnations.items()) if incarnation
+            (voter, incarnation)
+            for voter, incarnation in sorted(self.incarnations.items())
+            if incarnation
         ]
         return tuple(pair for pair in seen if not asked_voters or pair[0] in asked_voters)[
             : m.MAX_SEEN_VOTERS
@@ -84,7 +90,9 @@
         Voters that are asked together have to have seen each other.
         """
         self.outgoing += [
-            (voter, m.RecoveryRequest(0)) for voter in asked_voters if not self.incarnations.get(voter)
+            (voter, m.RecoveryRequest(0))
+            for voter in asked_voters
+            if not self.incarnations.get(voter)
         ]
 
     def on_contact(self, sender: int, incarnation: int, is_voter_message: bool) -> None:
@@ -130,14 +138,21 @@
         self.contact_unseen_voters(message.asked_voters)
         if self.is_voting:
             self._send_when_persisted(
-                to, m.RecoveryReport(message.nonce, True, self.seen_incarnations(), self.acceptor_state)
+                to,
+                m.RecoveryReport(
+                    message.nonce, True, self.seen_incarnations(), self.acceptor_state
+                ),
             )
         else:
             self.outgoing.append(
                 (
                     to,
                     m.RecoveryReport(
-                        message.nonce, False, self.seen_incarnations(), m.AcceptorState(), self.offered_state
+                        message.nonce,
+                        False,
+                        self.seen_incarnations(),
+                        m.AcceptorState(),
+                        self.offered_state,
                     ),
                 )
             )
@@ -147,12 +162,19 @@
 
         Recovers the state of this one once a majority has reported.
         """
-        if self.is_voting or not self.nonce or report.nonce != self.nonce or sender == self.own_index:
+        if (
+            self.is_voting
+            or not self.nonce
+            or report.nonce != self.nonce
+            or sender == self.own_index
+        ):
             return
         self.reports[sender] = QuorumReply(incarnation, report.seen_incarnations, report)
         reports = self._reports_from(True)
         epoch = max((_acceptor_state_of(r).promised.epoch for r in reports.values()), default=0)
-        reports_of_epoch = {v: r for v, r in reports.items() if _acceptor_state_of(r).promised.epoch == epoch}
+        reports_of_epoch = {
+            v: r for v, r in reports.items() if _acceptor_state_of(r).promised.epoch == epoch
+        }
         latest = max(
             (_acceptor_state_of(r) for r in reports_of_epoch.values()),
             key=lambda v: v.accepted_ballot,
@@ -162,7 +184,9 @@
             self.known_voters |= set(latest.accepted.all_voters)
             if find_quorum(reports_of_epoch, self._required_voter_sets(latest.accepted)):
                 promised = max(_acceptor_state_of(r).promised for r in reports_of_epoch.values())
-                self._start_voting(m.AcceptorState(promised, latest.accepted_ballot, latest.accepted))
+                self._start_voting(
+                    m.AcceptorState(promised, latest.accepted_ballot, latest.accepted)
+                )
         if not self.is_voting and self.offered_state:
             self._try_bootstrap(self.offered_state)
 
@@ -198,8 +222,12 @@
         )
         quorum = find_quorum(same_offer, (offered_state.voters,))
         if self.own_index in quorum:
-            message = m.Bootstrapped(offered_state, tuple((v, self.incarnations[v]) for v in quorum))
-            self.outgoing += [(voter, message) for voter in offered_state.voters if voter != self.own_index]
+            message = m.Bootstrapped(
+                offered_state, tuple((v, self.incarnations[v]) for v in quorum)
+            )
+            self.outgoing += [
+                (voter, message) for voter in offered_state.voters if voter != self.own_index
+            ]
             self.on_bootstrapped(message)
 
     def on_bootstrap_offer(self, state: m.RegisterState) -> None:
@@ -210,7 +238,9 @@
         known = self.latest_decided
         if known and (known.grantors != known.voters or known.voters != state.voters):
             return
-        if not self.is_voting and (self.offered_state is None or state.step >= self.offered_state.step):
+        if not self.is_voting and (
+            self.offered_state is None or state.step >= self.offered_state.step
+        ):
             self.offered_state = state
 
     def on_bootstrapped(self, message: m.Bootstrapped) -> None:
@@ -234,7 +264,9 @@
         if not self.is_voting or accepted is None:
             return
         voters = accepted.voters
-        if sum(self.reported_epochs.get(v, 0) > self.epoch for v in voters) >= majority_size(voters):
+        if sum(self.reported_epochs.get(v, 0) > self.epoch for v in voters) >= majority_size(
+            voters
+        ):
             self.is_voting, self.acceptor_state, self.old_leases_expire_at = (
                 False,
                 m.AcceptorState(),
--- a/ironrail/peers/consensus/configuration.py
+++ b/ironrail/peers/consensus/configuration.py
@@ -64,4 +64,6 @@
 
         Assumes the worst case of `max_clock_drift_ratio`: one clock runs slow, the other fast.
         """
-        return self.lease_seconds * (1 + self.max_clock_drift_ratio) / (1 - self.max_clock_drift_ratio)
+        return (
+            self.lease_seconds * (1 + self.max_clock_drift_ratio) / (1 - self.max_clock_drift_ratio)
+        )
--- a/ironrail/peers/consensus/consensus_node.py
+++ b/ironrail/peers/consensus/consensus_node.py
@@ -36,7 +36,11 @@
     # calls of an operator or of the router
 
     def propose(
-        self, now: float, policy: p.Policy, deadline: float = DEFAULT_DEADLINE_SECONDS, voters: m.Voters = ()
+        self,
+        now: float,
+        policy: p.Policy,
+        deadline: float = DEFAULT_DEADLINE_SECONDS,
+        voters: m.Voters = (),
     ) -> ProposalHandle:
         """Propose a policy to replace the one in force at all routers.
 
@@ -61,7 +65,8 @@
         ref = self._store_valid(policy)
         handle = ProposalHandle(ref)
         self.proposer.begin(
-            now, Proposal(TargetState.JOINT, ref, handle, deadline=now + deadline, new_voters=voters)
+            now,
+            Proposal(TargetState.JOINT, ref, handle, deadline=now + deadline, new_voters=voters),
         )
         self._drain(now)
         return handle
@@ -87,7 +92,9 @@
         voters = self.latest_decided.voters if self.latest_decided else self.conf.voters
         named = m.PolicyRef(ref.version, ref.digest, voters)
         self._send_to_voters(
-            m.BootstrapOffer(m.RegisterState(epoch * m.STEPS_PER_EPOCH, named, max_tried_version=ref.version))
+            m.BootstrapOffer(
+                m.RegisterState(epoch * m.STEPS_PER_EPOCH, named, max_tried_version=ref.version)
+            )
         )
         self._send_to_voters(m.Document(self.document_store.get(ref.digest) or b""))
         self._drain(now)
@@ -101,7 +108,9 @@
         """
         state = self.lease_holder.valid_state(now)
         if state is None or state is not self.latest_decided:
-            raise errors.UnreadyError("holds no lease for the latest state", f"router {self.conf.own_index}")
+            raise errors.UnreadyError(
+                "holds no lease for the latest state", f"router {self.conf.own_index}"
+            )
         if state.new:
             raise errors.BusyError(f"version {state.new.version} is under way", "policy")
         return self.document_store.effective(state)
@@ -131,7 +140,9 @@
         state = self.lease_holder.valid_state(now)
         if state:
             return EffectivePolicy(
-                tuple(r.version for r in state.refs()), self.document_store.effective(state), state.scope
+                tuple(r.version for r in state.refs()),
+                self.document_store.effective(state),
+                state.scope,
             )
         known = [self.latest_decided, self.lease_holder.current, self.lease_holder.target]
         if not any(known) and not self.conf.starts_on_fallback:
@@ -149,10 +160,14 @@
         if self.acceptor and self.acceptor.is_state_lost():
             found.append(errors.LostError("a majority of the voters lost its state", "voters"))
         if self.acceptor and self.acceptor.is_write_failing:
-            found.append(errors.KeepingError("can't write its record", f"voter {self.conf.own_index}"))
+            found.append(
+                errors.KeepingError("can't write its record", f"voter {self.conf.own_index}")
+            )
         if self.lease_holder.valid_state(now) is None:
             found.append(errors.LeaseError("holds no lease", f"router {self.conf.own_index}"))
-        if self.latest_decided and (rejection := self.document_store.rejection_of(self.latest_decided)):
+        if self.latest_decided and (
+            rejection := self.document_store.rejection_of(self.latest_decided)
+        ):
             found.append(rejection[1])
         return found
 
@@ -218,6 +233,8 @@
             times.append(self._next_fetch_at)
         if self.acceptor:
             times.append(
-                self.acceptor.retry_write_at if self.acceptor.is_voting else self.acceptor.recovery_retry_at
+                self.acceptor.retry_write_at
+                if self.acceptor.is_voting
+                else self.acceptor.recovery_retry_at
             )
         return min(times)
--- a/ironrail/peers/consensus/document_store.py
+++ b/ironrail/peers/consensus/document_store.py
@@ -90,4 +90,6 @@
     def keep_only(self, digests: set[bytes]) -> None:
         """Drop all other documents and the policies merged from them."""
         self._documents = {d: policy for d, policy in self._documents.items() if d in digests}
-        self._merged = {key: merged for key, merged in self._merged.items() if set(key) <= digests | {b""}}
+        self._merged = {
+            key: merged for key, merged in self._merged.items() if set(key) <= digests | {b""}
+        }
--- a/ironrail/peers/consensus/errors.py
+++ b/ironrail/peers/consensus/errors.py
@@ -22,7 +22,8 @@
     """The record is intact but not in this version's format; the voter starts without it."""
 
     advice: ClassVar[str] = (
-        "Move the file away and start again: a voter without a record asks the others where things stand"
+        "Move the file away and start again:"
+        " a voter without a record asks the others where things stand"
     )
 
 
@@ -61,7 +62,9 @@
 class WithdrawnError(RejectedError):
     """The change was withdrawn by another router or by the voters."""
 
-    advice: ClassVar[str] = "Look why its proposer was slow, then propose the document under a new version"
+    advice: ClassVar[str] = (
+        "Look why its proposer was slow, then propose the document under a new version"
+    )
 
 
 class NoMajorityError(RejectedError):
@@ -79,14 +82,18 @@
     """The final step was sent, but its outcome is unknown; it is the same for all routers."""
 
     exit_code: ClassVar[int] = ExitCode.NO_VERDICT
-    advice: ClassVar[str] = "Ask for the policy in force once a majority of voters is reachable; don't guess"
+    advice: ClassVar[str] = (
+        "Ask for the policy in force once a majority of voters is reachable; don't guess"
+    )
 
 
 class LostError(IronrailError):
     """More voters lost their state than the register tolerates: it decides nothing any more."""
 
     exit_code: ClassVar[int] = ExitCode.NO_VERDICT
-    advice: ClassVar[str] = "Found it anew by hand, with an epoch never used and the policy that is to hold"
+    advice: ClassVar[str] = (
+        "Found it anew by hand, with an epoch never used and the policy that is to hold"
+    )
 
 
 class KeepingError(IronrailError):
--- a/ironrail/peers/consensus/lease.py
+++ b/ironrail/peers/consensus/lease.py
@@ -64,7 +64,10 @@
     def own_expiry(self, scope: Scope) -> float:
         """Return until when a majority of each version's voters grants nothing incompatible."""
         return min(
-            (self._majority_expiry(self.voters_by_version.get(version, ()), scope) for version in scope),
+            (
+                self._majority_expiry(self.voters_by_version.get(version, ()), scope)
+                for version in scope
+            ),
             default=-math.inf,
         )
 
@@ -73,7 +76,8 @@
             self._requests.get(self._granted_sequences.get(voter, 0), (0.0, ())) for voter in voters
         ]
         request_times = sorted(
-            (requested_at for requested_at, scopes in granted_requests if scope in scopes), reverse=True
+            (requested_at for requested_at, scopes in granted_requests if scope in scopes),
+            reverse=True,
         )
         quorum_size = majority_size(voters)
         return (
@@ -162,7 +166,11 @@
         """Return whether a majority of each set, or a head, granted the latest request."""
         if any(sequence == self.sequence for sequence, _ in self.delegated_grants.values()):
             return True
-        grantors = {voter for voter, sequence in self._granted_sequences.items() if sequence == self.sequence}
+        grantors = {
+            voter
+            for voter, sequence in self._granted_sequences.items()
+            if sequence == self.sequence
+        }
         return all(len(grantors & set(voters)) >= majority_size(voters) for voters in sets)
 
     def _drop_other_scopes(self, scopes: tuple[Scope, ...]) -> None:
@@ -173,7 +181,9 @@
         for sequence, (requested_at, held_scopes) in self._requests.items():
             self._requests[sequence] = (requested_at, tuple(s for s in held_scopes if s in scopes))
 
-    def on_granted(self, now: float, grantor: int, sequence: int, delegated_seconds: float = 0.0) -> bool:
+    def on_granted(
+        self, now: float, grantor: int, sequence: int, delegated_seconds: float = 0.0
+    ) -> bool:
         """Note a grant.
 
         Args:
--- a/ironrail/peers/consensus/lease_routing.py
+++ b/ironrail/peers/consensus/lease_routing.py
@@ -53,7 +53,9 @@
         groups = math.isqrt(len(members)) + 1
         direct = conf.own_index in self.voters or conf.routers <= conf.max_direct_routers
         # every n-th router: neighbours may share a zone, and a group should not fail as a whole
-        self.head_candidates = [] if direct else members[members.index(conf.own_index) % groups :: groups]
+        self.head_candidates = (
+            [] if direct else members[members.index(conf.own_index) % groups :: groups]
+        )
         # `unresponsive_heads`: heads in a row that did not reply
         self.head_index = self.unanswered = self.unresponsive_heads = 0
         self.switch_head_at = math.inf
@@ -71,9 +73,12 @@
 
         One; more after several in a row did not reply.
         """
-        count = min(len(self.head_candidates), MAX_PARALLEL_HEADS, 1 << max(0, self.unresponsive_heads - 1))
+        count = min(
+            len(self.head_candidates), MAX_PARALLEL_HEADS, 1 << max(0, self.unresponsive_heads - 1)
+        )
         candidates = [
-            self.head_candidates[(self.head_index + n) % len(self.head_candidates)] for n in range(count)
+            self.head_candidates[(self.head_index + n) % len(self.head_candidates)]
+            for n in range(count)
         ]
         return [head for head in candidates if head != self.conf.own_index]
 
--- a/ironrail/peers/consensus/lease_table.py
+++ b/ironrail/peers/consensus/lease_table.py
@@ -31,7 +31,7 @@
 
     # time on this clock after which any lease has expired on its router's
     max_lease_seconds: float
-    # (router, incarnation)
+    # by router and incarnation
     entries: dict[tuple[int, int], LeaseEntry] = field(default_factory=dict)
     # router -> incarnations in `entries`
     _incarnations: dict[int, tuple[int, ...]] = field(default_factory=dict)
@@ -67,7 +67,10 @@
         if lease_request.sequence <= entry.sequence:
             return None
         entry.sequence, entry.last_request_at = lease_request.sequence, now
-        entry.rejection, entry.lagging_router = lease_request.rejection, lease_request.lagging_router
+        entry.rejection, entry.lagging_router = (
+            lease_request.rejection,
+            lease_request.lagging_router,
+        )
         scoped_steps = tuple(
             scoped_step for scoped_step in (lease_request.low, lease_request.high) if scoped_step
         )
@@ -87,7 +90,9 @@
                 router if entry.lagging_router is None else entry.lagging_router
                 for (router, _), entry in self.entries.items()
                 if now < entry.expires_at
-                and any(are_incompatible(scope, scoped_step.scope) for scoped_step in entry.scoped_steps)
+                and any(
+                    are_incompatible(scope, scoped_step.scope) for scoped_step in entry.scoped_steps
+                )
             }
         )
 
@@ -98,7 +103,9 @@
             (
                 entry.expires_at
                 for entry in entries
-                if any(are_incompatible(scope, scoped_step.scope) for scoped_step in entry.scoped_steps)
+                if any(
+                    are_incompatible(scope, scoped_step.scope) for scoped_step in entry.scoped_steps
+                )
             ),
             default=-math.inf,
         )
@@ -139,7 +146,9 @@
         kept = []
         for incarnation in self._incarnations.get(router, ()):
             entry = self.entries.get((router, incarnation))
-            if entry and now < max(entry.expires_at, entry.last_request_at + self.max_lease_seconds):
+            if entry and now < max(
+                entry.expires_at, entry.last_request_at + self.max_lease_seconds
+            ):
                 kept.append(incarnation)
             else:
                 self.entries.pop((router, incarnation), None)
--- a/ironrail/peers/consensus/message_handler.py
+++ b/ironrail/peers/consensus/message_handler.py
@@ -58,12 +58,15 @@
         for digest in self.document_store.missing(self._referenced_states()):
             if document_sources:
                 self._send(
-                    document_sources[int(self._draw() * len(document_sources))], m.DocumentRequest(digest)
+                    document_sources[int(self._draw() * len(document_sources))],
+                    m.DocumentRequest(digest),
                 )
 
     # requests to the acceptor that could not be answered in full yet
 
-    def _blocked_until(self, now: float, acceptor: Acceptor, message: m.Prepare | m.Accept) -> float:
+    def _blocked_until(
+        self, now: float, acceptor: Acceptor, message: m.Prepare | m.Accept
+    ) -> float:
         """Return when the latest obstacle to a full answer ends without a further message.
 
         -inf if there is none; infinite if a document is missing.
@@ -77,7 +80,10 @@
             if accepted is None or accepted.new is None:
                 return -math.inf
             scope = accepted.scope[1:]
-        return max(acceptor.old_leases_expire_at, acceptor.granted_leases.last_conflicting_expiry(now, scope))
+        return max(
+            acceptor.old_leases_expire_at,
+            acceptor.granted_leases.last_conflicting_expiry(now, scope),
+        )
 
     def _defer_if_blocked(self, now: float, sender: int, message: m.Prepare | m.Accept) -> None:
         if self.acceptor:
@@ -110,10 +116,15 @@
         if not acceptor or not acceptor.is_voting or self.proposer.proposal:
             return math.inf
         accepted, own_index = acceptor.acceptor_state.accepted, self.conf.own_index
-        if accepted and self._last_accepted_step > (self.latest_decided.step if self.latest_decided else 0):
+        if accepted and self._last_accepted_step > (
+            self.latest_decided.step if self.latest_decided else 0
+        ):
             delay, voters = UNSETTLED_TIMEOUT_SECONDS, accepted.all_voters
         elif self.latest_decided and self.latest_decided.new:
-            delay, voters = ABANDONED_DEADLINE_FACTOR * DEFAULT_DEADLINE_SECONDS, self.latest_decided.voters
+            delay, voters = (
+                ABANDONED_DEADLINE_FACTOR * DEFAULT_DEADLINE_SECONDS,
+                self.latest_decided.voters,
+            )
         else:
             return math.inf
         return (
@@ -127,7 +138,8 @@
             self.proposer.epoch = self.acceptor.epoch
             target = (
                 TargetState.UNCHANGED
-                if self._last_accepted_step > (self.latest_decided.step if self.latest_decided else 0)
+                if self._last_accepted_step
+                > (self.latest_decided.step if self.latest_decided else 0)
                 else TargetState.OLD
             )
             self.proposer.begin(now, Proposal(target))
@@ -156,7 +168,9 @@
             case m.Decided():
                 self._on_decided(now, message.state)
                 self._store_unrequested()
-            case _ if acceptor and (not isinstance(message, m.LeaseRequest) or self._is_lease_voter()):
+            case _ if acceptor and (
+                not isinstance(message, m.LeaseRequest) or self._is_lease_voter()
+            ):
                 self._dispatch_to_acceptor(now, acceptor, sender, incarnation, message)
             case m.LeaseRequest():
                 self._on_member_request(now, (sender, incarnation), message)
@@ -232,7 +246,9 @@
             self.acceptor.on_reported_epoch(now, sender, reply.is_voting, reply.epoch)
         self.lease_routing.on_reply(now, sender, reply.granted)
         if reply.granted:
-            has_moved = self.lease_holder.on_granted(now, sender, reply.sequence, reply.delegated_seconds)
+            has_moved = self.lease_holder.on_granted(
+                now, sender, reply.sequence, reply.delegated_seconds
+            )
             if self.lease_holder.is_renewed(self._lease_voter_sets()):
                 self._on_lease_renewed(now)
             if has_moved and self.lease_holder.current:
--- a/ironrail/peers/consensus/messages.py
+++ b/ironrail/peers/consensus/messages.py
@@ -63,7 +63,9 @@
 
         The voters of the state before are always among them.
         """
-        return (self.old.voters, self.previous_voters) if self.previous_voters else (self.old.voters,)
+        return (
+            (self.old.voters, self.previous_voters) if self.previous_voters else (self.old.voters,)
+        )
 
     @property
     def grantors(self) -> Voters:
@@ -324,4 +326,8 @@
         isinstance(message, Document) and len(message.data) <= MAX_LEASE_PRIORITY_DOCUMENT_BYTES
     ):
         return Priority.LEASE
-    return Priority.STATE if isinstance(message, (DocumentRequest, Document, StateQuery)) else Priority.VOTE
+    return (
+        Priority.STATE
+        if isinstance(message, (DocumentRequest, Document, StateQuery))
+        else Priority.VOTE
+    )
--- a/ironrail/peers/consensus/node_state.py
+++ b/ironrail/peers/consensus/node_state.py
@@ -114,7 +114,9 @@
         if to == self.conf.own_index:
             self._loopback.append(message)
         else:
-            self._outgoing.append(Outgoing(to, Topic.CONSENSUS, m.encode(message), m.priority(message)))
+            self._outgoing.append(
+                Outgoing(to, Topic.CONSENSUS, m.encode(message), m.priority(message))
+            )
 
     def _send_to_voters(self, message: m.Message) -> None:
         for voter in self.lease_routing.voters:
@@ -149,7 +151,9 @@
         if self.latest_decided and state.step <= self.latest_decided.step:
             return
         routers_to_notify = (
-            self._routers_to_notify(self.acceptor.granted_leases.live_processes(now)) if self.acceptor else []
+            self._routers_to_notify(self.acceptor.granted_leases.live_processes(now))
+            if self.acceptor
+            else []
         )
         self.latest_decided, self._unsettled_since = state, now
         self.proposer.latest_decided, self.proposer.epoch = state, state.step // m.STEPS_PER_EPOCH
@@ -186,7 +190,9 @@
         a new voter for a lease yet.
         """
         voters = self.lease_routing.voters
-        return [router for router, _ in processes if voters[router % len(voters)] == self.conf.own_index]
+        return [
+            router for router, _ in processes if voters[router % len(voters)] == self.conf.own_index
+        ]
 
     def _forward_decision(self, state: m.RegisterState, routers: Iterable[int]) -> None:
         """Send a state and its new document at once, before the routers' next renewal."""
@@ -216,11 +222,16 @@
 
     def _send_lease_request(self, now: float) -> None:
         period = self.conf.lease_seconds / RENEWALS_PER_LEASE
-        before, request_targets = self.lease_routing.head_index, self.lease_routing.request_targets(now)
+        before, request_targets = (
+            self.lease_routing.head_index,
+            self.lease_routing.request_targets(now),
+        )
         if self.lease_routing.head_index != before:
             # another head may be unresponsive as well, and is then found out as soon
             self._ungranted_requests = 0
-        self._next_renewal_at = now + min(period, INITIAL_RETRY_SECONDS * 2**self._ungranted_requests)
+        self._next_renewal_at = now + min(
+            period, INITIAL_RETRY_SECONDS * 2**self._ungranted_requests
+        )
         self._ungranted_requests = min(self._ungranted_requests + 1, MAX_BACKOFF_DOUBLINGS)
         others = self.delegated_leases.live_scoped_steps(now)
         lease_request = self.lease_holder.next_request(now, self.latest_decided, others)
@@ -250,7 +261,9 @@
         if self.renewals_without_lease > MAX_RENEWALS_WITHOUT_LEASE:
             # one router at a time, drawn anew: if a whole fleet loses its voters, no router is
             # asked by all
-            self._send(int(self._draw() * self.conf.routers), m.StateQuery(known.step if known else 0))
+            self._send(
+                int(self._draw() * self.conf.routers), m.StateQuery(known.step if known else 0)
+            )
 
     def _on_lease_renewed(self, now: float) -> None:
         """Schedule the next renewal, after the latest request was granted."""
@@ -259,7 +272,9 @@
             1 - RENEWAL_JITTER_FRACTION * self._draw()
         )
 
-    def _on_member_request(self, now: float, process: tuple[int, int], lease_request: m.LeaseRequest) -> None:
+    def _on_member_request(
+        self, now: float, process: tuple[int, int], lease_request: m.LeaseRequest
+    ) -> None:
         """Handle a member's request for a part of this router's lease.
 
         The part ends with this router's lease, also if the member's clock is slow.
@@ -277,7 +292,9 @@
         granted = self.delegated_leases.request(now, process, lease_request, 0, expires_at)
         if granted is not None:
             delegated_seconds = (
-                (expires_at - now) * self.conf.lease_seconds / self.conf.max_lease_seconds if granted else 0.0
+                (expires_at - now) * self.conf.lease_seconds / self.conf.max_lease_seconds
+                if granted
+                else 0.0
             )
             newer_state = (
                 self.latest_decided
@@ -286,7 +303,9 @@
             )
             self._send(
                 process[0],
-                m.LeaseReply(lease_request.sequence, granted, False, 0, newer_state, delegated_seconds),
+                m.LeaseReply(
+                    lease_request.sequence, granted, False, 0, newer_state, delegated_seconds
+                ),
             )
         if is_new_head or (had_lagging_member and not self._has_lagging_member(now)):
             # notifies the voters at once that no member lags behind any more
--- a/ironrail/peers/consensus/policy.py
+++ b/ironrail/peers/consensus/policy.py
@@ -109,7 +109,9 @@
         if sum(row.values()) > 1 + 1e-9:
             raise PolicyError("shares add up to more than 1", f"steering.{region}")
         if closed_zones := policy.emptied & {zone for zone, share in row.items() if share}:
-            raise PolicyError(f"steers to {min(closed_zones)}, which is emptied", f"steering.{region}")
+            raise PolicyError(
+                f"steers to {min(closed_zones)}, which is emptied", f"steering.{region}"
+            )
     if len(encode(policy)) > MAX_DOCUMENT_BYTES:
         raise PolicyError(f"takes more than {MAX_DOCUMENT_BYTES} bytes", "policy")
     return policy
@@ -156,7 +158,11 @@
     """Return why this router cannot act on a policy, or None if it can."""
     zones = set(policy.emptied).union(*policy.steering.values())
     known: tuple[tuple[str, set[str], Any], ...] = (
-        ("rates", set(policy.rates), set(policy.rates) if context.titles is None else context.titles),
+        (
+            "rates",
+            set(policy.rates),
+            set(policy.rates) if context.titles is None else context.titles,
+        ),
         ("shed", set(policy.shed), context.classes),
         ("further", set(policy.further), context.classes),
         ("halls", zones, context.zones),
--- a/ironrail/peers/consensus/proposer.py
+++ b/ironrail/peers/consensus/proposer.py
@@ -41,7 +41,12 @@
             voters: The voters in the operator's file.
             draw: Returns a random number from 0 to 1.
         """
-        self.own_index, self.incarnation, self.voters, self._draw = own_index, incarnation, voters, draw
+        self.own_index, self.incarnation, self.voters, self._draw = (
+            own_index,
+            incarnation,
+            voters,
+            draw,
+        )
         self.epoch = self._ballot_number = 0
         # the latest that this router knows to be decided
         self.latest_decided: m.RegisterState | None = None
@@ -59,7 +64,9 @@
         proposal = self.proposal
         if proposal:
             self._ballot_number += 1
-            proposal.ballot = m.Ballot(self.epoch, self._ballot_number, self.own_index, self.incarnation)
+            proposal.ballot = m.Ballot(
+                self.epoch, self._ballot_number, self.own_index, self.incarnation
+            )
             proposal.value, proposal.replies = None, {}
             proposal.retry_at = now + ATTEMPT_TIMEOUT_SECONDS * (1 + self._draw())
             known = self.latest_decided.all_voters if self.latest_decided else self.voters
@@ -67,7 +74,8 @@
                 dict.fromkeys((*known, *proposal.new_voters, *proposal.discovered_voters))
             )
             self.outgoing += [
-                (voter, m.Prepare(proposal.ballot, proposal.asked_voters)) for voter in proposal.asked_voters
+                (voter, m.Prepare(proposal.ballot, proposal.asked_voters))
+                for voter in proposal.asked_voters
             ]
 
     def on_ballot_rejected(self, now: float, promised: m.Ballot) -> None:
@@ -94,11 +102,16 @@
         ):
             return
         proposal.replies[voter] = QuorumReply(incarnation, message.seen_incarnations, message)
-        promises = [r.message for r in proposal.replies.values() if isinstance(r.message, m.Promise)]
+        promises = [
+            r.message for r in proposal.replies.values() if isinstance(r.message, m.Promise)
+        ]
         latest = max((p.acceptor_state for p in promises), key=lambda v: v.accepted_ballot).accepted
         sets = self._required_voter_sets(proposal, latest)
         if more_voters := tuple({v for s in sets for v in s if v not in proposal.asked_voters}):
-            proposal.discovered_voters, proposal.retry_at = proposal.discovered_voters + more_voters, now
+            proposal.discovered_voters, proposal.retry_at = (
+                proposal.discovered_voters + more_voters,
+                now,
+            )
             return
         # Any majorities without conflicting leases will do: each lease needs one of each set that
         # grants it.
@@ -106,7 +119,9 @@
         quorum = find_quorum(unblocked, sets) or find_quorum(proposal.replies, sets)
         if not quorum:
             return
-        proposal.rejection = next((promise.rejection for promise in promises if promise.rejection), None)
+        proposal.rejection = next(
+            (promise.rejection for promise in promises if promise.rejection), None
+        )
         decided = max((p.decided_step for p in promises), default=0)
         if self.latest_decided:
             decided = max(decided, self.latest_decided.step)
@@ -115,13 +130,17 @@
         if latest.step > decided:
             self._send_accept(proposal, latest, is_target=False)
             return
-        quorum_promises = [p for v in quorum if isinstance(p := proposal.replies[v].message, m.Promise)]
+        quorum_promises = [
+            p for v in quorum if isinstance(p := proposal.replies[v].message, m.Promise)
+        ]
         value = self._next_state(proposal, latest, quorum_promises)
         if value and self.proposal is proposal:
             proposal.final_step_sent |= proposal.target is TargetState.NEW
             self._send_accept(proposal, value, is_target=True)
 
-    def _required_voter_sets(self, proposal: Proposal, latest: m.RegisterState | None) -> list[m.Voters]:
+    def _required_voter_sets(
+        self, proposal: Proposal, latest: m.RegisterState | None
+    ) -> list[m.Voters]:
         """Return the sets that each have to promise by a majority.
 
         With them no decision goes unseen.
@@ -154,7 +173,9 @@
             and state.proposer == (self.own_index, self.incarnation)
         )
         match proposal.target:
-            case TargetState.JOINT if ref and state.new is None and ref.version > state.max_tried_version:
+            case TargetState.JOINT if (
+                ref and state.new is None and ref.version > state.max_tried_version
+            ):
                 new = m.PolicyRef(ref.version, ref.digest, proposal.new_voters or state.voters)
                 return state.successor(state.old, new, (self.own_index, self.incarnation))
             case TargetState.JOINT | TargetState.NEW if ref and ref.is_same_document(state.old):
@@ -164,10 +185,14 @@
                 proposal.target = TargetState.NEW
                 return self._next_state(proposal, state, promises)
             case TargetState.JOINT if state.new:
-                self._finish(errors.BusyError(f"version {state.new.version} is under way", "policy"))
+                self._finish(
+                    errors.BusyError(f"version {state.new.version} is under way", "policy")
+                )
             case TargetState.JOINT:
                 self._finish(
-                    errors.VersionError(f"version {state.max_tried_version} was proposed already", "policy")
+                    errors.VersionError(
+                        f"version {state.max_tried_version} was proposed already", "policy"
+                    )
                 )
             case TargetState.NEW if is_own and ref:
                 proposal.unacknowledged = tuple(
@@ -178,14 +203,20 @@
                     self._withdraw(errors.RefusedByError(reason, f"router {router}"))
                 elif not proposal.unacknowledged:
                     return state.successor(state.new or ref)
-            case TargetState.NEW if ref and proposal.final_step_sent and state.old.version > ref.version:
-                self._finish(errors.OpenError("the last step was sent, its outcome is unknown", "policy"))
+            case TargetState.NEW if (
+                ref and proposal.final_step_sent and state.old.version > ref.version
+            ):
+                self._finish(
+                    errors.OpenError("the last step was sent, its outcome is unknown", "policy")
+                )
             case TargetState.NEW:
                 self._finish(errors.WithdrawnError("was withdrawn", "policy"))
             case TargetState.OLD if state.new:
                 return state.successor(state.old)
             case _:
-                self._finish(None if ref and ref.is_same_document(state.old) else proposal.withdrawal_cause)
+                self._finish(
+                    None if ref and ref.is_same_document(state.old) else proposal.withdrawal_cause
+                )
         return None
 
     def on_accepted(self, now: float, voter: int, incarnation: int, message: m.Accepted) -> None:
@@ -237,7 +268,9 @@
             if not proposal.final_step_sent:
                 self._withdraw(error)
                 proposal.retry_at = now
-            elif now >= proposal.began_at + OUTCOME_WAIT_FACTOR * (proposal.deadline - proposal.began_at):
+            elif now >= proposal.began_at + OUTCOME_WAIT_FACTOR * (
+                proposal.deadline - proposal.began_at
+            ):
                 proposal.handle.error = errors.OpenError(
                     "the last step was sent, its outcome is unknown", "policy"
                 )
@@ -246,7 +279,9 @@
 
     def _deadline_error(self, proposal: Proposal) -> errors.NoMajorityError:
         if proposal.unacknowledged:
-            return errors.NoMajorityError("didn't acknowledge in time", f"routers {proposal.unacknowledged}")
+            return errors.NoMajorityError(
+                "didn't acknowledge in time", f"routers {proposal.unacknowledged}"
+            )
         return errors.NoMajorityError("no majority answered in time", "voters")
 
     def next_timer_at(self) -> float:
--- a/ironrail/peers/consensus/quorum.py
+++ b/ironrail/peers/consensus/quorum.py
@@ -33,7 +33,8 @@
         The voters of these majorities, or an empty list.
     """
     parts = [
-        list(combinations(sorted(replies.keys() & set(s)), majority_size(s))) for s in dict.fromkeys(sets)
+        list(combinations(sorted(replies.keys() & set(s)), majority_size(s)))
+        for s in dict.fromkeys(sets)
     ]
     seen = {voter: dict(reply.seen_incarnations) for voter, reply in replies.items()}
     for choice in product(*parts) if parts else ():
--- a/ironrail/peers/steering/capacity.py
+++ b/ironrail/peers/steering/capacity.py
@@ -65,7 +65,9 @@
     def weight(self, zone: str, started_after: float = -1.0) -> float:
         """Return the total weight of a zone's servers that started after a time."""
         return sum(
-            s.weight for s in self._servers.values() if s.zone == zone and s.started_at > started_after
+            s.weight
+            for s in self._servers.values()
+            if s.zone == zone and s.started_at > started_after
         )
 
 
@@ -119,7 +121,11 @@
         age[name] = min(age.get(name, cell.age), cell.age)
     found = {}
     for zone in sorted(set(zone_of)):
-        status = ZoneStatus.CLOSED if zone in emptied_zones else zone_status(now, servers, zone, slow_start)
+        status = (
+            ZoneStatus.CLOSED
+            if zone in emptied_zones
+            else zone_status(now, servers, zone, slow_start)
+        )
         if status is ZoneStatus.OPEN and (is_cut_off(zone) or age.get(zone, 0.0) > max_report_age):
             status = ZoneStatus.COLD
         capacity = rate_per_weight * servers.weight(zone)
--- a/ironrail/peers/steering/cost_model.py
+++ b/ironrail/peers/steering/cost_model.py
@@ -77,7 +77,9 @@
         """Return the weight of a region by its titles; 1 if none of them is known."""
         shares = self.title_shares.get(region, {})
         rest = max(0.0, 1.0 - sum(shares.values()))
-        return rest + sum(share * self.titles.get(title, 1.0) for title, share in sorted(shares.items()))
+        return rest + sum(
+            share * self.titles.get(title, 1.0) for title, share in sorted(shares.items())
+        )
 
 
 EQUAL_WEIGHTS = RequestWeights()
@@ -132,7 +134,9 @@
         by_zone: dict[str, list[CellEstimate]] = {}
         for (_, zone), cell in sorted(cells.items(), key=lambda item: item[0]):
             by_zone.setdefault(zone, []).append(cell)
-        self._youngest_age = {zone: min(cell.age for cell in there) for zone, there in by_zone.items()}
+        self._youngest_age = {
+            zone: min(cell.age for cell in there) for zone, there in by_zone.items()
+        }
         self._zone_service = {
             zone: self._service([cell for cell in there if self._is_recent(zone, cell)])
             for zone, there in by_zone.items()
@@ -157,10 +161,15 @@
             self._links.get(zone, math.inf),
             self._zones[zone],
         )
-        if cell is None or not sum(class_mix) or cell.num_reporters < min(MIN_REPORTERS, state.num_routers):
+        if (
+            cell is None
+            or not sum(class_mix)
+            or cell.num_reporters < min(MIN_REPORTERS, state.num_routers)
+        ):
             return UNKNOWN_COST
-        has_enough_samples = cell.rate >= MIN_REGION_RATE_PER_ROUTER * state.num_routers and self._is_recent(
-            zone, cell
+        has_enough_samples = (
+            cell.rate >= MIN_REGION_RATE_PER_ROUTER * state.num_routers
+            and self._is_recent(zone, cell)
         )
         own, late = self._service([cell]) if has_enough_samples else self._zone_service[zone]
         general, _ = self._zone_service[zone]
@@ -168,7 +177,9 @@
         for part, own_seconds, general_seconds in zip(class_mix, own, general, strict=True):
             if part:
                 service += (
-                    part / sum(class_mix) * (own_seconds if math.isfinite(own_seconds) else general_seconds)
+                    part
+                    / sum(class_mix)
+                    * (own_seconds if math.isfinite(own_seconds) else general_seconds)
                 )
         idle = service * (1.0 - _utilization(state.load, state.capacity))
         fixed = cell.rtt + link + LATE_PENALTY_SECONDS * late
--- a/ironrail/peers/steering/histogram.py
+++ b/ironrail/peers/steering/histogram.py
@@ -18,7 +18,10 @@
 _MAX_DURATION_SECONDS = MIN_DURATION_SECONDS * BUCKET_RATIO ** (NUM_BUCKETS - 1)
 _MAX_GROWTH_HALF_LIVES = 40.0  # weights grow by 2 to this power before they are scaled down
 MIN_RATE_PER_SECOND, _LOG_RATE_RATIO = 0.01, math.log(1.25)  # 64 codes of this ratio reach 10,000/s
-MIN_FRACTION, _LOG_FRACTION_RATIO = 0.004, math.log(1.0 / 0.004) / 14  # the last code stands for 1.0
+MIN_FRACTION, _LOG_FRACTION_RATIO = (
+    0.004,
+    math.log(1.0 / 0.004) / 14,
+)  # the last code stands for 1.0
 
 
 def duration_code(seconds: float) -> int:
@@ -40,7 +43,11 @@
 def rate_code(rate: float) -> int:
     """Return the code of a rate in requests/s, within 12 % from 0.01 to 10,000."""
     return min(
-        63, max(0, round(math.log(max(rate, MIN_RATE_PER_SECOND) / MIN_RATE_PER_SECOND) / _LOG_RATE_RATIO))
+        63,
+        max(
+            0,
+            round(math.log(max(rate, MIN_RATE_PER_SECOND) / MIN_RATE_PER_SECOND) / _LOG_RATE_RATIO),
+        ),
     )
 
 
--- a/ironrail/peers/steering/local_statistics.py
+++ b/ironrail/peers/steering/local_statistics.py
@@ -69,7 +69,13 @@
             self._of(region).rtt.add(now, duration_code(seconds))
 
     def record_request(
-        self, now: float, region: int, class_number: int, seconds: float, is_on_time: bool, is_abandoned: bool
+        self,
+        now: float,
+        region: int,
+        class_number: int,
+        seconds: float,
+        is_on_time: bool,
+        is_abandoned: bool,
     ) -> None:
         """Record the end of a request.
 
@@ -88,10 +94,15 @@
         histograms = self._of(region)
         times, arrivals = histograms.classes.get(class_number) or histograms.classes.setdefault(
             class_number,
-            (DecayingHistogram(SERVICE_HALF_LIFE_SECONDS), DecayingHistogram(SERVICE_HALF_LIFE_SECONDS, 1)),
+            (
+                DecayingHistogram(SERVICE_HALF_LIFE_SECONDS),
+                DecayingHistogram(SERVICE_HALF_LIFE_SECONDS, 1),
+            ),
         )
         arrivals.add(now, 0)
-        histograms.outcomes.add(now, _ABANDONED if is_abandoned else _ON_TIME if is_on_time else _LATE)
+        histograms.outcomes.add(
+            now, _ABANDONED if is_abandoned else _ON_TIME if is_on_time else _LATE
+        )
         if not is_abandoned and seconds >= 0.0 and math.isfinite(seconds):
             times.add(now, duration_code(seconds))
 
@@ -112,7 +123,9 @@
         if histograms is None:
             return None
         per_second = (
-            math.log(2.0) / SERVICE_HALF_LIFE_SECONDS / max(1e-3, 1.0 - 2.0 ** -self._uptime_half_lives(now))
+            math.log(2.0)
+            / SERVICE_HALF_LIFE_SECONDS
+            / max(1e-3, 1.0 - 2.0 ** -self._uptime_half_lives(now))
         )
         total = sum(arrivals.weight(now) for _, arrivals in histograms.classes.values())
         classes = {
--- a/ironrail/peers/steering/migration.py
+++ b/ironrail/peers/steering/migration.py
@@ -93,7 +93,9 @@
             candidates: Connections of this router.
             accepts: Whether each zone accepts more clients.
         """
-        self._tokens = min(self._burst, self._tokens + self._rate * max(0.0, now - self._refilled_at))
+        self._tokens = min(
+            self._burst, self._tokens + self._rate * max(0.0, now - self._refilled_at)
+        )
         self._refilled_at = max(now, self._refilled_at)
         if self._tokens < 1.0:
             return []
--- a/ironrail/peers/steering/planner.py
+++ b/ironrail/peers/steering/planner.py
@@ -78,15 +78,17 @@
             if not rate or not units:
                 continue
             for zone in self._zones:
-                self._expected_load[zone] += units.get(zone, 0) * rate / UNITS_PER_REGION - here.get(
-                    zone, 0.0
-                )
+                self._expected_load[zone] += units.get(
+                    zone, 0
+                ) * rate / UNITS_PER_REGION - here.get(zone, 0.0)
             class_mix = costs.class_mix(region)
             self._unit_rate[region], self._units[region] = rate / UNITS_PER_REGION, units
             self._weight[region] = weights.get(region, 1.0)
             self._costs[region] = {z: costs.zone_cost(region, z, class_mix) for z in self._zones}
             self._movable_units[region] = int(limits.max_region_ratio * UNITS_PER_REGION)
-        self._load = {name: max(zone.load, self._expected_load[name]) for name, zone in self._zones.items()}
+        self._load = {
+            name: max(zone.load, self._expected_load[name]) for name, zone in self._zones.items()
+        }
         self._initial_units = {region: dict(units) for region, units in self._units.items()}
         self._rows_in_force = {r: dict(row) for r, row in sorted(rows_in_force.items())}
         self._budget = limits.max_moved_ratio * sum(zone.load for zone in self._zones.values())
@@ -160,13 +162,20 @@
                 here = self._costs[region][zone].fixed
                 for target, cost in self._costs[region].items():
                     if units.get(zone) and target != zone and cost is not UNKNOWN_COST:
-                        loss = self._marginal_cost(region, target) - (here if here < math.inf else 0.0)
+                        loss = self._marginal_cost(region, target) - (
+                            here if here < math.inf else 0.0
+                        )
                         candidates.append((self._weight[region] * loss, region, target))
             for _, region, target in sorted(candidates):
-                excess = self._expected_load[zone] - self._limits.target_utilization * state.capacity
+                excess = (
+                    self._expected_load[zone] - self._limits.target_utilization * state.capacity
+                )
                 if excess <= 0.0:
                     break
-                n = min(math.ceil(excess / self._unit_rate[region]), self._max_units(region, zone, target))
+                n = min(
+                    math.ceil(excess / self._unit_rate[region]),
+                    self._max_units(region, zone, target),
+                )
                 if n > 0 and (region, target, -1) not in self._recent_changes:
                     self._move(region, zone, target, n, ProposalReason.ZONE_OVERLOADED)
 
@@ -282,7 +291,9 @@
     def _fits_document(self, region: str, target: str) -> bool:
         """Whether the document can hold the region's row with one more zone."""
         rows = {
-            r: u for r, u in self._units.items() if r in self._rows_in_force or u != self._initial_units[r]
+            r: u
+            for r, u in self._units.items()
+            if r in self._rows_in_force or u != self._initial_units[r]
         }
         rows[region] = {**self._units[region], target: 1}
         return sum(row_size_bytes(r, u) for r, u in rows.items()) <= self._limits.max_rows_bytes
--- a/ironrail/peers/steering/proposal.py
+++ b/ironrail/peers/steering/proposal.py
@@ -117,7 +117,9 @@
                 if abs(step) * UNITS_PER_REGION >= 0.999:
                     self._changes[region, zone, 1 if step > 0.0 else -1] = now
         self._rows = {region: dict(row) for region, row in rows.items()}
-        self._changes = {change: at for change, at in self._changes.items() if now - at <= self._dwell}
+        self._changes = {
+            change: at for change, at in self._changes.items() if now - at <= self._dwell
+        }
 
     def recent(self, now: float) -> ShareChanges:
         """Return the changes within the dwell time."""
--- a/ironrail/peers/steering/protocol.py
+++ b/ironrail/peers/steering/protocol.py
@@ -102,16 +102,28 @@
             SteeringConfigError: There are too many zones or routers, a zone is named twice, or a
                 router has no zone.
         """
-        if len(set(zones)) < len(zones) or not 0 < len(zones) <= MAX_ZONES or len(zone_of) > MAX_ROUTERS:
+        if (
+            len(set(zones)) < len(zones)
+            or not 0 < len(zones) <= MAX_ZONES
+            or len(zone_of) > MAX_ROUTERS
+        ):
             raise SteeringConfigError(
-                f"{len(zones)} zones and {len(zone_of)} routers: too many, none, or a zone named twice",
+                f"{len(zones)} zones and {len(zone_of)} routers:"
+                " too many, none, or a zone named twice",
                 "peers",
             )
         if not 0 <= own_index < len(zone_of) or not all(0 <= zone < len(zones) for zone in zone_of):
             raise SteeringConfigError("a router has no zone", "peers")
         self._own_index, self._incarnation, self._rng = own_index, incarnation, rng
-        self._zones, self._zone_of, self._classes = tuple(zones), zone_of, tuple(classes[:MAX_CLASSES])
-        self._regions, self._class_numbers = regions, {name: n for n, name in enumerate(self._classes)}
+        self._zones, self._zone_of, self._classes = (
+            tuple(zones),
+            zone_of,
+            tuple(classes[:MAX_CLASSES]),
+        )
+        self._regions, self._class_numbers = (
+            regions,
+            {name: n for n, name in enumerate(self._classes)},
+        )
         self.table = RegionReportTable(zone_of, len(zones), len(regions.names))
         self.local, self.history = LocalStatistics(now), ChangeHistory()
         self._sequence = 0
@@ -186,7 +198,8 @@
             return self._tick_at
         return min(
             self._tick_at,
-            self._tokens_at + (MAX_BODY_BYTES + HEADER_BYTES - self._tokens) / RATE_LIMIT_BYTES_PER_SECOND,
+            self._tokens_at
+            + (MAX_BODY_BYTES + HEADER_BYTES - self._tokens) / RATE_LIMIT_BYTES_PER_SECOND,
         )
 
     def cell_estimates(self, now: float) -> dict[tuple[str, str], CellEstimate]:
@@ -248,7 +261,10 @@
         self._sequence = min(MAX_SEQUENCE - 1, self._sequence + 1)
         self._reported_at[region] = now
         self._merge_and_forward(
-            now, RegionReport(self._own_index, self._incarnation, region, self._sequence, summary.pack(), 0.0)
+            now,
+            RegionReport(
+                self._own_index, self._incarnation, region, self._sequence, summary.pack(), 0.0
+            ),
         )
 
     def _merge_and_forward(self, now: float, report: RegionReport) -> None:
@@ -260,7 +276,9 @@
         self._pending[key] = max(before, min(change, NEW_REPORT_CHANGE)), FORWARD_COPIES, now
         if len(self._pending) > MAX_PENDING_REPORTS:
             kept = heapq.nlargest(
-                PENDING_REPORTS_AFTER_TRIM, self._pending.items(), key=lambda item: (item[1][0], item[1][2])
+                PENDING_REPORTS_AFTER_TRIM,
+                self._pending.items(),
+                key=lambda item: (item[1][0], item[1][2]),
             )
             self._pending = dict(kept)
 
--- a/ironrail/peers/steering/regions.py
+++ b/ironrail/peers/steering/regions.py
@@ -50,7 +50,8 @@
         """
         if len(named) >= MAX_REGIONS:
             raise RegionsError(
-                f"{len(named)} regions are defined, at most {MAX_REGIONS - 1} are allowed", "regions"
+                f"{len(named)} regions are defined, at most {MAX_REGIONS - 1} are allowed",
+                "regions",
             )
         self.names = (UNKNOWN_REGION, *sorted(named))
         self.numbers = {name: number for number, name in enumerate(self.names)}
@@ -66,7 +67,9 @@
             for text in ranges:
                 network = _parse_network(text, location)
                 if owners.setdefault(network, self.numbers[name]) != self.numbers[name]:
-                    raise RegionsError(f"{network} is also in {self.names[owners[network]]!r}", location)
+                    raise RegionsError(
+                        f"{network} is also in {self.names[owners[network]]!r}", location
+                    )
         if len(owners) > MAX_RANGES:
             raise RegionsError(
                 f"{len(owners)} ranges are defined, at most {MAX_RANGES} are allowed", "regions"
--- a/ironrail/peers/steering/report_table.py
+++ b/ironrail/peers/steering/report_table.py
@@ -119,7 +119,9 @@
         self.incarnations: dict[int, int] = {}
         self._records: dict[int, bytearray] = {}  # by zone, allocated with its first report
         max_reports = (
-            num_regions * min(num_zones, ZONES_PER_REGION) * min(MAX_REPORTERS, max(self.num_routers))
+            num_regions
+            * min(num_zones, ZONES_PER_REGION)
+            * min(MAX_REPORTERS, max(self.num_routers))
         )
         self.renewal_seconds = max(MIN_RENEWAL_SECONDS, max_reports / RENEWALS_PER_SECOND)
 
@@ -175,7 +177,11 @@
     def stored(self, reporter: int, region: int) -> StoredRegionReport | None:
         """Return the stored report of a reporter on a region, if any."""
         return next(
-            (stored for stored in self._cell(self.zone_of[reporter], region) if stored.reporter == reporter),
+            (
+                stored
+                for stored in self._cell(self.zone_of[reporter], region)
+                if stored.reporter == reporter
+            ),
             None,
         )
 
@@ -239,12 +245,16 @@
         found: list[StoredRegionReport] = []
         if records is not None:
             for at in range(region * _CELL_BYTES, (region + 1) * _CELL_BYTES, _RECORD.size):
-                reporter, incarnation, sequence, measured_at, values = _RECORD.unpack_from(records, at)
+                reporter, incarnation, sequence, measured_at, values = _RECORD.unpack_from(
+                    records, at
+                )
                 if not reporter:
                     break
                 size = 4 + 2 * (values[3] & 63).bit_count()
                 found.append(
-                    StoredRegionReport(reporter - 1, incarnation, sequence, measured_at, values[:size])
+                    StoredRegionReport(
+                        reporter - 1, incarnation, sequence, measured_at, values[:size]
+                    )
                 )
         return found
 
@@ -254,7 +264,13 @@
             records = self._records[zone] = bytearray(_CELL_BYTES * self.num_regions)
         at = region * _CELL_BYTES + slot * _RECORD.size
         _RECORD.pack_into(
-            records, at, new.reporter + 1, new.incarnation, new.sequence, new.measured_at, new.values
+            records,
+            at,
+            new.reporter + 1,
+            new.incarnation,
+            new.sequence,
+            new.measured_at,
+            new.values,
         )
 
 
@@ -263,7 +279,8 @@
     found = []
     for class_number in range(max((max(row) + 1 for row in rows if row), default=0)):
         typical, tail, share = (
-            upper_median([row.get(class_number, _NO_CLASS_CODES)[n] for row in rows]) for n in range(3)
+            upper_median([row.get(class_number, _NO_CLASS_CODES)[n] for row in rows])
+            for n in range(3)
         )
         found.append(
             NO_CLASS_DATA
--- a/ironrail/peers/steering/reports.py
+++ b/ironrail/peers/steering/reports.py
@@ -56,7 +56,13 @@
             if class_number < MAX_CLASSES:
                 mask |= 1 << class_number
                 rows += (typical << 10 | tail << 4 | share).to_bytes(2, "big")
-        head = self.rtt << 26 | self.rtt_tail << 20 | self.rate << 14 | self.late << 10 | self.abandoned << 6
+        head = (
+            self.rtt << 26
+            | self.rtt_tail << 20
+            | self.rate << 14
+            | self.late << 10
+            | self.abandoned << 6
+        )
         return (head | mask).to_bytes(4, "big") + rows
 
     def difference(self, other: RegionSummary) -> int:
@@ -82,7 +88,12 @@
             classes.append((class_number, row >> 10, row >> 4 & 63, row & 15))
             at += 2
     return RegionSummary(
-        head >> 26, head >> 20 & 63, head >> 14 & 63, head >> 10 & 15, head >> 6 & 15, tuple(classes)
+        head >> 26,
+        head >> 20 & 63,
+        head >> 14 & 63,
+        head >> 10 & 15,
+        head >> 6 & 15,
+        tuple(classes),
     )
 
 
@@ -130,14 +141,21 @@
             + _encode_varint(age)
             + report.values
         )
-        head = 0 if source in groups else len(_encode_varint(source[0])) + len(_encode_varint(source[1])) + 1
+        head = (
+            0
+            if source in groups
+            else len(_encode_varint(source[0])) + len(_encode_varint(source[1])) + 1
+        )
         if size + head + len(row) > max_bytes:
             break
         groups.setdefault(source, []).append(row)
         size += head + len(row)
         taken += 1
     return digest + b"".join(
-        _encode_varint(reporter) + _encode_varint(incarnation) + bytes((len(rows),)) + b"".join(rows)
+        _encode_varint(reporter)
+        + _encode_varint(incarnation)
+        + bytes((len(rows),))
+        + b"".join(rows)
         for (reporter, incarnation), rows in groups.items()
     ), taken
 
@@ -181,6 +199,8 @@
             head = take(4)
             values = head + take(2 * (head[3] & 63).bit_count())
             found.append(
-                RegionReport(reporter, incarnation, region, sequence, values, age * AGE_UNIT_SECONDS)
+                RegionReport(
+                    reporter, incarnation, region, sequence, values, age * AGE_UNIT_SECONDS
+                )
             )
     return found
--- a/ironrail/peers/steering/status.py
+++ b/ironrail/peers/steering/status.py
@@ -81,7 +81,11 @@
                 "round_trip": _finite(cell.rtt),
                 "round_trip_tail": _finite(cell.rtt_tail),
                 "service": {
-                    name: {"typical": _finite(row[0]), "tail": _finite(row[1]), "share": _finite(row[2])}
+                    name: {
+                        "typical": _finite(row[0]),
+                        "tail": _finite(row[1]),
+                        "share": _finite(row[2]),
+                    }
                     for name, row in zip(classes, cell.classes, strict=False)
                     if math.isfinite(row[0])
                 },
--- a/ironrail/peers/transport/datagram_codec.py
+++ b/ironrail/peers/transport/datagram_codec.py
@@ -11,12 +11,28 @@
 from collections.abc import Callable
 from enum import IntEnum
 
-from ironrail.peers.messages import ALL_PEERS, MAX_DATAGRAM_BYTES, MAX_ROUTERS, Outgoing, Received, Topic
+from ironrail.peers.messages import (
+    ALL_PEERS,
+    MAX_DATAGRAM_BYTES,
+    MAX_ROUTERS,
+    Outgoing,
+    Received,
+    Topic,
+)
 from ironrail.peers.transport import datagram_format
-from ironrail.peers.transport.datagram_format import HEADER_BYTES, MAC_BYTES, MIN_DATAGRAM_BYTES, Header
+from ironrail.peers.transport.datagram_format import (
+    HEADER_BYTES,
+    MAC_BYTES,
+    MIN_DATAGRAM_BYTES,
+    Header,
+)
 from ironrail.peers.transport.errors import IncarnationError, PeerTableError, UnsendableError
 from ironrail.peers.transport.fragmentation import Reassembly, split_body
-from ironrail.peers.transport.handshake import HandshakeMessage, HandshakeScheduler, decode_handshake
+from ironrail.peers.transport.handshake import (
+    HandshakeMessage,
+    HandshakeScheduler,
+    decode_handshake,
+)
 from ironrail.peers.transport.keys import BROADCAST_RECEIVER, KeyRing
 from ironrail.peers.transport.sender_state import RateLimiter, SenderState
 
@@ -108,10 +124,16 @@
             UnsendableError: The message is too long or its receiver is invalid.
         """
         to_all = outgoing.to == ALL_PEERS
-        if not to_all and (outgoing.to == self.own_index or not 0 <= outgoing.to < self.num_routers):
-            raise UnsendableError(f"topic {outgoing.topic}: router {outgoing.to} is not a valid receiver")
+        if not to_all and (
+            outgoing.to == self.own_index or not 0 <= outgoing.to < self.num_routers
+        ):
+            raise UnsendableError(
+                f"topic {outgoing.topic}: router {outgoing.to} is not a valid receiver"
+            )
         if len(outgoing.body) > datagram_format.MAX_BODY_BYTES:
-            raise UnsendableError(f"topic {outgoing.topic}: a body of {len(outgoing.body)} bytes is too long")
+            raise UnsendableError(
+                f"topic {outgoing.topic}: a body of {len(outgoing.body)} bytes is too long"
+            )
         keys, receiver, parts = (
             self._keys,
             BROADCAST_RECEIVER if to_all else outgoing.to,
@@ -189,7 +211,9 @@
             sender = self._senders[peer_index] = SenderState()
         return sender
 
-    def _process(self, now: float, source: int | None, datagram: bytes) -> OpenedMessages | DropReason:
+    def _process(
+        self, now: float, source: int | None, datagram: bytes
+    ) -> OpenedMessages | DropReason:
         if source is None:
             return DropReason.FOREIGN
         if not MIN_DATAGRAM_BYTES <= len(datagram) <= MAX_DATAGRAM_BYTES:
@@ -203,7 +227,11 @@
             header.topic == Topic.TRANSPORT and (header.to_all or header.is_fragment)
         ):
             return DropReason.TOPIC
-        if header.sender != source or source == self.own_index or not 0 <= source < self.num_routers:
+        if (
+            header.sender != source
+            or source == self.own_index
+            or not 0 <= source < self.num_routers
+        ):
             return DropReason.SENDER
         sender = self._sender(source)
         if header.incarnation == sender.incarnation:
@@ -227,7 +255,9 @@
             return self._on_handshake(now, sender, header, handshake)
         if header.is_fragment:
             try:
-                whole = self._reassembly.add_fragment(now, header.sender, header.sequence, topic, body)
+                whole = self._reassembly.add_fragment(
+                    now, header.sender, header.sequence, topic, body
+                )
             except ValueError:
                 return DropReason.MALFORMED
             if whole is None:
@@ -246,7 +276,9 @@
         if header.incarnation in sender.replaced_incarnations:
             return DropReason.REPLACED
         handshake = (
-            decode_handshake(datagram[HEADER_BYTES:-MAC_BYTES]) if header.topic == Topic.TRANSPORT else None
+            decode_handshake(datagram[HEADER_BYTES:-MAC_BYTES])
+            if header.topic == Topic.TRANSPORT
+            else None
         )
         if header.topic == Topic.TRANSPORT and handshake is None:
             return DropReason.MALFORMED
--- a/ironrail/peers/transport/datagram_format.py
+++ b/ironrail/peers/transport/datagram_format.py
@@ -54,10 +54,21 @@
 
 
 def encode_header(
-    to_all: bool, is_fragment: bool, topic: int, key_id: int, sender: int, incarnation: int, sequence: int
+    to_all: bool,
+    is_fragment: bool,
+    topic: int,
+    key_id: int,
+    sender: int,
+    incarnation: int,
+    sequence: int,
 ) -> bytes:
     """Return the first `HEADER_BYTES` of a datagram of this version."""
-    first = VERSION << 5 | (_TO_ALL_FLAG if to_all else 0) | (_FRAGMENT_FLAG if is_fragment else 0) | topic
+    first = (
+        VERSION << 5
+        | (_TO_ALL_FLAG if to_all else 0)
+        | (_FRAGMENT_FLAG if is_fragment else 0)
+        | topic
+    )
     return _HEADER.pack(
         first,
         key_id,
@@ -74,8 +85,8 @@
 
     The caller has checked the version, in the first three bits.
     """
-    first, key_id, sender, incarnation, incarnation_low, sequence, sequence_low = _HEADER.unpack_from(
-        datagram
+    first, key_id, sender, incarnation, incarnation_low, sequence, sequence_low = (
+        _HEADER.unpack_from(datagram)
     )
     return Header(
         bool(first & _TO_ALL_FLAG),
--- a/ironrail/peers/transport/errors.py
+++ b/ironrail/peers/transport/errors.py
@@ -10,14 +10,17 @@
 class SecretError(InputError):
     """A secret is too short or too long. The secret is never shown."""
 
-    advice: ClassVar[str] = "Make each secret of 16 to 64 random bytes and give the same to every router"
+    advice: ClassVar[str] = (
+        "Make each secret of 16 to 64 random bytes and give the same to every router"
+    )
 
 
 class KeyIdError(InputError):
     """The key ids can't be used: none, more than two, out of range, or without the sending key."""
 
     advice: ClassVar[str] = (
-        "Name one key, or during a change the old and the new, with ids of 0 to 255, and send with one"
+        "Name one key, or during a change the old and the new,"
+        " with ids of 0 to 255, and send with one"
     )
 
 
@@ -32,7 +35,9 @@
 class IncarnationError(InputError):
     """The identifier of a process is not between 1 and 2**48 - 1."""
 
-    advice: ClassVar[str] = "Draw it anew from the system's random bytes whenever the process starts"
+    advice: ClassVar[str] = (
+        "Draw it anew from the system's random bytes whenever the process starts"
+    )
 
 
 class RateLimitError(InputError):
@@ -44,4 +49,6 @@
 class UnsendableError(InputError):
     """A message that no datagram can carry: too long, or to an invalid receiver."""
 
-    advice: ClassVar[str] = "This is a defect of the protocol that sent it: report it with its topic"
+    advice: ClassVar[str] = (
+        "This is a defect of the protocol that sent it: report it with its topic"
+    )
--- a/ironrail/peers/transport/fragmentation.py
+++ b/ironrail/peers/transport/fragmentation.py
@@ -28,7 +28,10 @@
     """Return the body in one part, or its fragments, each with a fragment header."""
     if len(body) <= MAX_SINGLE_BODY_BYTES:
         return [body]
-    parts = [body[at : at + MAX_FRAGMENT_BODY_BYTES] for at in range(0, len(body), MAX_FRAGMENT_BODY_BYTES)]
+    parts = [
+        body[at : at + MAX_FRAGMENT_BODY_BYTES]
+        for at in range(0, len(body), MAX_FRAGMENT_BODY_BYTES)
+    ]
     return [bytes((index, len(parts))) + part for index, part in enumerate(parts)]
 
 
@@ -56,7 +59,9 @@
         self.memory_bytes = 0
         self.expired = self.evicted = 0
 
-    def add_fragment(self, now: float, sender: int, sequence: int, topic: Topic, data: bytes) -> bytes | None:
+    def add_fragment(
+        self, now: float, sender: int, sequence: int, topic: Topic, data: bytes
+    ) -> bytes | None:
         """Add a fragment.
 
         Args:
--- a/ironrail/peers/transport/handshake.py
+++ b/ironrail/peers/transport/handshake.py
@@ -34,7 +34,9 @@
 
     def encode(self) -> bytes:
         """Return the body: a byte of flags for the nonces that it has, then these."""
-        flags = (_CHALLENGE_FLAG if self.challenge else 0) | (_RESPONSE_FLAG if self.response else 0)
+        flags = (_CHALLENGE_FLAG if self.challenge else 0) | (
+            _RESPONSE_FLAG if self.response else 0
+        )
         return bytes([flags]) + self.challenge + self.response
 
 
@@ -106,7 +108,9 @@
             peer_index = next(iter(self._pending))
             pending = self._pending.pop(peer_index)
             self._rate_limiter.consume(now, self._interval)
-            challenge = self._challenge_nonce(sender_of(peer_index), now) if pending.challenge else b""
+            challenge = (
+                self._challenge_nonce(sender_of(peer_index), now) if pending.challenge else b""
+            )
             body = HandshakeMessage(challenge, pending.response).encode()
             messages.append(Outgoing(peer_index, Topic.TRANSPORT, body, Priority.LEASE))
         return messages
@@ -114,7 +118,9 @@
     def next_timer_at(self) -> float:
         """Return when the next message may be sent; infinite if none is due."""
         return (
-            self._rate_limiter.full_at - (HANDSHAKE_BURST - 1) * self._interval if self._pending else math.inf
+            self._rate_limiter.full_at - (HANDSHAKE_BURST - 1) * self._interval
+            if self._pending
+            else math.inf
         )
 
     def _challenge_nonce(self, sender: SenderState, now: float) -> bytes:
--- a/ironrail/peers/transport/keys.py
+++ b/ironrail/peers/transport/keys.py
@@ -29,7 +29,9 @@
         sending_key_id: Id of the key to send with.
     """
 
-    def __init__(self, sending_key_id: int, secrets: Mapping[int, bytes], location: str = "peers") -> None:
+    def __init__(
+        self, sending_key_id: int, secrets: Mapping[int, bytes], location: str = "peers"
+    ) -> None:
         """Derive the keys.
 
         Args:
--- a/ironrail/peers/transport/send_queue.py
+++ b/ironrail/peers/transport/send_queue.py
@@ -23,7 +23,12 @@
 MAX_QUEUED_BYTES = 64 * 1024  # of bodies: one that has waited over half a minute is of no use
 MAX_QUEUED_MESSAGES = 2048  # two for each of 1000 routers
 # Bytes of the burst that each priority leaves to the higher ones.
-RESERVED_BYTES = {Priority.VOTE: 0.0, Priority.LEASE: 256.0, Priority.STATE: 512.0, Priority.GOSSIP: 1024.0}
+RESERVED_BYTES = {
+    Priority.VOTE: 0.0,
+    Priority.LEASE: 256.0,
+    Priority.STATE: 512.0,
+    Priority.GOSSIP: 1024.0,
+}
 ROUNDING_BYTES = 1e-6  # that may be missing because of floating-point rounding
 
 SealedDatagram = tuple[int, bytes]  # receiver's index or ALL_PEERS, datagram
@@ -70,7 +75,8 @@
         """
         if bytes_per_second < MIN_BYTES_PER_SECOND or burst_bytes < sealed_size(MAX_BODY_BYTES):
             raise RateLimitError(
-                f"{bytes_per_second:g} bytes a second and {burst_bytes:g} at once are too few", "peers"
+                f"{bytes_per_second:g} bytes a second and {burst_bytes:g} at once are too few",
+                "peers",
             )
         self._seal, self._num_peers, self._bytes_per_second, self._burst_bytes = (
             seal,
@@ -93,13 +99,17 @@
         Of `Priority.GOSSIP` only the newest of one (to, topic, first byte of the body) is kept.
         """
         self._refill(now)
-        cost_bytes = sealed_size(len(message.body)) * (self._num_peers if message.to == ALL_PEERS else 1)
+        cost_bytes = sealed_size(len(message.body)) * (
+            self._num_peers if message.to == ALL_PEERS else 1
+        )
         if len(message.body) > MAX_BODY_BYTES:
             self.dropped[message.priority] += 1
             return
         self._last_id += 1
         key: QueueKey = self._last_id
-        queue = (self._large_queues if cost_bytes > self._burst_bytes else self._queues)[message.priority]
+        queue = (self._large_queues if cost_bytes > self._burst_bytes else self._queues)[
+            message.priority
+        ]
         if message.priority is Priority.GOSSIP:
             key = (message.to, message.topic, message.body[:1])
             for queues in (self._large_queues, self._queues):
@@ -149,7 +159,10 @@
             missing = max(0.0, large[2].cost_bytes - self._large_tokens)
             until_full = min(missing, full_in * rate)
             at = min(
-                at, self._refilled_at + until_full / rate + (missing - until_full) / self._bytes_per_second
+                at,
+                self._refilled_at
+                + until_full / rate
+                + (missing - until_full) / self._bytes_per_second,
             )
         return at
 
@@ -166,7 +179,9 @@
         self._large_tokens = min(self._large_tokens + gained - share, large[2].cost_bytes)
 
     def _missing_tokens(self, queued: _QueuedMessage) -> float:
-        reserved = min(RESERVED_BYTES[queued.message.priority], self._burst_bytes - queued.cost_bytes)
+        reserved = min(
+            RESERVED_BYTES[queued.message.priority], self._burst_bytes - queued.cost_bytes
+        )
         return queued.cost_bytes + reserved - self._tokens
 
     def _remove_and_seal(
@@ -196,7 +211,9 @@
                     return
 
     @staticmethod
-    def _first(queues: dict[Priority, MessageQueue]) -> tuple[MessageQueue, QueueKey, _QueuedMessage] | None:
+    def _first(
+        queues: dict[Priority, MessageQueue],
+    ) -> tuple[MessageQueue, QueueKey, _QueuedMessage] | None:
         for queue in queues.values():
             for key, queued in queue.items():
                 return queue, key, queued
--- a/ironrail/peers/transport/sender_state.py
+++ b/ironrail/peers/transport/sender_state.py
@@ -83,7 +83,9 @@
         """Record a sequence number that is fresh, of a datagram whose MAC is valid."""
         ahead = sequence - self.highest_sequence
         if ahead > 0:
-            self.seen_mask = (self.seen_mask << ahead | 1) & _WINDOW_MASK if ahead < REPLAY_WINDOW else 1
+            self.seen_mask = (
+                (self.seen_mask << ahead | 1) & _WINDOW_MASK if ahead < REPLAY_WINDOW else 1
+            )
             self.highest_sequence = sequence
         else:
             self.seen_mask |= 1 << -ahead
@@ -98,10 +100,16 @@
             self.replaced_incarnations = (*self.replaced_incarnations, self.incarnation)[
                 -MAX_REPLACED_INCARNATIONS:
             ]
-        self.incarnation, self.highest_sequence, self.seen_mask = (incarnation, sequence, _WINDOW_MASK)
+        self.incarnation, self.highest_sequence, self.seen_mask = (
+            incarnation,
+            sequence,
+            _WINDOW_MASK,
+        )
 
     def is_valid_response(self, nonce: bytes, now: float) -> bool:
         """Return whether this nonce answers the pending challenge in time."""
         return (
-            bool(self.nonce) and nonce == self.nonce and now - self.nonce_created_at <= MAX_NONCE_AGE_SECONDS
+            bool(self.nonce)
+            and nonce == self.nonce
+            and now - self.nonce_created_at <= MAX_NONCE_AGE_SECONDS
         )
--- a/ironrail/peers/zone_latency/gossip_scheduler.py
+++ b/ironrail/peers/zone_latency/gossip_scheduler.py
@@ -43,10 +43,13 @@
         self._table = table
         state_forwards = FORWARDS_PER_LOG2_ROUTERS * math.log2(max(2, len(table.router_zones)))
         self._max_forwards = {
-            change: math.ceil(state_forwards * fraction) for change, fraction in FORWARDING_FRACTIONS.items()
+            change: math.ceil(state_forwards * fraction)
+            for change, fraction in FORWARDING_FRACTIONS.items()
         }
         # how often each (reporter, to zone) was forwarded, in sending order: new ones go first
-        self._pending = {change: OrderedDict[tuple[int, int], int]() for change in FORWARDING_FRACTIONS}
+        self._pending = {
+            change: OrderedDict[tuple[int, int], int]() for change in FORWARDING_FRACTIONS
+        }
         self._table_pass: Iterator[tuple[int, int]] = iter(())
         self._sent_at, self._sent_bytes = -math.inf, 0.0
         self._num_urgent = 0  # messages in a row with changes of state only
@@ -65,7 +68,9 @@
 
     def next_message_at(self) -> float:
         """Return when the next message may be sent, by the size of the one before and the rate."""
-        has_changes = self._pending[LinkReportChange.STATE] or self._pending[LinkReportChange.VALUES]
+        has_changes = (
+            self._pending[LinkReportChange.STATE] or self._pending[LinkReportChange.VALUES]
+        )
         return self._sent_at + self._sent_bytes / (
             MAX_BYTES_PER_SECOND if has_changes else MAX_BYTES_PER_SECOND * IDLE_RATE_FRACTION
         )
@@ -77,10 +82,14 @@
 
     def compose_message(self, now: float) -> bytes:
         """Return the body of the next message, empty if there is nothing to send."""
-        is_urgent = bool(self._pending[LinkReportChange.STATE]) and self._num_urgent < MAX_URGENT_MESSAGES
+        is_urgent = (
+            bool(self._pending[LinkReportChange.STATE]) and self._num_urgent < MAX_URGENT_MESSAGES
+        )
         self._num_urgent = self._num_urgent + 1 if is_urgent else 0
         candidates = (
-            {LinkReportChange.STATE: self._pending[LinkReportChange.STATE]} if is_urgent else self._pending
+            {LinkReportChange.STATE: self._pending[LinkReportChange.STATE]}
+            if is_urgent
+            else self._pending
         )
         picked = [
             (key, change)
@@ -91,7 +100,9 @@
         num_pending = len(keys)
         reports = []
         for number, key in enumerate(
-            chain(list(keys), self._next_of_table(0 if is_urgent else MAX_REPORTS_PER_MESSAGE, keys))
+            chain(
+                list(keys), self._next_of_table(0 if is_urgent else MAX_REPORTS_PER_MESSAGE, keys)
+            )
         ):
             report = self._table.report(now, *key)
             if report is not None:
@@ -113,7 +124,9 @@
         if forwards[key] >= self._max_forwards[change]:
             del forwards[key]
 
-    def _next_of_table(self, limit: int, excluded: Container[tuple[int, int]]) -> Iterator[tuple[int, int]]:
+    def _next_of_table(
+        self, limit: int, excluded: Container[tuple[int, int]]
+    ) -> Iterator[tuple[int, int]]:
         """Yield the next keys of a pass through the table; the next message starts a new pass."""
         for _ in range(limit):
             key = next(self._table_pass, None)
--- a/ironrail/peers/zone_latency/link_monitor.py
+++ b/ironrail/peers/zone_latency/link_monitor.py
@@ -34,8 +34,8 @@
 
         Args:
             own_zone: Number of this router's zone.
-            is_suspected: Called with the time and a zone. Returns whether another router of this zone
-                lately reported the link to that zone slow or cut.
+            is_suspected: Called with the time and a zone. Returns whether another router of this
+                zone lately reported the link to that zone slow or cut.
         """
         self._own_zone, self._is_suspected = own_zone, is_suspected
         self.trackers: dict[int, LinkTracker] = {}
@@ -94,7 +94,9 @@
         if now < tracker.window_ends_at:
             return None
         is_suspected = tracker.is_near_fault and self._is_suspected(now, zone)
-        tracker.close_window(now, self._local_delay(now, zone), self._is_isolated(now, zone), is_suspected)
+        tracker.close_window(
+            now, self._local_delay(now, zone), self._is_isolated(now, zone), is_suspected
+        )
         return zone
 
     def _local_delay(self, now: float, zone: int) -> float:
--- a/ironrail/peers/zone_latency/link_tracker.py
+++ b/ironrail/peers/zone_latency/link_tracker.py
@@ -14,7 +14,12 @@
 from collections import deque
 from enum import IntEnum
 
-from ironrail.peers.zone_latency.histogram import LAST_BUCKET, DecayingHistogram, bucket_of, bucket_seconds
+from ironrail.peers.zone_latency.histogram import (
+    LAST_BUCKET,
+    DecayingHistogram,
+    bucket_of,
+    bucket_seconds,
+)
 
 WINDOW_SECONDS = 0.1  # longer than a burst of answers, shorter than any fault worth reporting
 BASELINE_HALF_LIFE_SECONDS = 600.0  # a link that has been slow for as long has a new baseline
@@ -183,7 +188,8 @@
             self._delay_detector.add(
                 now,
                 self.excess_seconds
-                > max((LATE_FACTOR - 1.0) * baseline, MIN_LATE_SECONDS) + LOCAL_DELAY_FACTOR * local_delay,
+                > max((LATE_FACTOR - 1.0) * baseline, MIN_LATE_SECONDS)
+                + LOCAL_DELAY_FACTOR * local_delay,
             )
             if local_delay <= MIN_LATE_SECONDS:
                 self._baseline.add(now, bucket_of(self._window_fastest))
@@ -199,13 +205,17 @@
         elif self._delay_detector.fault_score >= threshold:
             indicated = MeasuredLinkState.SLOW
         else:
-            indicated = MeasuredLinkState.WELL if self.baseline < math.inf else MeasuredLinkState.UNKNOWN
+            indicated = (
+                MeasuredLinkState.WELL if self.baseline < math.inf else MeasuredLinkState.UNKNOWN
+            )
         if indicated > self.state:
             if indicated > MeasuredLinkState.WELL:
                 self._faults_at.append(now)
             self._set_state(now, indicated)
         elif indicated < self.state and now - self._state_changed_at >= self.dwell(now):
-            detector = self._loss_detector if self.state is MeasuredLinkState.CUT else self._delay_detector
+            detector = (
+                self._loss_detector if self.state is MeasuredLinkState.CUT else self._delay_detector
+            )
             if detector.recovery_score >= DECISION_THRESHOLD:
                 self._set_state(now, indicated)
 
--- a/ironrail/peers/zone_latency/protocol.py
+++ b/ironrail/peers/zone_latency/protocol.py
@@ -74,8 +74,12 @@
             HallsError: The zones are not valid.
         """
         if len(set(zones)) < len(zones) or not 0 < len(zones) <= MAX_ZONES:
-            raise HallsError(f"{len(zones)} zones, expected 1 to {MAX_ZONES} distinct ones", "halls")
-        if not 0 <= own_index < len(router_zones) or not all(0 <= zone < len(zones) for zone in router_zones):
+            raise HallsError(
+                f"{len(zones)} zones, expected 1 to {MAX_ZONES} distinct ones", "halls"
+            )
+        if not 0 <= own_index < len(router_zones) or not all(
+            0 <= zone < len(zones) for zone in router_zones
+        ):
             raise HallsError("a router has no zone", "peers")
         self._own_index, self._incarnation, self._rng = own_index, incarnation, rng
         self._own_zone, self._num_routers, self._num_zones = (
@@ -146,12 +150,17 @@
                     self._report(now, zone)
         if now >= self._snapshot_at:
             self._snapshot_at = now + SNAPSHOT_INTERVAL_SECONDS
-            links = [self.table.estimate(now, self._own_zone, to_zone) for to_zone in range(self._num_zones)]
+            links = [
+                self.table.estimate(now, self._own_zone, to_zone)
+                for to_zone in range(self._num_zones)
+            ]
             self._new_snapshot = self._publisher.update(now, links) or self._new_snapshot
         if self._num_routers > 1 and now >= self._gossip.next_message_at():
             body = self._gossip.compose_message(now)
             if body:
-                self._outgoing.append(Outgoing(self._choose_peer(now), self.topic, body, Priority.GOSSIP))
+                self._outgoing.append(
+                    Outgoing(self._choose_peer(now), self.topic, body, Priority.GOSSIP)
+                )
 
     def _choose_peer(self, now: float) -> int:
         """Return a random peer after changes of state, to spread them; else the preferred one."""
--- a/ironrail/peers/zone_latency/report_table.py
+++ b/ironrail/peers/zone_latency/report_table.py
@@ -78,7 +78,9 @@
 
     __slots__ = ("evidence_at", "incarnation", "packed_values", "sequence")
 
-    def __init__(self, incarnation: int, sequence: int, packed_values: int, evidence_at: float) -> None:
+    def __init__(
+        self, incarnation: int, sequence: int, packed_values: int, evidence_at: float
+    ) -> None:
         """Initialize a stored report; see the attributes of the class."""
         self.incarnation, self.sequence, self.packed_values = incarnation, sequence, packed_values
         self.evidence_at = evidence_at
@@ -92,7 +94,9 @@
             (self.incarnation, self.sequence, self.packed_values),
             (other.incarnation, other.sequence, other.packed_values),
         )
-        return own_order > other_order or (own_order == other_order and self.evidence_at < other.evidence_at)
+        return own_order > other_order or (
+            own_order == other_order and self.evidence_at < other.evidence_at
+        )
 
 
 def rank(reporter: int, to_zone: int) -> int:
@@ -128,7 +132,11 @@
         self, router_zones: Sequence[int], num_zones: int, max_reporters: int = MAX_REPORTERS
     ) -> None:
         """Initialize an empty table; see the attributes of the class."""
-        self.router_zones, self.num_zones, self.max_reporters = router_zones, num_zones, max_reporters
+        self.router_zones, self.num_zones, self.max_reporters = (
+            router_zones,
+            num_zones,
+            max_reporters,
+        )
         self.incarnations: dict[int, int] = {}
         self.links: dict[tuple[int, int], dict[int, StoredLinkReport]] = {}
         routers_in_zone = [0] * num_zones
@@ -144,7 +152,9 @@
             return LinkReportChange.NONE
         if report.incarnation > self.incarnations.get(reporter, -1):
             self.incarnations[reporter] = report.incarnation
-        new = StoredLinkReport(report.incarnation, report.sequence, report.packed_values, now - report.age)
+        new = StoredLinkReport(
+            report.incarnation, report.sequence, report.packed_values, now - report.age
+        )
         link = self.links.setdefault((self.router_zones[reporter], to_zone), {})
         old = link.get(reporter)
         if old is not None and not new.supersedes(old):
@@ -199,7 +209,9 @@
     def estimate(self, now: float, from_zone: int, to_zone: int) -> LinkEstimate:
         """Return what is known of a link; UNKNOWN_LINK without any valid report."""
         reports = [
-            s for r, s in self.links.get((from_zone, to_zone), {}).items() if self._is_valid(now, r, s)
+            s
+            for r, s in self.links.get((from_zone, to_zone), {}).items()
+            if self._is_valid(now, r, s)
         ]
         reports = [s for s in reports if not self._is_stale(now, s)] or reports
         if not reports:
@@ -247,7 +259,9 @@
 
     def keys(self) -> Iterator[tuple[int, int]]:
         """Return the keys of all stored reports, as (reporter, to zone)."""
-        return ((reporter, to_zone) for (_, to_zone), link in self.links.items() for reporter in link)
+        return (
+            (reporter, to_zone) for (_, to_zone), link in self.links.items() for reporter in link
+        )
 
     def __len__(self) -> int:
         """Return the number of stored reports."""
--- a/ironrail/peers/zone_latency/reports.py
+++ b/ironrail/peers/zone_latency/reports.py
@@ -57,7 +57,12 @@
 
 def unpack_values(packed: int) -> tuple[MeasuredLinkState, int, int, float]:
     """Return the state, the buckets of fastest and median round trip, and the loss ratio."""
-    return MeasuredLinkState(packed >> 16), packed >> 6 & 63, packed & 63, (packed >> 12 & 15) / LOSS_STEPS
+    return (
+        MeasuredLinkState(packed >> 16),
+        packed >> 6 & 63,
+        packed & 63,
+        (packed >> 12 & 15) / LOSS_STEPS,
+    )
 
 
 def is_significant_change(one: int, other: int) -> bool:
@@ -94,7 +99,9 @@
             + report.packed_values.to_bytes(3, "big")
         )
         header_size = (
-            0 if group in groups else len(_encode_varint(group[0])) + len(_encode_varint(group[1])) + 1
+            0
+            if group in groups
+            else len(_encode_varint(group[0])) + len(_encode_varint(group[1])) + 1
         )
         if size + header_size + len(row) > max_bytes:
             break
@@ -102,7 +109,10 @@
         size += header_size + len(row)
         num_encoded += 1
     body = b"".join(
-        _encode_varint(reporter) + _encode_varint(incarnation) + bytes((len(rows),)) + b"".join(rows)
+        _encode_varint(reporter)
+        + _encode_varint(incarnation)
+        + bytes((len(rows),))
+        + b"".join(rows)
         for (reporter, incarnation), rows in groups.items()
     )
     return body, num_encoded
@@ -149,6 +159,8 @@
             if not MeasuredLinkState.WELL <= values >> 16 <= MeasuredLinkState.CUT:
                 raise ReportError("a link state does not exist", "reports of latency")
             reports.append(
-                LinkReport(reporter, incarnation, to_zone, sequence, values, age_units * AGE_UNIT_SECONDS)
+                LinkReport(
+                    reporter, incarnation, to_zone, sequence, values, age_units * AGE_UNIT_SECONDS
+                )
             )
     return reports
--- a/ironrail/peers/zone_latency/round_trip.py
+++ b/ironrail/peers/zone_latency/round_trip.py
@@ -123,4 +123,6 @@
             if now - received_at > RECENT_MESSAGE_SECONDS:
                 break
             recent.append(sender)
-        return min(recent, key=lambda r: self._answered_at.get(self._router_zones[r], 0.0), default=None)
+        return min(
+            recent, key=lambda r: self._answered_at.get(self._router_zones[r], 0.0), default=None
+        )
--- a/ironrail/peers/zone_latency/snapshot.py
+++ b/ironrail/peers/zone_latency/snapshot.py
@@ -80,7 +80,9 @@
 
     def __post_init__(self) -> None:
         """Start with all links unknown."""
-        self.latest = LinksSnapshot(0, self.own_zone, tuple(LinkSnapshot(zone) for zone in self.zones))
+        self.latest = LinksSnapshot(
+            0, self.own_zone, tuple(LinkSnapshot(zone) for zone in self.zones)
+        )
 
     def update(self, now: float, estimates: Sequence[LinkEstimate]) -> LinksSnapshot | None:
         """Return a new snapshot if one is due, else None.
