--- a/tests/access_log/test_access_log.py
+++ b/tests/access_log/test_access_log.py
@@ -1,4 +1,4 @@
-"""The access log: its form, its bounds, and that no disk delays a request."""
+"""The access log: its format and limits, and that a slow or full disk delays no request."""
 
 from __future__ import annotations
 
@@ -102,7 +102,7 @@
 
 
 def test_the_old_file_is_used_while_no_new_one_can_be_opened(tmp_path: Path) -> None:
-    """It was closed first, and nothing was written any more, even once a new one could be had."""
+    """The old file was closed first, and all later lines were lost, even once the path was usable."""
     folder = tmp_path / "logs"
     folder.mkdir()
     writer = AccessLogFile(folder / "a.jsonl", 8)
@@ -149,7 +149,7 @@
         ("read", "daily:7", 200, 4, False),
         ("read", "daily:8", 499, 0, False),
     ]
-    assert one.account.filtered == {FOLDED: 1}  # its client said that it was a retry
+    assert one.account.filtered == {FOLDED: 1}  # marked as a retry by the client
     spent = rows_of(path)[1]
     assert (spent["hint"], spent["size"], spent["r"]) == (0.2, 5, 1) and "spend" not in path.read_text()
 
@@ -204,7 +204,7 @@
 
 @pytest.mark.sockets
 def test_round_trip_rehearse_import_rehearse(tmp_path: Path) -> None:
-    """Real routers write what they served; imported, it asks for the same again."""
+    """Real routers log what they served; the imported log requests the same again."""
     (tmp_path / "o.toml").write_text(f"[access_log]\npath = '{tmp_path}/router-{{index}}.jsonl'\n")
     conf = parse_scenario('summary = "x"\nlength = "4 s"\nwarm_up = "1 s"\n[load]\nrate = 100\n', "x.toml")
     quiet = Console(file=io.StringIO())
@@ -223,7 +223,7 @@
     for field in ("kind", "title", "key"):
         assert Counter(getattr(p, field) for p in plan) == Counter(getattr(p, field) for p in first.schedule)
     gaps = sorted(a.at - b.at for a, b in zip(plan, first.schedule, strict=True))
-    assert gaps[-1] - gaps[0] < 1.0  # when a router took it, against when it was to be sent
+    assert gaps[-1] - gaps[0] < 1.0  # receipt time at the router against the planned send time
     again = play_virtual(*plan_of(made, conf, 3)[:1], 3, schedule=plan).result
     assert len({t.planned.number for t in again.record.tries.values()}) == len(made)
 
--- a/tests/admin/test_http_call.py
+++ b/tests/admin/test_http_call.py
@@ -40,7 +40,7 @@
         b"GET /-/ready HTTP/1.1\r\n\r\n": 400,  # no host
         b"mn\r\n\r\n": 400,
         b"GET /" + b"x" * (MAX_HEAD_BYTES + 1): 431,
-        b"GET /-/rea": 400,  # it ends in the middle
+        b"GET /-/rea": 400,  # ends in the middle
     }
     for data, expected in cases.items():
         answers = ask(data) or ask(data, b"")
@@ -89,7 +89,7 @@
     first, second, third = (callers.admit(float(n)).connection for n in range(3))
     callers.answered(2.5, third)
     fourth = callers.admit(2.6)
-    assert fourth.evicted is third  # it has its answer
+    assert fourth.evicted is third  # it was answered
     fifth = callers.admit(2.7)
     assert fifth.evicted is first and len(callers) == 3
     assert callers.expired(1.0 + REQUEST_TIMEOUT_SECONDS) == [second]
@@ -100,11 +100,11 @@
 
 
 def test_metrics_are_counters_by_class_and_gauges() -> None:
-    figures = RequestMetrics(["read", "a:b"])
-    figures.success["read"] += 2
-    figures.failure["a:b"] += 1
-    figures.attempt_written()
-    lines = figures.render({"inflight": 3}).decode().splitlines()
+    request_metrics = RequestMetrics(["read", "a:b"])
+    request_metrics.success["read"] += 2
+    request_metrics.failure["a:b"] += 1
+    request_metrics.attempt_written()
+    lines = request_metrics.render({"inflight": 3}).decode().splitlines()
     assert "edge_node.success.read:2|c" in lines and "edge_node.busy.read:0|c" in lines
     assert "edge_node.failure.a_b:1|c" in lines  # a colon would end the name
     assert lines[-2:] == ["edge_node.backend_calls:1|c", "edge_node.inflight:3|g"]
--- a/tests/diagnostics/test_hold_up.py
+++ b/tests/diagnostics/test_hold_up.py
@@ -1,4 +1,4 @@
-"""The heartbeat: since when data that is read may have waited."""
+"""The heartbeat: how long data that is read may have been unread."""
 
 from __future__ import annotations
 
@@ -17,13 +17,13 @@
 
 
 def test_data_read_before_the_late_heartbeat() -> None:
-    """Where the loop reads sockets before it looks at timers."""
+    """If the event loop reads sockets before it runs timers."""
     detector = HoldUpDetector(10.0)
     assert detector.earliest_arrival(10.1) == 10.0
 
 
 def test_data_read_after_the_late_heartbeat_until_all_is_read() -> None:
-    """Where the loop looks at timers first."""
+    """If the event loop runs timers first."""
     detector = HoldUpDetector(10.0)
     hold_up = detector.beat(10.1)
     assert hold_up is not None and hold_up.seconds > 0.09
--- a/tests/diagnostics/test_invariants.py
+++ b/tests/diagnostics/test_invariants.py
@@ -1,4 +1,4 @@
-"""Invariant checks: a violation is prevented and counted, all else passes."""
+"""Invariant checks: a violation is prevented and counted, other steps are allowed."""
 
 from __future__ import annotations
 
@@ -91,7 +91,7 @@
     assert guard.violations.total() == 0
 
 
-def test_requests_start_once_are_answered_once_and_connections_close_unowed() -> None:
+def test_requests_start_once_are_answered_once_and_connections_close_without_pending_requests() -> None:
     guard = InvariantGuard()
     assert guard.may_start(1.0, "r", in_flight=False, ended=False)
     assert guard.may_answer(1.0, "r", pending=True)
@@ -140,7 +140,7 @@
 
 def found() -> set[str]:
     played = play_virtual(parse_scenario(WORLD, "world.toml"), 1)
-    # refused by the guard, it does not come to the servers
+    # the guard prevents the writes, so that no server sees them
     assert not {"no-second-effect", "drains"} & {broken.rule for broken in played.result.broken}
     return {
         fault.what.split(": ")[1].removeprefix("violation.")
@@ -160,7 +160,7 @@
 
 
 @scenario
-async def test_a_pool_that_sends_to_a_drained_server_is_found_out(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_a_pool_that_sends_to_a_drained_server_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
     def assign(self: UpstreamPoolManager, now: float, attempt: Attempt) -> list[PoolAction]:
         self._scheduler.assign(now, attempt)
         return self.actions.take()
@@ -169,9 +169,9 @@
     world = await World().start()
     client = await world.client()
     client.get("1")
-    (await world.cache.next()).reply_value(b"v")  # its connection rests from now on
+    (await world.cache.next()).reply_value(b"v")  # its connection is idle from now on
     assert await client.value("1") == b"v"
-    world.node._dispatcher.pools["c"].manager.state.is_ready = False  # and the policy does not know
+    world.node._dispatcher.pools["c"].manager.state.is_ready = False  # without the policy's knowledge
     client.get("2", wait=200)
     assert (await client.line()).startswith(b"SERVER_ERROR")
     assert world.node._dispatcher.diagnostics.invariants.violations[Violation.SENT_TO_DRAINED] > 0
--- a/tests/diagnostics/test_request_log.py
+++ b/tests/diagnostics/test_request_log.py
@@ -17,7 +17,7 @@
     client = await world.client()
     client.get("late", wait=100)
     await world.cache.next()
-    time.sleep(0.2)  # the loop does not turn meanwhile: its deadline passes
+    time.sleep(0.2)  # blocks the event loop until after the deadline
     await client.line()
     diagnostics = world.node._dispatcher.diagnostics
     assert diagnostics.late_answers == 1
--- a/tests/net/discovery/test_hedged_call.py
+++ b/tests/net/discovery/test_hedged_call.py
@@ -1,4 +1,4 @@
-"""Hedged calls: a lost or incomplete response is overtaken, an arriving one is waited for."""
+"""Hedged calls: a lost or incomplete response is hedged, an arriving one is awaited."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
     answer = asyncio.create_task(call_to(peer, []).get("/x"))
     call = await peer.next()
     call.reply(HEAD % len(BODY))
-    for at in range(0, len(BODY), 10):  # half a second, in which five calls would have been due
+    for at in range(0, len(BODY), 10):  # takes 0.5 s, in which five calls would have been due
         call.reply(BODY[at : at + 10])
         await asyncio.sleep(INTERVAL / 3)
     await answer
--- a/tests/net/discovery/update_recorder.py
+++ b/tests/net/discovery/update_recorder.py
@@ -1,4 +1,4 @@
-"""A stand-in for discovery and a recorder of the updates that an endpoint watcher passes on."""
+"""A stand-in for discovery, and a recorder of the updates of an endpoint watcher."""
 
 from __future__ import annotations
 
--- a/tests/net/dispatch/harness.py
+++ b/tests/net/dispatch/harness.py
@@ -1,4 +1,4 @@
-"""A dispatcher with one server that a test plays, and a scripted policy."""
+"""A dispatcher with one server, which the test plays, and a scripted policy."""
 
 from __future__ import annotations
 
@@ -87,14 +87,14 @@
 
 
 def events_of(policy: ScriptedPolicy, name: str) -> list[Event]:
-    """Return the events that the policy received of one request, without its arrival."""
+    """Return the events that the policy received about one request, except its arrival."""
     events = [policy.received.get_nowait() for _ in range(policy.received.qsize())]
     return [e for e in events if getattr(e, "request_id", "") == name and not isinstance(e, RequestReceived)]
 
 
 async def quick_replies(harness: DispatchHarness, peer: Peer, policy: ScriptedPolicy) -> None:
     """Reply at once, so that queueing costs less than one more connection."""
-    for name in ("q1", "q2"):  # the first one on a connection has its handshake to wait for
+    for name in ("q1", "q2"):  # the first one on a connection includes the connect
         harness.take(name)
         (await peer.next()).reply(b"VA 1 O%s h1\r\nv\r\n" % name.encode())
         await policy.outcome()
--- a/tests/net/dispatch/test_refused_connects.py
+++ b/tests/net/dispatch/test_refused_connects.py
@@ -1,4 +1,4 @@
-"""Attempts that are queued elsewhere after a refused connect."""
+"""Attempts that are moved to other connections after a refused connect."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class Refused:
-    """An event loop whose connects wait until they are refused."""
+    """An event loop whose connects block until they are refused."""
 
     def __init__(self) -> None:
         self.loop = asyncio.get_running_loop()
@@ -33,10 +33,10 @@
     first = await peer.next()
     pool = harness.host.pools["s"]
     refused = pool.connector._loop = Refused()  # type: ignore[assignment]
-    harness.take("1", stream=client)  # how long a reply takes is not known yet: it dials
-    harness.take("2")  # no more than two connections: behind the first
+    harness.take("1", stream=client)  # the service time is not known yet, so the pool connects
+    harness.take("2")  # at the limit of two connections: queued behind the first
     second = await peer.next()
-    first.reply(b"VA 1 O0 h1\r\nv\r\n")  # the server works: what the dial was for would go behind others
+    first.reply(b"VA 1 O0 h1\r\nv\r\n")  # the server replies: the attempt would be queued there
     assert (await policy.outcome()).request_id == "0"
     client.gone = True
     refused.refuse.set()
--- a/tests/net/dispatch/test_revoked_attempts.py
+++ b/tests/net/dispatch/test_revoked_attempts.py
@@ -1,4 +1,4 @@
-"""Where hedging is forbidden, a connection is aborted before the retry of its attempt is sent."""
+"""If hedging is not allowed, a connection is aborted before its attempt is retried."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from tests.connections.upstream.pool_host import PoolHost
 from tests.peers import KEYED, READ, SETTINGS, World, scenario
 
-QUICK = replace(READ, latency_objective=0.8)  # half of it without an answer, and the next attempt is due
+QUICK = replace(READ, latency_objective=0.8)  # the next attempt is due after half of it
 
 
 @scenario
@@ -19,7 +19,7 @@
     classes = SETTINGS.classes | {"read": QUICK, "keyed": replace(KEYED, latency_objective=8.0)}
     world = await World(classes=classes, hedging_allowed=False).start()
     client = await world.client()
-    client.get("0", cls="keyed")  # is out there too, and has more time
+    client.get("0", cls="keyed")  # in flight too, with a longer latency objective
     await world.cache.next()
     client.get("1")
     first = await world.cache.next()
@@ -30,7 +30,7 @@
 
 
 def test_revoking_aborts_the_connection_before_any_outcome_is_reported() -> None:
-    """A retry of the same request may follow an outcome at once."""
+    """A retry of the same request may be sent as soon as an outcome is reported."""
     host = PoolHost(max_connections=1)
     host.send()
     connection = host.connect()
--- a/tests/net/test_deadline_propagation.py
+++ b/tests/net/test_deadline_propagation.py
@@ -1,4 +1,4 @@
-"""The remaining time of a request is passed on to the origin."""
+"""The remaining time of a request is sent to the origin."""
 
 from __future__ import annotations
 
@@ -10,13 +10,13 @@
 
 @scenario
 async def test_the_origin_receives_the_remaining_time() -> None:
-    """It works on what its answer can still be used for, as a cache does."""
+    """Like a cache, the origin can drop a request whose response would be too late."""
     world = await World().start()
     client = await world.client()
     client.get("1", wait=3000)
     got = await world.cache.next()
     asked = time.monotonic()
-    await asyncio.sleep(0.2)  # what is told is how long this took
+    await asyncio.sleep(0.2)  # must be subtracted from the time sent to the origin
     got.reply(b"EN O1 h0\r\n")
     fetch = await world.origin.next()
     passed_ms = (time.monotonic() - asked) * 1000
--- a/tests/net/test_listener.py
+++ b/tests/net/test_listener.py
@@ -1,4 +1,4 @@
-"""A listener that runs short of something, or closes."""
+"""A listener that closes, or whose system is short of resources."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class Queue:
-    """A listening socket with these in its queue; exceptions are what an accept says instead."""
+    """A listening socket with a scripted backlog; an accept raises the exceptions in it."""
 
     def __init__(self, *queue: socket.socket | OSError) -> None:
         self.queue = list(queue)
@@ -33,7 +33,7 @@
 
 
 class System:
-    """A system that listens so."""
+    """A system whose listening socket has a scripted backlog."""
 
     def __init__(self, queue: Queue) -> None:
         self.queue = queue
@@ -67,7 +67,7 @@
     began = loop.time()
     client = await connect(acceptor.address)
     await until(lambda: taken)
-    assert loop.time() - began >= 20 * 0.009  # a pause for each
+    assert loop.time() - began >= 20 * 0.009  # a pause after each error
     assert [record.getMessage() for record in caplog.records].count("accept_paused") == 1
     client.close()
     taken[0].close()
--- a/tests/net/test_malformed_commands.py
+++ b/tests/net/test_malformed_commands.py
@@ -56,7 +56,7 @@
     client = await world.client()
     client.send(line + b"\r\n")
     assert await client.line() == answer + b"\r\n"
-    client.get("2")  # framing is kept
+    client.get("2")  # the framing is intact
     got = await world.cache.next()
     assert got.flag == b"O2"
     got.reply_value(b"v")
@@ -65,7 +65,7 @@
 
 @scenario
 async def test_a_request_names_no_tenant_where_none_are_configured() -> None:
-    """As some customers have none: each of their requests was turned away."""
+    """Some deployments have no tenants; all of their requests were rejected."""
     assert not read_settings({"classes": [{"name": "read"}]}).names_tenants
     assert read_settings({"classes": [{"name": "read"}], "tenants": [{"name": "x"}]}).names_tenants
     world = await World(names_tenants=False).start()
@@ -98,7 +98,7 @@
     client = await world.client()
     client.send(data)
     assert await client.line() == answer + b"\r\n"
-    client.get("2")  # not read as a command any more
+    client.get("2")  # no longer parsed as a command
     assert await client.ended()
     assert world.cache.messages.empty()
 
--- a/tests/net/test_request_flow.py
+++ b/tests/net/test_request_flow.py
@@ -59,9 +59,9 @@
         client.get(name)
     client.send(b"mn\r\nnonsense\r\n")
     got = {m.flag: m for m in (await world.cache.next(), await world.cache.next())}
-    assert got[b"O1"].writer is not got[b"O2"].writer  # not behind one another
+    assert got[b"O1"].writer is not got[b"O2"].writer  # on separate connections
     got[b"O2"].reply_value(b"two")
-    await world.tell()  # the second has its answer before the first
+    await world.tell()  # the second request has its reply before the first
     got[b"O1"].reply_value(b"one")
     assert [await client.value(n) for n in "12"] == [b"one", b"two"]
     assert [await client.line(), await client.line()] == [b"MN\r\n", b"ERROR\r\n"]
@@ -87,7 +87,7 @@
     assert (await client.line()).startswith(BUSY)
     client.get("2")
     second = await world.cache.next()
-    assert second.writer is not late.writer  # it would have to wait behind what nobody waits for
+    assert second.writer is not late.writer  # else it would wait behind an abandoned attempt
     late.reply_value(b"late")
     second.reply_value(b"two")
     assert await client.value("2") == b"two"
@@ -103,7 +103,7 @@
     client.put("1", b"v", wait=150)
     put = await world.origin.next()
     assert await client.line() == b"SERVER_ERROR failed\r\n"
-    assert 0.145 <= time.monotonic() - began < 1.5  # and not when its class is given up
+    assert 0.145 <= time.monotonic() - began < 1.5  # at its own timeout, not at the one of its class
     put.respond(b"receipt")  # too late
     client.get("2")
     (await world.cache.next()).reply_value(b"v")
@@ -135,7 +135,7 @@
     got.reply(b"EN O1\r\n")
     second.reply(b"EN O2\r\n")
     fetch = await world.origin.next()
-    assert fetch.headers["request-id"] == "2"  # and none for the first, which missed before it
+    assert fetch.headers["request-id"] == "2"  # none for the first, whose miss arrived before
     fetch.respond(b"v")
     assert await other.value("2") == b"v"
     assert world.origin.messages.empty()
@@ -216,7 +216,7 @@
     client.writer.transport.pause_reading()  # type: ignore[attr-defined]
     value, sent = b"x" * 65536, 0
     pending = asyncio.ensure_future(world.cache.next())
-    while sent < 400:  # 25 MB, far more than the system's buffers and the router's bound hold
+    while sent < 400:  # 25 MB, far more than the buffers of the system and the router hold
         client.get(str(sent))
         done, _ = await asyncio.wait({pending}, timeout=0.5)
         if not done:
--- a/tests/peers/__init__.py
+++ b/tests/peers/__init__.py
@@ -1,4 +1,4 @@
-"""The other ends of a router's sockets: each shows what came and answers only as a test tells it to."""
+"""The peers of a router's sockets, played by a test: clients, servers and discovery."""
 
 from __future__ import annotations
 
@@ -19,13 +19,13 @@
 from ironrail.rehearsal.standins.http import RequestReader
 from ironrail.rehearsal.standins.meta import CommandReader
 
-PATIENCE = 10.0  # seconds for a whole scenario: only a failing test comes near
+PATIENCE = 10.0  # seconds for a whole scenario; only a failing test takes that long
 LOCAL = "127.0.0.1"
-WATCH_WAIT = 2.0  # seconds of a watch: played by hand, discovery takes longer over one than an agent does
+WATCH_WAIT = 2.0  # seconds of a watch; longer than with an agent, as the test answers it step by step
 
 
 def scenario(test: Callable[..., Coroutine[Any, Any, None]]) -> Callable[..., None]:
-    """Run a test on a loop of its own."""
+    """Run a test on its own event loop, within a time limit."""
 
     @functools.wraps(test)
     def run(*args: Any, **kwargs: Any) -> None:
@@ -40,14 +40,14 @@
 
 
 async def until(holds: Callable[..., object], *args: object) -> None:
-    """Look again and again: for what no event tells of."""
+    """Poll until a condition holds, where no event reports it."""
     while not holds(*args):
         await asyncio.sleep(0.002)
 
 
 @dataclass(eq=False)
 class Message:
-    """Something a peer was sent."""
+    """A message that a peer has received."""
 
     head: bytes  # a command line, or an HTTP method and target
     value: bytes | None
@@ -60,7 +60,7 @@
 
     @property
     def flag(self) -> bytes:
-        """The `O` flag."""
+        """The `O` flag, which holds the request id."""
         return next(w for w in self.words if w.startswith(b"O"))
 
     def reply(self, data: bytes) -> None:
@@ -89,7 +89,7 @@
 
 
 def read_command(writer: asyncio.StreamWriter) -> Take:
-    """Commands of the meta protocol, as the kit's own caches read them."""
+    """Parse meta protocol commands with the parser of the rehearsal kit's caches."""
     parser = CommandReader()
 
     def take(data: bytes) -> Iterator[Message]:
@@ -101,7 +101,7 @@
 
 
 def read_http(writer: asyncio.StreamWriter) -> Take:
-    """Requests of HTTP/1.1, as the kit's own archive reads them."""
+    """Parse HTTP/1.1 requests with the parser of the rehearsal kit's origin."""
     parser = RequestReader()
 
     def take(data: bytes) -> Iterator[Message]:
@@ -113,7 +113,7 @@
 
 
 class Peer:
-    """A server that puts what it reads into a queue."""
+    """A server that puts the messages that it reads into a queue."""
 
     def __init__(self, read: Callable[[asyncio.StreamWriter], Take] = read_command) -> None:
         self.read = read
@@ -142,13 +142,13 @@
         return await self.messages.get()
 
     def row(self, name: str, kind: str = "std", **fields: Any) -> dict[str, Any]:
-        """Its line in discovery's list."""
+        """Return the server's row in discovery's endpoint list."""
         base = {"id": name, "addr": f"{LOCAL}:{self.port}", "zone": "z", "kind": kind, "cell": 0}
         return {**base, "state": "in_service", "weight": 1.0, "started_ms": 0, **fields}
 
 
 class Client:
-    """A client with one connection."""
+    """A client of the router, with one connection."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader, self.writer = reader, writer
@@ -166,13 +166,13 @@
         return await self.reader.readuntil(b"\r\n")
 
     async def value(self, name: str) -> bytes:
-        """The value of a whole answer to this request."""
+        """Return the value of a complete response to this request."""
         head = (await self.line()).split()
         assert head[0] == b"VA" and head[2] == b"O" + name.encode(), head
         return (await self.reader.readexactly(int(head[1]) + 2))[:-2]
 
     async def ended(self) -> bool:
-        """Wait for the end of the connection; whether nothing more came before it."""
+        """Wait for the end of the connection; return whether no data arrived before it."""
         return await self.reader.read() == b""
 
     def close(self) -> None:
@@ -197,7 +197,7 @@
 
 
 class World:
-    """A router with one cache, an origin and discovery round it."""
+    """A router with one cache, an origin and discovery."""
 
     def __init__(
         self, sockets: int = 1024, operator: OperatorSettings = NO_OPERATOR_FILE, **changes: Any
@@ -207,7 +207,7 @@
         self.cache, self.origin, self.discovery = Peer(), Peer(read_http), Peer(read_http)
 
     async def start(self) -> Self:
-        """Start all of it and tell the first list."""
+        """Start all parts, and send the first endpoint list."""
         for peer in (self.cache, self.origin, self.discovery):
             await peer.start()
         self.node = Node(self.config(), self.operator)
@@ -216,7 +216,7 @@
             watcher._watch_timing = replace(watcher._watch_timing, wait=WATCH_WAIT)
         self.address = self.node.start()
         (await self.discovery.next()).respond_list(1, *self.rows())
-        self.watch = await self.discovery.next()  # its coming tells that the list was taken
+        self.watch = await self.discovery.next()  # its arrival means that the list was applied
         return self
 
     def config(self) -> Config:
@@ -228,7 +228,7 @@
         return [self.cache.row("c", **fields), self.origin.row("o", "origin")]
 
     async def tell(self, *rows: dict[str, Any], full: bool = False) -> None:
-        """Discovery has news; returns when they are taken."""
+        """Send a change of the endpoint list; return once it is applied."""
         self.watch.respond_list(2, *rows, full=full)
         self.watch = await self.discovery.next()
 
