--- a/tests/net/discovery/test_relocation.py
+++ b/tests/net/discovery/test_relocation.py
@@ -1,4 +1,4 @@
-"""Relocation of discovery: no update of the old address is lost, and none undoes the new list."""
+"""Relocation of discovery: no update from the old address is lost, and none undoes the new list."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 @scenario
 @pytest.mark.parametrize("on_request", [False, True])
 async def test_an_unread_change_is_applied_before_relocation(on_request: bool) -> None:
-    """It was written to the router, and so it counts as told."""
+    """The change was written to the router's socket, so it must be applied."""
     other = await Peer(read_http).start()
     async with watched_service(on_request) as (peer, watcher, told):
         watch = await take_full_list(peer, told)
@@ -47,7 +47,7 @@
         watch.reply(b"HTTP/1.1 200 X\r\nContent-Length: %d\r\n\r\n" % len(body) + body[:-9])
         watcher.relocate((LOCAL, other.port))
         again = await take_full_list(other, told, 1, DRAINS)
-        watch.reply(body[-9:])  # the rest of an answer that had begun
+        watch.reply(body[-9:])  # the rest of a response that had begun
         await peer.ended.acquire()
         again.respond_list(2, DRAINS, full=False)
         assert await told.state() is EndpointState.DRAINING and not told.updates
@@ -70,7 +70,7 @@
         if on_request:
             assert (await told.next()).kind is EndpointListKind.RELOCATED
             watcher.poll()
-        await first.next()  # says nothing: a call is out
+        await first.next()  # not answered, so a call is in flight
         watcher.relocate((LOCAL, second.port))
         await first.ended.acquire()
         if on_request:
@@ -81,13 +81,13 @@
 
 @scenario
 async def test_a_watch_timeout_and_a_relocation_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The watch is found silent in the very moment in which the list moves."""
+    """The watch times out at the moment of the relocation."""
     monkeypatch.setattr(timeouts, "AGENT_WATCH_WAIT_SECONDS", 0.05)
     monkeypatch.setattr(timeouts, "AGENT_WATCH_GRACE_SECONDS", 0.05)
     other = await Peer(read_http).start()
     async with watched_service() as (peer, watcher, told):
         await take_full_list(peer, told)
-        await peer.next()  # it was silent, and is followed by a call that says nothing either
+        await peer.next()  # the call after the watch timeout, which is not answered either
         watcher.relocate((LOCAL, other.port))
         await take_full_list(other, told, 1, DRAINS)
         await until(lambda: peer.ended._value >= 2)
@@ -95,7 +95,7 @@
 
 @scenario
 async def test_relocations_before_start_and_after_stop() -> None:
-    """SIGHUP may come while the router is not yet up, or no more."""
+    """SIGHUP may arrive before the router has started or after it has stopped."""
     first, second, told = await Peer(read_http).start(), await Peer(read_http).start(), UpdateRecorder()
     watcher = make_endpoint_watcher((LOCAL, first.port), EndpointListReader(), True)
     watcher.relocate((LOCAL, second.port))
--- a/tests/net/discovery/test_watch_events.py
+++ b/tests/net/discovery/test_watch_events.py
@@ -27,7 +27,7 @@
 
 @scenario
 async def test_the_next_watch_starts_at_once_on_any_connection() -> None:
-    """What changes between two calls counts as told, if the second comes within 200 ms."""
+    """A change between two calls must be noticed if the second call comes within 200 ms."""
     async with watched_service() as (peer, _, told):
         watch = await take_full_list(peer, told)
         for version, last in ((2, b""), (3, b"Connection: close"), (4, b"")):
@@ -43,7 +43,9 @@
 async def test_a_reset_watch_is_reopened_at_once() -> None:
     async with watched_service() as (peer, _, told):
         watch = await take_full_list(peer, told)
-        await asyncio.sleep(timeouts.AGENT_CALL_INTERVAL_SECONDS)  # since the failed call began
+        await asyncio.sleep(
+            timeouts.AGENT_CALL_INTERVAL_SECONDS
+        )  # so that the next call is due when this one fails
         watch.reset()
         began = time.monotonic()
         await take_full_list(peer, told, 2, DRAINS)
@@ -52,7 +54,7 @@
 
 @scenario
 async def test_a_watch_without_a_connection_is_no_watch(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Its connect hung for as long as a watch may wait, half a minute where all ask one service."""
+    """A hanging connect took as long as a watch may wait: 30 s at a shared service."""
     monkeypatch.setattr(timeouts, "SERVICE_CONNECT_TIMEOUT_SECONDS", 0.05)
     connects_succeed(monkeypatch, True, False)
     async with watched_service(on_request=True) as (peer, _, told):
@@ -68,7 +70,7 @@
 async def test_a_lost_connect_to_the_agent_delays_the_list_by_less_than_a_second(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """What the agent has counts as told at once; sends to what drains must cease in a second."""
+    """The router must stop sending to a server within 1 s after the agent lists it as draining."""
     connects_succeed(monkeypatch, False, True)
     began = time.monotonic()
     async with watched_service(on_request=False) as (peer, _, told):
@@ -76,7 +78,7 @@
         assert time.monotonic() - began < 1.0
 
 
-# For how long news may have been missed
+# For how long changes may have been missed
 
 
 @scenario
@@ -84,29 +86,29 @@
     monkeypatch.setattr(timeouts, "SERVICE_FIRST_BYTE_TIMEOUT_SECONDS", 0.2)
     async with watched_service(on_request=True) as (peer, watcher, told):
         await asyncio.sleep(0.1)
-        (await peer.next()).respond(b"", 503)  # nothing is known since the start
+        (await peer.next()).respond(b"", 503)  # no list was received since the start
         news = await told.next()
         assert news.kind is FAILED and news.uncertain_for is not None and news.uncertain_for > 0.09
         watcher.poll()
         watch = await take_full_list(peer, told)
         await asyncio.sleep(0.1)
-        watch.respond(b"", 503)  # it may have waited for its turn all the time
+        watch.respond(b"", 503)  # the watch may have been queued all the time
         news = await told.next()
         assert news.kind is FAILED and news.uncertain_for is not None and news.uncertain_for > 0.09
         watcher.poll()
         watch = await take_full_list(peer, told)
         await asyncio.sleep(0.3)
-        watch.reset()  # till then it watched
+        watch.reset()  # the watch was active until then
         news = await told.next()
         assert news.kind is FAILED and news.uncertain_for is not None and news.uncertain_for < 0.09
 
 
-# Lists that don't fit
+# Lists that don't apply to the current one
 
 
 @scenario
 async def test_a_delta_is_rejected_where_the_full_list_was_requested() -> None:
-    """What did not change would be missing for good."""
+    """Servers without a change would be missing until the next full list."""
     async with watched_service() as (peer, _, told):
         (await peer.next()).respond_list(7, DRAINS, full=False)
         await take_full_list(peer, told, 7)
@@ -121,13 +123,13 @@
         (await peer.next()).respond_list(42, ROW, full=False)
         watch = await take_full_list(
             peer, told, 43, DRAINS
-        )  # asked for whole, and nothing was told meanwhile
+        )  # requested in full, without an update in between
         assert b"index=43&" in watch.head
 
 
 @scenario
 async def test_a_full_list_is_taken_where_a_delta_was_expected_with_any_version() -> None:
-    """A discovery that was restarted without its numbers has no other."""
+    """Discovery that was restarted without its version numbers starts over with low ones."""
     async with watched_service() as (peer, _, told):
         watch = await take_full_list(peer, told, 41)
         watch.respond_list(44, DRAINS)
@@ -139,11 +141,11 @@
         assert b"index=2&" in (await peer.next()).head
 
 
-# Nothing new goes to a server that drains or is gone
+# No new requests go to a server that is draining or removed
 
 
 class Gate:
-    """A loop on which connects come up only once it is opened."""
+    """An event loop whose connects block until the gate is opened."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self._loop, self.opened = loop, asyncio.Event()
@@ -174,5 +176,5 @@
         (await world.origin.next()).respond(b"v")
     assert [await client.value(n) for n in "12"] == [b"v", b"v"]
     gate.opened.set()
-    await world.cache.ended.acquire()  # it has come up, and is closed
+    await world.cache.ended.acquire()  # the connect has succeeded, and the connection is closed
     assert world.cache.messages.empty()
--- a/tests/net/dispatch/test_replies.py
+++ b/tests/net/dispatch/test_replies.py
@@ -31,10 +31,10 @@
     (Message.reset, AttemptStatus.RESET),
     (Message.end, AttemptStatus.RESET),
     (reply_then_end(b"VA 9 O1\r\nhalf"), AttemptStatus.RESET),
-    (reply(b"VA 1 O2\r\nv\r\n"), AttemptStatus.ERROR),  # meant for another request
+    (reply(b"VA 1 O2\r\nv\r\n"), AttemptStatus.ERROR),  # reply to another request
     (reply(b"EN O2\r\n"), AttemptStatus.ERROR),
     (reply(b"EN\r\n"), AttemptStatus.ERROR),
-    (reply(b"HD O1 cr\r\n"), AttemptStatus.ERROR),  # fits no read
+    (reply(b"HD O1 cr\r\n"), AttemptStatus.ERROR),  # not a reply to a read
     (reply(b"VA x O1\r\nv\r\n"), AttemptStatus.ERROR),
     (reply(b"VA 4194305 O1\r\nv\r\n"), AttemptStatus.ERROR),
     (reply(b"VA 1 O1\r\nvalue\r\n"), AttemptStatus.ERROR),
@@ -73,7 +73,7 @@
     await peer.next()
     harness.host.on_client_disconnected("1")
     harness.take("1")
-    assert harness.answers["1"] == [b"CLIENT_ERROR id in use\r\n"]  # its attempt is still out
+    assert harness.answers["1"] == [b"CLIENT_ERROR id in use\r\n"]  # its attempt is still in flight
     outcome = await policy.outcome()
     assert (outcome.status, outcome.request_ended) == (AttemptStatus.TIMEOUT, True)
 
@@ -94,7 +94,7 @@
     (b"200", [], b"v", AttemptStatus.OK),
     (b"200", [b"Server-Load: inflight=3"], b"v", AttemptStatus.OK),
     (b"500", [], b"", AttemptStatus.ERROR),
-    (b"500", [b"Not-Started: 1"], b"", AttemptStatus.ERROR),  # proves nothing with a 500
+    (b"500", [b"Not-Started: 1"], b"", AttemptStatus.ERROR),  # the header counts only with 503 and 504
     (b"503", [b"Not-Started: 1"], b"", AttemptStatus.BUSY),
     (b"504", [b"not-started: 1"], b"", AttemptStatus.BUSY),
     (b"503", [], b"", AttemptStatus.ERROR),
@@ -120,7 +120,7 @@
     harness.take("2")
     (await peer.next()).respond(b"w")
     await policy.outcome()
-    assert peer.opened == 1  # the connection is kept
+    assert peer.opened == 1  # the connection is reused
 
 
 @scenario
@@ -141,7 +141,7 @@
         ),
         (reply(b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n" + b"x" * 70000), AttemptStatus.ERROR),
         (reply(b"HTTP/1.1 200 OK\r\nX: " + b"x" * 100000), AttemptStatus.ERROR),
-        # a receipt that would split the answer
+        # a receipt that would split the response line
         (reply(b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\na\r\nb"), AttemptStatus.ERROR),
     ],
 )
@@ -188,7 +188,7 @@
     harness = DispatchHarness(policy, peer.port, OriginConnection, most=2, streams=1)
     harness.take("1")
     first = await peer.next()
-    await asyncio.sleep(1.0)  # half of its time, of which a cache is doubted after less
+    await asyncio.sleep(1.0)  # half of its timeout; a cache would be suspected sooner
     harness.take("2")
     (await peer.next()).respond(b"v")
     assert (await policy.outcome()).request_id == "2"
