--- a/tests/net/dispatch/test_connection_use.py
+++ b/tests/net/dispatch/test_connection_use.py
@@ -33,7 +33,7 @@
 
 @scenario
 async def test_an_attempt_whose_connect_timed_out_never_ran() -> None:
-    with socket.socket() as full:  # a full backlog drops what would connect, like a vanished machine
+    with socket.socket() as full:  # a full backlog drops connects, like a machine that is gone
         full.bind((LOCAL, 0))
         full.listen(0)
         fillers = [socket.socket() for _ in range(4)]
@@ -44,10 +44,10 @@
         DispatchHarness(policy, full.getsockname()[1], connect_timeout=0.1).take("1")
         outcome = await policy.outcome()
         assert outcome.status is AttemptStatus.CONNECT_FAILED
-        assert 0.09 <= outcome.latency < 0.9  # and not when the system tries once more
+        assert 0.09 <= outcome.latency < 0.9  # before the system retransmits the SYN
         DispatchHarness(policy, full.getsockname()[1]).take(
             "1", wait=50
-        )  # nor when the client gives up before
+        )  # also if the client gives up before
         assert (await policy.outcome()).status is AttemptStatus.CONNECT_FAILED
         for filler in fillers:
             filler.close()
@@ -58,7 +58,7 @@
     policy, peer = ScriptedPolicy(), await Peer().start()
     DispatchHarness(policy, peer.port, connect_timeout=0.02).take("1")
     loop = asyncio.get_running_loop()
-    loop.call_soon(loop.call_soon, time.sleep, 0.1)  # once the dial is under way
+    loop.call_soon(loop.call_soon, time.sleep, 0.1)  # once the connect has started
     (await peer.next()).reply(b"VA 1 O1 h1\r\nv\r\n")
     assert (await policy.outcome()).status is AttemptStatus.OK
 
@@ -103,15 +103,15 @@
     harness.take("1")
     first = await peer.next()
     harness.take("2")
-    second = await peer.next()  # behind the first: there may be no other connection
+    second = await peer.next()  # on the first's connection, as the limit is 1
     assert first.writer is second.writer
     first.reply_value(b"1")
     second.reply_value(b"2")
     assert [(await policy.outcome()).request_id for _ in "12"] == ["1", "2"]
 
 
-class Stillborn(CacheConnection):
-    """Is closed by the time it is open."""
+class AbortedOnConnect(CacheConnection):
+    """A connection that is closed by the time it is reported open."""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         super().connection_made(transport)
@@ -121,7 +121,7 @@
 @scenario
 async def test_a_connection_that_closes_as_it_opens_is_not_kept() -> None:
     peer, policy = await Peer().start(), ScriptedPolicy()
-    harness = DispatchHarness(policy, peer.port, Stillborn, most=1)
+    harness = DispatchHarness(policy, peer.port, AbortedOnConnect, most=1)
     for name in "12":
         harness.take(name)
         assert (await policy.outcome()).status is AttemptStatus.CONNECT_FAILED
@@ -149,7 +149,7 @@
 
     monkeypatch.setattr(decides, "expire", look)
     await peer.ended.acquire()
-    assert len(looks) > 1 and all(kept == (idle < 0.75) for idle, kept in looks)  # however late a look came
+    assert len(looks) > 1 and all(kept == (idle < 0.75) for idle, kept in looks)  # however late a check ran
 
 
 @scenario
@@ -164,7 +164,7 @@
     got[b"O3"].reply(b"EN O3\r\n")
     await peer.ended.acquire()
     await peer.ended.acquire()
-    got[b"O2"].reply_value(b"w")  # what is in use stays open
+    got[b"O2"].reply_value(b"w")  # a connection in use stays open
     while (await policy.outcome()).request_id != "2":
         pass
     assert harness.answers["2"] == [b"VA 1 O2\r\nw\r\n"]
@@ -204,7 +204,7 @@
         if name == "1":
             await asyncio.sleep(0.2)
     assert writers[0] is writers[1]
-    await asyncio.sleep(0.15)  # over half of the pause that it did not survive
+    await asyncio.sleep(0.15)  # over half of the idle time (0.2 s) after which a connection broke
     harness.take("4")
     assert (await peer.next()).writer is not writers[2]
 
@@ -249,5 +249,5 @@
 
     connection = CacheConnection(Told(), UpstreamConnection("a"))
     command = Command(b"k", b"1", b"c=read", {}, None)
-    for left, told in ((0.0999, 99), (0.1004, 100), (0.0002, 1)):  # none is told that nothing is left
+    for left, told in ((0.0999, 99), (0.1004, 100), (0.0002, 1)):  # at least 1 ms is sent
         assert connection.remaining_milliseconds(Attempt("1", 0, 99.0, 100.0 + left, command, None)) == told
--- a/tests/net/dispatch/test_disconnected_clients.py
+++ b/tests/net/dispatch/test_disconnected_clients.py
@@ -1,4 +1,4 @@
-"""Attempts of requests that have ended: what is unsent is never sent."""
+"""Attempts of requests that have ended: unsent ones are never sent."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
     client_region: None = None
     arrived_at: float | None = None
     gone: bool = False
-    just_read: bool = False  # its end is there, and not read yet
+    just_read: bool = False  # the end of the connection has arrived, but is unread
     cuts: int = 0
 
     def has_disconnected(self, waited: bool) -> bool:
@@ -61,7 +61,7 @@
     harness = DispatchHarness(policy, peer.port, most=1)
     harness.take("1", b"v")
     first = await peer.next()
-    harness.take("2", b"v")  # a write: it waits for the connection
+    harness.take("2", b"v")  # a write, which waits for the connection
     if how == "left":
         harness.host.on_client_disconnected("2")
     harness.take("3", b"v")
@@ -103,7 +103,7 @@
     assert [e.status for e in ends if isinstance(e, AttemptEnded)] == [AttemptStatus.NOT_SENT]
     harness.take("3", b"v")
     assert (await peer.next()).flag == b"O3"
-    harness.host.on_client_disconnected("2")  # as its connection ends
+    harness.host.on_client_disconnected("2")  # as at the end of its connection
     assert client.cuts == 1 and not events_of(policy, "2")
 
 
@@ -196,7 +196,7 @@
 
 @scenario
 async def test_no_other_attempt_is_sent_once_a_long_value_is_streamed() -> None:
-    """A hedged attempt that waits for a connection is withdrawn, though it may not be cancelled."""
+    """A hedged attempt that waits for a connection is withdrawn, even if cancelling is not allowed."""
     world = await World(cancellation_allowed=False).start()
     client = await world.client()
     client.get("1")
@@ -207,7 +207,7 @@
     late = Attempt("1", 1, REAL.now(), held.deadline, held.command, host.sender._on_outcome)
     held.attempts.append(late)
     host.attempts.add(late, pool)
-    pool.send(late)  # dials
+    pool.send(late)  # opens a connection
     value = b"x" * (MAX_BUFFERED_VALUE_BYTES + 1)
     got.reply(b"VA %d O1 h1\r\n" % len(value))
     await until(lambda: held.streamed_attempt)
--- a/tests/net/dispatch/test_request_ends.py
+++ b/tests/net/dispatch/test_request_ends.py
@@ -58,7 +58,7 @@
     peer = await Peer().start()
     policy = Timed(SendAttempt("1", "s"))
     harness = DispatchHarness(policy, peer.port)
-    harness.take("1", request_class="read")  # one that may be sent again
+    harness.take("1", request_class="read")  # a class whose requests may be retried
     first = await peer.next()
     assert 0 < int(first.head.rpartition(b"d=")[2]) <= 50
     assert (await policy.outcome()).attempt_number == 0
@@ -121,7 +121,7 @@
 
 
 class Eager(ScriptedPolicy):
-    """Sends a request again although it was served."""
+    """Retries a request although it was served."""
 
     def handle(self, now: float, event: Event) -> list[Action]:
         actions = super().handle(now, event)
@@ -131,7 +131,7 @@
 
 @scenario
 async def test_an_attempt_for_a_completed_request_ends_with_its_own_number() -> None:
-    """Ended as attempt 0 it would leave attempt 1 counted as load for good."""
+    """If its outcome were reported for attempt 0, attempt 1 would count as load forever."""
     peer, policy = await Peer().start(), Eager()
     harness = DispatchHarness(policy, peer.port)
     harness.take("1")
--- a/tests/net/downstream/test_client_admission.py
+++ b/tests/net/downstream/test_client_admission.py
@@ -62,7 +62,7 @@
     async def trickle() -> None:
         while True:
             client.send(b"x")
-            await asyncio.sleep(0.01)  # the pace of a slow client
+            await asyncio.sleep(0.01)  # like a slow client
 
     task = asyncio.ensure_future(trickle())
     assert await client.line() == b"CLIENT_ERROR no whole command in time\r\n"
@@ -91,7 +91,7 @@
     client = await world.client()
     client.get("1")
     got = await world.cache.next()
-    await asyncio.sleep(0.3)  # longer than a client may take
+    await asyncio.sleep(0.3)  # longer than a client may take for a command
     got.reply_value(b"v")
     assert await client.value("1") == b"v"
     assert await is_ready(client)
@@ -137,14 +137,14 @@
     client_quota, retained = (
         384 // 3,
         idle_retention.MIN_RETAINED_SESSIONS - 2,
-    )  # beside the busy one and the partial command
+    )  # besides the busy one and the partial command
     asked: list[Client] = []
     busy = await world.client()
-    busy.put("busy", b"v")  # no hedged request of a write disturbs what the cache is asked
+    busy.put("busy", b"v")  # a write, as a read would be hedged at the cache
     got = await world.origin.next()
     partial = await world.client()
     assert await is_ready(partial)
-    partial.send(b"mg")  # it would be idle for longest otherwise
+    partial.send(b"mg")  # otherwise it would be idle for the longest time
     for _ in range(2 * client_quota):
         client = await world.client()
         assert await is_ready(client)
@@ -152,7 +152,7 @@
     for early in asked[:-retained]:
         assert await early.ended()  # the longest idle ones, before new ones are rejected
     for late in asked[-retained:]:
-        assert await is_ready(late)  # none was used again: only the least number is retained
+        assert await is_ready(late)  # none was reused, so only the minimum number is retained
     partial.send(b" k v Opartial " + P + b"\r\n")
     (await world.cache.next()).reply_value(b"v")
     assert await partial.value("partial") == b"v"
--- a/tests/net/downstream/test_lingering_close.py
+++ b/tests/net/downstream/test_lingering_close.py
@@ -61,7 +61,7 @@
     await world.cache.next()
     assert list(world.node._dispatcher.requests.by_id) == ["waits"]
     client.writer.write_eof()
-    await until(lambda: not world.node._dispatcher.requests.by_id)  # at once: it has gone
+    await until(lambda: not world.node._dispatcher.requests.by_id)  # at once, as the client has disconnected
     await until(lambda: not world.node._client_listener.context.connections)
 
 
@@ -91,7 +91,8 @@
 def test_the_descriptor_budget_stays_within_the_limit(sockets: int) -> None:
     shares = allocate_descriptors(sockets)
     assert min(shares.servers, shares.clients, shares.lingering, shares.accepts_per_turn) >= 1
-    # in one turn of the loop: so many taken, and so many closed whose descriptors are not yet free
+    # in one iteration of the event loop: this many accepted, and this many closed whose descriptors are
+    # not yet free
     assert (
         NUM_RESERVED_DESCRIPTORS
         + shares.servers
--- a/tests/net/lifecycle/test_handover.py
+++ b/tests/net/lifecycle/test_handover.py
@@ -15,7 +15,7 @@
 
 
 class AdministeredWorld(World):
-    """A router with a door."""
+    """A router with an admin endpoint."""
 
     def config(self) -> Any:
         return replace(super().config(), admin_address=(LOCAL, 0))
@@ -78,7 +78,7 @@
     second.start()
     listing = await world.discovery.next()
     assert (await world.ask("ready", second))[0] == 503
-    for _ in range(20):  # all come to the one that serves
+    for _ in range(20):  # all reach the process that serves
         client = await world.client()
         client.send(b"mn\r\n")
         assert await client.line() == b"MN\r\n"
@@ -116,11 +116,13 @@
     ending = asyncio.create_task(world.node.stop())
     await asyncio.sleep(0)
     assert (await world.ask("ready"))[0] == 503
-    crowd = [asyncio.create_task(connect(world.address)) for _ in range(40)]  # beyond what one look takes
+    crowd = [
+        asyncio.create_task(connect(world.address)) for _ in range(40)
+    ]  # more than one iteration accepts
     clients: list[Client] = [used, *await asyncio.gather(*crowd)]
     await asyncio.sleep(0.05)  # the listener is closed
     for client in clients:
-        client.send(b"mn\r\n")  # answered, though others are to be sent to: it goes on until its end
+        client.send(b"mn\r\n")  # a late client is still answered, as not ready
         assert await client.line() == b"SERVER_ERROR not ready\r\n"
         assert await client.ended()
     assert await resting.ended()
--- a/tests/net/lifecycle/test_signals.py
+++ b/tests/net/lifecycle/test_signals.py
@@ -15,7 +15,7 @@
 
 
 def catches(pid: int, number: signal.Signals) -> bool:
-    """Whether a process has a handler of its own for a signal."""
+    """Whether a process has installed a handler for a signal."""
     for line in Path(f"/proc/{pid}/status").read_text().splitlines():
         if line.startswith("SigCgt:"):
             return bool(int(line.split()[1], 16) >> (number - 1) & 1)
@@ -23,7 +23,7 @@
 
 
 async def begin(path: Path, port: int) -> asyncio.subprocess.Process:
-    """A process that has just been started."""
+    """Start a process, and return at once."""
     path.write_text(json.dumps(config(port)))
     environ = {**os.environ, "NODE_CONFIG": str(path)}
     return await spawn(environ)
@@ -32,7 +32,7 @@
 @scenario
 @pytest.mark.parametrize("number", [signal.SIGTERM, signal.SIGINT])
 async def test_sigterm_before_readiness_exits_cleanly(number: signal.Signals, tmp_path: Path) -> None:
-    """Half a second of imports and the first lines went by with no handler: it died of the signal."""
+    """During 0.5 s of imports at the start there was no handler, so a signal killed the process."""
     process = await begin(tmp_path / "config.json", free_port())
     while not catches(process.pid, signal.SIGTERM):
         await asyncio.sleep(0.001)
@@ -45,7 +45,7 @@
 
 @scenario
 async def test_repeated_signals_do_not_change_the_shutdown(tmp_path: Path) -> None:
-    """As the loop let go of its handlers the next one killed the process."""
+    """After the event loop had removed its handlers, the next signal killed the process."""
     cache, port = await Peer().start(), free_port()
     process, client = await start(tmp_path / "config.json", port, cache)
     client.get("1")
@@ -78,7 +78,7 @@
     path.write_text(json.dumps(config(port, discovery=f"{LOCAL}:{discovery.port}")))
     environ = {**os.environ, "NODE_CONFIG": str(path)}
     second = await spawn(environ)
-    await discovery.next()  # which says nothing
+    await discovery.next()  # which is not answered
     second.send_signal(signal.SIGTERM)
     assert await second.wait() == 0
     await served_by(cache, client, "1")
@@ -116,7 +116,7 @@
         while not await says_ready(new):
             await asyncio.sleep(0.01)
     else:
-        assert not await says_ready(new)  # it knows none, and says so
+        assert not await says_ready(new)  # it has no server, and reports that
     answers.cancel()
     for process in processes:
         process.kill()
@@ -128,7 +128,7 @@
         try:
             return await connect((LOCAL, port))
         except ConnectionRefusedError:
-            await asyncio.sleep(0.01)  # nothing tells of a listener but a connection
+            await asyncio.sleep(0.01)  # only a connect shows whether it listens
 
 
 async def says_ready(client: Client) -> bool:
