--- a/benchmarks/accord_service.py
+++ b/benchmarks/accord_service.py
@@ -26,7 +26,7 @@
 from ironrail.rehearsal.links.tierrouter import drawing
 from ironrail.rehearsal.scenario.model import Scenario
 from ironrail.rehearsal.scenario.names import hall_of
-from ironrail.rehearsal.virtual.play import play_virtual
+from ironrail.rehearsal.virtual.runner import play_virtual
 
 SIZES = (7, 9, 12)
 EACH = 15.0  # first tries a second for each router: with the caches below four tenths of what they can do
--- a/benchmarks/connections_choice.py
+++ b/benchmarks/connections_choice.py
@@ -24,7 +24,7 @@
 from ironrail.rehearsal.command import play
 from ironrail.rehearsal.pipelines import Depth, Line, line_of
 from ironrail.rehearsal.scenario import read_scenario
-from ironrail.rehearsal.virtual.play import play_virtual
+from ironrail.rehearsal.virtual.runner import play_virtual
 
 Job = tuple[str, str, int, bool]  # choice, scenario, seed, in virtual time
 FIGURES = ("service", "retries", "lost behind", "p50 ms", "p99 ms", "p99.9 ms", "connections", "handshakes")
--- a/benchmarks/halls_worlds.py
+++ b/benchmarks/halls_worlds.py
@@ -31,7 +31,7 @@
 from ironrail.rehearsal.scenario.model import Scenario
 from ironrail.rehearsal.scenario.names import cache_names, hall_of, router_names
 from ironrail.rehearsal.standins.lanes import Way
-from ironrail.rehearsal.virtual.play import play_virtual
+from ironrail.rehearsal.virtual.runner import play_virtual
 
 LENGTH, AT, LASTS = 24.0, 6.0, 12.0  # seconds of load, and of the fault in it
 WARM_UP = 12.0  # seconds, in which caches fill and the map learns what is usual
--- a/ironrail/rehearsal/command.py
+++ b/ironrail/rehearsal/command.py
@@ -23,7 +23,7 @@
 from ironrail.rehearsal.routers import OWN_ROUTER
 from ironrail.rehearsal.run import Rehearsal, Result
 from ironrail.rehearsal.scenario import Scenario, ScenarioError, read_scenario
-from ironrail.rehearsal.virtual.play import play_virtual
+from ironrail.rehearsal.virtual.runner import play_virtual
 
 KEPT, FAILED, UNUSABLE, NO_VERDICT, INTERRUPTED = 0, 1, 2, 3, 130
 PLAIN_WIDTH = 132  # columns where the output is no terminal
--- a/ironrail/rehearsal/experiments/plan.py
+++ b/ironrail/rehearsal/experiments/plan.py
@@ -17,7 +17,7 @@
 from ironrail.rehearsal.scenario.base import Table
 from ironrail.rehearsal.scenario.model import Scenario
 from ironrail.rehearsal.scenario.reader import ScenarioError, parse, read_scenario, read_text
-from ironrail.rehearsal.virtual.worlds import draw_world
+from ironrail.rehearsal.virtual.random_scenarios import draw_world
 from ironrail.rehearsal.worlds import FAMILIES, family_world
 
 SEEDS = re.compile(r"(\d+)\.\.(\d+)")
--- a/ironrail/rehearsal/experiments/worker.py
+++ b/ironrail/rehearsal/experiments/worker.py
@@ -16,7 +16,7 @@
     from ironrail.net.lifecycle.node import NO_OPERATOR_FILE  # noqa: PLC0415 - errors of the tree are a run's, not the worker's
     from ironrail.operator_reader import read_operator  # noqa: PLC0415
     from ironrail.rehearsal.scenario.model import Scenario  # noqa: PLC0415
-    from ironrail.rehearsal.virtual.play import play_virtual  # noqa: PLC0415
+    from ironrail.rehearsal.virtual.runner import play_virtual  # noqa: PLC0415
 
     settings = read_operator(operator) if operator else NO_OPERATOR_FILE
     played = play_virtual(Scenario.model_validate(world), seed, operator=settings)
--- a/ironrail/rehearsal/fleet/command.py
+++ b/ironrail/rehearsal/fleet/command.py
@@ -15,12 +15,12 @@
 from ironrail.rehearsal.command import FAILED, KEPT, UNUSABLE, Printer, check_writable, make_console
 from ironrail.rehearsal.faults.plan import PlanError
 from ironrail.rehearsal.fleet.counts import Counts, count, judge_fleet
-from ironrail.rehearsal.fleet.worlds import TROUBLES, fleet_world
+from ironrail.rehearsal.fleet.scenarios import TROUBLES, fleet_world
 from ironrail.rehearsal.report.document import document
 from ironrail.rehearsal.report.table import print_report
 from ironrail.rehearsal.scenario.model import VIRTUAL_ROUTERS, Scenario
 from ironrail.rehearsal.scenario.reader import ScenarioError, read_scenario
-from ironrail.rehearsal.virtual.play import Virtual, play_virtual
+from ironrail.rehearsal.virtual.runner import Virtual, play_virtual
 
 FORMAT, VERSION = "ironrail-fleet", 1
 LEAST_LENGTH, MOST_LENGTH = 12.0, 600.0  # seconds: every trouble is over within the first
--- a/ironrail/rehearsal/links/grounds.py
+++ b/ironrail/rehearsal/links/grounds.py
@@ -21,7 +21,7 @@
 from ironrail.rehearsal.scenario.names import router_names
 from ironrail.rehearsal.standins.listening import Listen
 from ironrail.rehearsal.virtual.datagrams import Datagrams
-from ironrail.rehearsal.virtual.ground import VirtualGround, VirtualRouter
+from ironrail.rehearsal.virtual.environment import VirtualGround, VirtualRouter
 from ironrail.rehearsal.virtual.loop import VirtualLoop
 
 LAUNCH = (sys.executable, "-B", "-m", "ironrail.rehearsal.links.launch")
--- a/ironrail/rehearsal/links/rig.py
+++ b/ironrail/rehearsal/links/rig.py
@@ -34,7 +34,7 @@
 from ironrail.rehearsal.scenario.units import write_time
 from ironrail.rehearsal.standins.door import Door
 from ironrail.rehearsal.standins.lanes import Way
-from ironrail.rehearsal.virtual.play import Virtual, play_virtual
+from ironrail.rehearsal.virtual.runner import Virtual, play_virtual
 
 SIGNALS = {
     Kind.KILL: FaultKind.ROUTER_KILL,
--- a/ironrail/rehearsal/links/tierrouter.py
+++ b/ironrail/rehearsal/links/tierrouter.py
@@ -23,7 +23,7 @@
 from ironrail.rehearsal.links.switch import Drifting, Slot, Switch
 from ironrail.rehearsal.links.tierdisk import MemoryDisk, VirtualKeeper, faulty
 from ironrail.rehearsal.links.tierwatch import TierWatch
-from ironrail.rehearsal.virtual.ground import EPOCH
+from ironrail.rehearsal.virtual.environment import EPOCH
 from ironrail.rehearsal.virtual.loop import START, VirtualLoop
 from ironrail.rehearsal.virtual.process import Process
 
--- a/ironrail/rehearsal/virtual/datagrams.py
+++ b/ironrail/rehearsal/virtual/datagrams.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 from ironrail.rehearsal.links.exchange import Exchange
-from ironrail.rehearsal.virtual.faces import Address, Owner
+from ironrail.rehearsal.virtual.interfaces import Address, Owner
 from ironrail.rehearsal.virtual.loop import PROCESS, VirtualLoop
 
 MOST_WAITING = 256  # datagrams that a process has not read: the usual buffer of a socket holds about as many
--- a/ironrail/rehearsal/virtual/explore.py
+++ b/ironrail/rehearsal/virtual/explore.py
@@ -14,9 +14,9 @@
 from ironrail.rehearsal.account.record import Outcome
 from ironrail.rehearsal.scenario.model import Scenario
 from ironrail.rehearsal.virtual.loop import Standstill
-from ironrail.rehearsal.virtual.play import Virtual, play_virtual
+from ironrail.rehearsal.virtual.random_scenarios import QUIET_END, draw_world
+from ironrail.rehearsal.virtual.runner import Virtual, play_virtual
 from ironrail.rehearsal.virtual.shrink import MOST_RUNS, shrink
-from ironrail.rehearsal.virtual.worlds import QUIET_END, draw_world
 
 AHEAD = 4  # seeds in hand for each job: none idles, and none is drawn for nothing
 SETTLED = 1.5  # seconds before the end: what was sent since then has to be answered as on a quiet day
--- a/ironrail/rehearsal/virtual/loop.py
+++ b/ironrail/rehearsal/virtual/loop.py
@@ -17,7 +17,7 @@
 from typing import Any
 
 from ironrail.rehearsal.draws import stream
-from ironrail.rehearsal.virtual.faces import Connects, Owner, Posts
+from ironrail.rehearsal.virtual.interfaces import Connects, Owner, Posts
 
 START = 1000.0  # seconds on the clock when a world begins: no moment of it is near 0
 CANCELLED_SHARE = 0.5  # of all timers, beyond which the heap is rid of them
--- a/ironrail/rehearsal/virtual/process.py
+++ b/ironrail/rehearsal/virtual/process.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from ironrail.rehearsal.virtual.faces import Held
+from ironrail.rehearsal.virtual.interfaces import Held
 from ironrail.rehearsal.virtual.loop import PROCESS, VirtualLoop
 
 OWN_DESCRIPTORS = 8  # of a process without a connection: the standard streams, the loop's own
--- a/ironrail/rehearsal/virtual/worlds.py
+++ b/ironrail/rehearsal/virtual/random_scenarios.py
@@ -14,7 +14,7 @@
 from ironrail.rehearsal.scenario.model import Scenario
 from ironrail.rehearsal.scenario.names import cache_names, router_names
 from ironrail.rehearsal.scenario.units import read_time, write_time
-from ironrail.rehearsal.virtual.rare import rare_moments
+from ironrail.rehearsal.virtual.fault_combinations import rare_moments
 
 MOST_FAULTS = 6
 QUIET_END = 3.0  # seconds of load without a fault, in which service has to come back
@@ -41,7 +41,7 @@
 KINDS = tuple(kind for kind in FaultKind if kind not in LATER + NOT_DRAWN)
 CUT_SHARE = 0.2  # of worlds, in which a task of a router is cut short
 CUTS = (("Discovery._run", CutKind.MOVES, 40), ("Pool._open", CutKind.TIME_UP, 120))  # the last await, too
-RARE_SHARE = 0.6  # of worlds, with moments of `rare.py` on top of what is drawn here
+RARE_SHARE = 0.6  # of worlds, with moments of `fault_combinations.py` on top of what is drawn here
 MOVED_SHARE = 0.2  # of worlds, in which the list moves and routers are told by SIGHUP
 
 
--- a/ironrail/rehearsal/virtual/play.py
+++ b/ironrail/rehearsal/virtual/runner.py
@@ -19,10 +19,10 @@
 from ironrail.rehearsal.run import Progress, Rehearsal, Result
 from ironrail.rehearsal.scenario.model import Scenario
 from ironrail.rehearsal.verdicts import Verdict
-from ironrail.rehearsal.virtual.cuts import Cutter
-from ironrail.rehearsal.virtual.ground import ProcessLog, VirtualGround
+from ironrail.rehearsal.virtual.environment import ProcessLog, VirtualGround
 from ironrail.rehearsal.virtual.invariants import Fault, faults_at_rest
 from ironrail.rehearsal.virtual.loop import START, Standstill, VirtualLoop
+from ironrail.rehearsal.virtual.task_interruption import Cutter
 
 UNWINDING = 1.0  # simulated seconds for what is left to end once it is cancelled
 DAEMON = logging.getLogger("ironrail")
--- a/ironrail/rehearsal/virtual/socket.py
+++ b/ironrail/rehearsal/virtual/socket.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable
 from typing import Any, Protocol
 
-from ironrail.rehearsal.virtual.faces import Owner
+from ironrail.rehearsal.virtual.interfaces import Owner
 
 MOST_READ = 256 * 1024  # bytes that one read takes, as uvloop's do
 
--- a/ironrail/rehearsal/virtual/cuts.py
+++ b/ironrail/rehearsal/virtual/task_interruption.py
@@ -16,7 +16,7 @@
 from ironrail.net.discovery.watcher import EndpointWatcher
 from ironrail.net.upstream.connector import Connector
 from ironrail.rehearsal.scenario.faults import Cut, CutKind
-from ironrail.rehearsal.virtual.ground import VirtualGround, VirtualRouter
+from ironrail.rehearsal.virtual.environment import VirtualGround, VirtualRouter
 from ironrail.rehearsal.virtual.loop import PROCESS, VirtualLoop
 
 Work = Coroutine[Any, Any, Any]
--- a/ironrail/rehearse.py
+++ b/ironrail/rehearse.py
@@ -35,7 +35,7 @@
 from ironrail.rehearsal.run import Result
 from ironrail.rehearsal.scenario import Scenario, ScenarioError, read_scenario, shipped
 from ironrail.rehearsal.scenario.model import VIRTUAL_ROUTERS, Repeats
-from ironrail.rehearsal.virtual.play import play_virtual
+from ironrail.rehearsal.virtual.runner import play_virtual
 
 TRACE_LINES = 200_000  # of the events that a trace keeps
 
--- a/tests/access_log/test_access_log.py
+++ b/tests/access_log/test_access_log.py
@@ -24,7 +24,7 @@
 from ironrail.rehearsal.result import Result
 from ironrail.rehearsal.routers import OWN_ROUTER
 from ironrail.rehearsal.scenario.reader import parse_scenario
-from ironrail.rehearsal.virtual.play import play_virtual
+from ironrail.rehearsal.virtual.runner import play_virtual
 from tests.machine_lock import play_until_verdict
 from tests.peers import World, scenario, until
 from tests.recorded.samples import importer
--- a/tests/diagnostics/test_invariants.py
+++ b/tests/diagnostics/test_invariants.py
@@ -16,7 +16,7 @@
 from ironrail.policy.retry_policy import RetryPolicy
 from ironrail.policy.settings import Idempotency
 from ironrail.rehearsal.scenario.reader import parse_scenario
-from ironrail.rehearsal.virtual.play import play_virtual
+from ironrail.rehearsal.virtual.runner import play_virtual
 from tests.peers import World, scenario
 
 SENDING = Sending(
--- a/tests/net/discovery/test_overloaded_service_played.py
+++ b/tests/net/discovery/test_overloaded_service_played.py
@@ -10,7 +10,7 @@
 from ironrail.rehearsal.standins.agent import Agent
 from ironrail.rehearsal.standins.fleet import Fleet
 from ironrail.rehearsal.standins.telling import BROKEN, News, Telling
-from ironrail.rehearsal.virtual.play import Virtual, play_virtual
+from ironrail.rehearsal.virtual.runner import Virtual, play_virtual
 
 OUTAGE = """
 summary = "the list is out of reach, then crowded, and caches drain"
--- a/tests/net/discovery/test_watch_timeout_played.py
+++ b/tests/net/discovery/test_watch_timeout_played.py
@@ -7,7 +7,7 @@
 from ironrail.rehearsal.scenario.model import Scenario
 from ironrail.rehearsal.scenario.reader import parse_scenario
 from ironrail.rehearsal.standins.fleet import Fleet
-from ironrail.rehearsal.virtual.play import play_virtual
+from ironrail.rehearsal.virtual.runner import play_virtual
 
 WORLD = """
 summary = "watches fall silent, and a cache drains"
--- a/tests/recorded/test_browser.py
+++ b/tests/recorded/test_browser.py
@@ -10,7 +10,7 @@
 from ironrail.recorded.entry import Entry
 from ironrail.recorded.schedule import plan_of
 from ironrail.rehearsal.scenario.reader import parse_scenario
-from ironrail.rehearsal.virtual.play import play_virtual
+from ironrail.rehearsal.virtual.runner import play_virtual
 from tests.recorded.samples import importer
 from tests.recorded.test_import import run
 
--- a/tests/recorded/test_replay.py
+++ b/tests/recorded/test_replay.py
@@ -17,7 +17,7 @@
 from ironrail.rehearsal.scenario.faults import Fault, FaultKind
 from ironrail.rehearsal.scenario.model import Scenario
 from ironrail.rehearsal.scenario.reader import parse_scenario
-from ironrail.rehearsal.virtual.play import play_virtual
+from ironrail.rehearsal.virtual.runner import play_virtual
 from tests.recorded.samples import RULES, START, clf, entry, log_of
 
 SCENARIO = 'summary = "x"\nlength = "10 s"\nwarm_up = "1 s"\n'
--- a/tests/rehearsal/fleet/test_days.py
+++ b/tests/rehearsal/fleet/test_days.py
@@ -7,7 +7,7 @@
 from ironrail.net.protocol.meta_codec import FramingError
 from ironrail.net.upstream.cache_connection import CacheConnection
 from ironrail.rehearsal.faults.plan import Planned, make_plan
-from ironrail.rehearsal.fleet.worlds import fleet_world
+from ironrail.rehearsal.fleet.scenarios import fleet_world
 from ironrail.rehearsal.scenario.faults import FaultKind
 from tests.rehearsal.fleet.test_fleet import failed, world
 
--- a/tests/rehearsal/fleet/test_fleet.py
+++ b/tests/rehearsal/fleet/test_fleet.py
@@ -16,7 +16,7 @@
 from ironrail.policy.state import PendingRequest, Server
 from ironrail.rehearsal.faults.plan import make_plan
 from ironrail.rehearsal.fleet.command import counts_document, fleet, play_fleet
-from ironrail.rehearsal.fleet.worlds import TROUBLES, fleet_world
+from ironrail.rehearsal.fleet.scenarios import TROUBLES, fleet_world
 from ironrail.rehearsal.scenario.faults import FaultKind
 from ironrail.rehearsal.scenario.model import Scenario
 from ironrail.rehearsal.virtual.network import FIRST_PORT, Network
--- a/tests/rehearsal/fleet/test_parts.py
+++ b/tests/rehearsal/fleet/test_parts.py
@@ -14,7 +14,7 @@
 from ironrail.rehearsal.scenario.reader import parse_scenario
 from ironrail.rehearsal.standins.desk import Desk
 from ironrail.rehearsal.standins.warmth import Warmth
-from ironrail.rehearsal.virtual.play import play_virtual
+from ironrail.rehearsal.virtual.runner import play_virtual
 from tests.rehearsal.facts import Story, planned
 
 
--- a/tests/rehearsal/links/test_halls.py
+++ b/tests/rehearsal/links/test_halls.py
@@ -14,7 +14,7 @@
 from ironrail.rehearsal.run import Result
 from ironrail.rehearsal.scenario.model import Scenario
 from ironrail.rehearsal.scenario.names import hall_of
-from ironrail.rehearsal.virtual.play import play_virtual
+from ironrail.rehearsal.virtual.runner import play_virtual
 
 ROUTERS, SEED = 6, 1
 BEGINS = 2.0
--- a/tests/rehearsal/links/test_rig.py
+++ b/tests/rehearsal/links/test_rig.py
@@ -21,7 +21,7 @@
 from ironrail.rehearsal.links.rig import LinkedRehearsal, RigError, play_linked
 from ironrail.rehearsal.run import Result
 from ironrail.rehearsal.scenario.model import Scenario
-from ironrail.rehearsal.virtual.play import play_virtual
+from ironrail.rehearsal.virtual.runner import play_virtual
 from tests.machine_lock import play_until_verdict
 
 PATIENCE = 60.0  # seconds of all tries: the rig bounds itself well within
--- a/tests/rehearsal/list_stage.py
+++ b/tests/rehearsal/list_stage.py
@@ -11,7 +11,7 @@
 from ironrail.rehearsal.standins.fleet import make_caches, rows_of
 from ironrail.rehearsal.standins.registry import Registry
 from ironrail.rehearsal.standins.world import World
-from ironrail.rehearsal.virtual.ground import VirtualGround
+from ironrail.rehearsal.virtual.environment import VirtualGround
 from ironrail.rehearsal.virtual.loop import VirtualLoop
 from tests.rehearsal.facts import scenario
 from tests.rehearsal.stage import Wire, ask, wire
--- a/tests/rehearsal/losses/test_planted.py
+++ b/tests/rehearsal/losses/test_planted.py
@@ -15,8 +15,8 @@
 from ironrail.rehearsal.losses.lay import Causes, Laid
 from ironrail.rehearsal.losses.tap import Why
 from ironrail.rehearsal.scenario.reader import parse_scenario
-from ironrail.rehearsal.virtual import ground
-from ironrail.rehearsal.virtual.play import play_virtual
+from ironrail.rehearsal.virtual import environment
+from ironrail.rehearsal.virtual.runner import play_virtual
 
 SMALL = """
 summary = "small"
@@ -117,7 +117,7 @@
     text = CALM + "[clients]\nretries = 0\n" + fault("reset", whom="all", hard="0.6")
     scenario = parse_scenario(text, "planted.toml")
     seen = play_virtual(scenario, 3).result
-    monkeypatch.setattr(ground, "Tap", lambda router, decided: router)
+    monkeypatch.setattr(environment, "Tap", lambda router, decided: router)
     blind = play_virtual(scenario, 3).result
     assert blind.digest == seen.digest
     assert blind.laid is not None and seen.laid is not None
--- a/tests/rehearsal/test_client_days.py
+++ b/tests/rehearsal/test_client_days.py
@@ -4,7 +4,7 @@
 
 from ironrail.rehearsal.account.record import LEFT, Outcome
 from ironrail.rehearsal.scenario.reader import parse_scenario
-from ironrail.rehearsal.virtual.play import Virtual, play_virtual
+from ironrail.rehearsal.virtual.runner import Virtual, play_virtual
 from tests.peers import scenario
 from tests.rehearsal.facts import planned
 from tests.rehearsal.stage import FAST, client_of, plan_of, stage
--- a/tests/rehearsal/test_clients_gone.py
+++ b/tests/rehearsal/test_clients_gone.py
@@ -10,7 +10,7 @@
 from ironrail.rehearsal.account.record import LEFT
 from ironrail.rehearsal.scenario.model import Scenario
 from ironrail.rehearsal.scenario.reader import parse_scenario
-from ironrail.rehearsal.virtual.play import play_virtual
+from ironrail.rehearsal.virtual.runner import play_virtual
 
 GRANTED = 0.1  # seconds after a client's close in which an attempt may still begin
 DAY = """
--- a/tests/rehearsal/test_new_days.py
+++ b/tests/rehearsal/test_new_days.py
@@ -14,10 +14,10 @@
 from ironrail.rehearsal.scenario.reader import parse_scenario, read_scenario
 from ironrail.rehearsal.standins.door import Door
 from ironrail.rehearsal.standins.listening import SocketListening
-from ironrail.rehearsal.virtual.ground import VirtualListening
+from ironrail.rehearsal.virtual.environment import VirtualListening
 from ironrail.rehearsal.virtual.loop import VirtualLoop
 from ironrail.rehearsal.virtual.network import Network
-from ironrail.rehearsal.virtual.play import play_virtual
+from ironrail.rehearsal.virtual.runner import play_virtual
 from ironrail.rehearsal.virtual.trace import Trace
 from tests.peers import scenario, until
 from tests.rehearsal.stage import R, stage, wire
--- a/tests/rehearsal/test_ports.py
+++ b/tests/rehearsal/test_ports.py
@@ -12,7 +12,7 @@
 from ironrail.rehearsal.ground import FIRST_ROUTER_NETWORK, RealGround
 from ironrail.rehearsal.scenario.model import Scenario
 from ironrail.rehearsal.standins.listening import LOCAL
-from ironrail.rehearsal.virtual.play import play_virtual
+from ironrail.rehearsal.virtual.runner import play_virtual
 from tests.peers import scenario
 
 
--- a/tests/rehearsal/virtual/test_alarms.py
+++ b/tests/rehearsal/virtual/test_alarms.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from ironrail.rehearsal.virtual.play import ALARMS
+from ironrail.rehearsal.virtual.runner import ALARMS
 
 NET = Path(__file__).parents[3] / "ironrail" / "net"
 SOURCES = [path.read_text() for path in NET.rglob("*.py")]
--- a/tests/rehearsal/virtual/test_exact.py
+++ b/tests/rehearsal/virtual/test_exact.py
@@ -10,7 +10,7 @@
 import pytest
 
 from ironrail.rehearsal.scenario.reader import parse_scenario, read_scenario
-from ironrail.rehearsal.virtual.play import play_virtual
+from ironrail.rehearsal.virtual.runner import play_virtual
 from tests.rehearsal.test_mutants import FOLDER, ROOT
 
 BUSY = """
@@ -35,7 +35,7 @@
 PLAY = """
 import sys
 from ironrail.rehearsal.scenario.reader import read_scenario
-from ironrail.rehearsal.virtual.play import play_virtual
+from ironrail.rehearsal.virtual.runner import play_virtual
 print(play_virtual(read_scenario(sys.argv[1]), 7).result.digest)
 """
 
--- a/tests/rehearsal/virtual/test_explore.py
+++ b/tests/rehearsal/virtual/test_explore.py
@@ -20,8 +20,8 @@
 from ironrail.rehearsal.scenario.units import read_time, write_time
 from ironrail.rehearsal.virtual.command import explore as command
 from ironrail.rehearsal.virtual.explore import Finding, look_at, shrunk, write_finding
+from ironrail.rehearsal.virtual.random_scenarios import QUIET_END, draw_world
 from ironrail.rehearsal.virtual.shrink import shrink
-from ironrail.rehearsal.virtual.worlds import QUIET_END, draw_world
 
 CORPUS = sorted((Path(__file__).parent.parent.parent / "corpus").glob("*.toml"))
 
--- a/tests/rehearsal/virtual/test_list_clock_played.py
+++ b/tests/rehearsal/virtual/test_list_clock_played.py
@@ -7,7 +7,7 @@
 from ironrail.net.discovery import http_client
 from ironrail.rehearsal.scenario.model import Scenario
 from ironrail.rehearsal.scenario.reader import parse_scenario
-from ironrail.rehearsal.virtual.play import play_virtual
+from ironrail.rehearsal.virtual.runner import play_virtual
 from tests.mutants import keeps_silent_watch
 
 SILENT = """
--- a/tests/rehearsal/virtual/test_list_moves.py
+++ b/tests/rehearsal/virtual/test_list_moves.py
@@ -9,7 +9,7 @@
 from ironrail.net.lifecycle.node import Node
 from ironrail.rehearsal.scenario.model import Scenario
 from ironrail.rehearsal.scenario.reader import parse_scenario
-from ironrail.rehearsal.virtual.play import play_virtual
+from ironrail.rehearsal.virtual.runner import play_virtual
 
 MOVES = """
 summary = "the list moves, and only the new place tells of a drain"
--- a/tests/rehearsal/virtual/test_replace.py
+++ b/tests/rehearsal/virtual/test_replace.py
@@ -6,7 +6,7 @@
 
 from ironrail.net.lifecycle.handover import Handover
 from ironrail.rehearsal.scenario.reader import read_scenario
-from ironrail.rehearsal.virtual.play import play_virtual
+from ironrail.rehearsal.virtual.runner import play_virtual
 
 
 def test_every_router_is_replaced_and_nobody_notices() -> None:
--- a/tests/rehearsal/virtual/test_cuts.py
+++ b/tests/rehearsal/virtual/test_task_interruption.py
@@ -8,7 +8,7 @@
 from ironrail.rehearsal.scenario.model import Scenario
 from ironrail.rehearsal.scenario.reader import parse_scenario
 from ironrail.rehearsal.virtual.explore import look_at
-from ironrail.rehearsal.virtual.play import Virtual, play_virtual
+from ironrail.rehearsal.virtual.runner import Virtual, play_virtual
 
 WORLD = parse_scenario(
     """
--- a/tests/rehearsal/virtual/transports.py
+++ b/tests/rehearsal/virtual/transports.py
@@ -10,7 +10,7 @@
 
 from ironrail.net.system import REAL, System
 from ironrail.rehearsal.scenario.model import Network as Conditions
-from ironrail.rehearsal.virtual.ground import VirtualSystem
+from ironrail.rehearsal.virtual.environment import VirtualSystem
 from ironrail.rehearsal.virtual.loop import VirtualLoop
 from ironrail.rehearsal.virtual.network import Network
 from ironrail.rehearsal.virtual.trace import Trace
--- a/tests/rehearsal/worlds/test_families.py
+++ b/tests/rehearsal/worlds/test_families.py
@@ -13,7 +13,7 @@
 from ironrail.rehearsal.faults.plan import make_plan
 from ironrail.rehearsal.scenario.model import Scenario
 from ironrail.rehearsal.settings import settings_of
-from ironrail.rehearsal.virtual.play import play_virtual
+from ironrail.rehearsal.virtual.runner import play_virtual
 from ironrail.rehearsal.worlds import FAMILIES, family_world
 from ironrail.rehearsal.worlds.families import LEAST_LOAD, LENGTH, MOST_LOAD, QUIET, WORK
 
