--- a/benchmarks/accord_service.py
+++ b/benchmarks/accord_service.py
@@ -26,7 +26,7 @@
 from ironrail.rehearsal.links.tierrouter import drawing
 from ironrail.rehearsal.scenario.model import Scenario
 from ironrail.rehearsal.scenario.names import hall_of
-from ironrail.rehearsal.virtual.runner import play_virtual
+from ironrail.rehearsal.virtual.runner import run_virtual
 
 SIZES = (7, 9, 12)
 EACH = 15.0  # first tries a second for each router: with the caches below four tenths of what they can do
@@ -100,13 +100,16 @@
 
     operator = OperatorSettings() if way == "alone" else OperatorSettings(peers=peers)
     with drawing(random.Random(seed)):
-        run = play_virtual(scenario, seed, operator=operator, ground_of=VirtualLinks, rehearsal_of=made)
+        run = run_virtual(
+            scenario, seed, operator=operator, make_environment=VirtualLinks, make_rehearsal=made
+        )
     result = run.result
     assert not result.no_verdict, result.no_verdict
     service = result.service
     return {
         "way": way, "seed": seed, "share": service.whole.share, "broken": result.broken,
-        "asked": rehearsals[0].asked, "taken": rehearsals[0].taken, "faults": [str(f) for f in run.faults],
+        "asked": rehearsals[0].asked, "taken": rehearsals[0].taken,
+        "faults": [str(f) for f in run.violations],
     }  # fmt: skip
 
 
--- a/benchmarks/connections_choice.py
+++ b/benchmarks/connections_choice.py
@@ -24,7 +24,7 @@
 from ironrail.rehearsal.command import play
 from ironrail.rehearsal.pipelines import Depth, Line, line_of
 from ironrail.rehearsal.scenario import read_scenario
-from ironrail.rehearsal.virtual.runner import play_virtual
+from ironrail.rehearsal.virtual.runner import run_virtual
 
 Job = tuple[str, str, int, bool]  # choice, scenario, seed, in virtual time
 FIGURES = ("service", "retries", "lost behind", "p50 ms", "p99 ms", "p99.9 ms", "connections", "handshakes")
@@ -38,7 +38,7 @@
         path.write_text(operator_text(choice))
         if virtual:
             operator = read_operator(str(path))
-            return line_of(Depth(None), play_virtual(read_scenario(scenario), seed, operator=operator).result)
+            return line_of(Depth(None), run_virtual(read_scenario(scenario), seed, operator=operator).result)
         command = (sys.executable, "-B", "-m", "ironrail", "--operator", str(path))
         result = play(read_scenario(scenario), seed, command, Console(file=StringIO()))
     return line_of(Depth(None), result)
--- a/benchmarks/halls_worlds.py
+++ b/benchmarks/halls_worlds.py
@@ -31,7 +31,7 @@
 from ironrail.rehearsal.scenario.model import Scenario
 from ironrail.rehearsal.scenario.names import cache_names, hall_of, router_names
 from ironrail.rehearsal.standins.lanes import Way
-from ironrail.rehearsal.virtual.runner import play_virtual
+from ironrail.rehearsal.virtual.runner import run_virtual
 
 LENGTH, AT, LASTS = 24.0, 6.0, 12.0  # seconds of load, and of the fault in it
 WARM_UP = 12.0  # seconds, in which caches fill and the map learns what is usual
@@ -176,8 +176,14 @@
         peers = PeerSettings({1: str(key)}, 1, standing, zone_latency_map=True)
         operator = OperatorSettings(peers=peers if mode == "on" else None)
         rehearsal = partial(World, plan=plan, matrix=matrix, truth=mode == "truth")
-        played = play_virtual(made, seed, operator=operator, ground_of=VirtualLinks, rehearsal_of=rehearsal)
-    assert not played.faults and not played.result.broken, (job, played.faults, played.result.broken[:2])
+        played = run_virtual(
+            made, seed, operator=operator, make_environment=VirtualLinks, make_rehearsal=rehearsal
+        )
+    assert not played.violations and not played.result.broken, (
+        job,
+        played.violations,
+        played.result.broken[:2],
+    )
     return Figures.of(played.result)
 
 
--- a/benchmarks/virtual_agrees.py
+++ b/benchmarks/virtual_agrees.py
@@ -21,7 +21,7 @@
 from ironrail.rehearsal.routers import OWN_ROUTER
 from ironrail.rehearsal.run import Result
 from ironrail.rehearsal.scenario.reader import read_scenario, shipped
-from ironrail.rehearsal.virtual.runner import play_virtual
+from ironrail.rehearsal.virtual.runner import run_virtual
 
 APART = 0.03  # of service
 TRIES = 4  # of a real run for which the machine was too busy
@@ -44,7 +44,7 @@
 
 def virtual(name: str, seed: int) -> Figures:
     began = time.monotonic()
-    return figures(play_virtual(read_scenario(name), seed).result, time.monotonic() - began)
+    return figures(run_virtual(read_scenario(name), seed).result, time.monotonic() - began)
 
 
 def main() -> int:
--- a/ironrail/rehearsal/command.py
+++ b/ironrail/rehearsal/command.py
@@ -23,7 +23,7 @@
 from ironrail.rehearsal.routers import OWN_ROUTER
 from ironrail.rehearsal.run import Rehearsal, Result
 from ironrail.rehearsal.scenario import Scenario, ScenarioError, read_scenario
-from ironrail.rehearsal.virtual.runner import play_virtual
+from ironrail.rehearsal.virtual.runner import run_virtual
 
 KEPT, FAILED, UNUSABLE, NO_VERDICT, INTERRUPTED = 0, 1, 2, 3, 130
 PLAIN_WIDTH = 132  # columns where the output is no terminal
@@ -121,7 +121,7 @@
             console.print(f"{name}", highlight=False)
             if virtual:
                 told = Printer(console, chosen)
-                return play_virtual(chosen, seed, operator=read_operator(str(operator)), progress=told).result
+                return run_virtual(chosen, seed, operator=read_operator(str(operator)), progress=told).result
             return play(chosen, seed, (*OWN_ROUTER, "--operator", str(operator)), console)
 
         lines = compare(wanted, play_one)
--- a/ironrail/rehearsal/experiments/plan.py
+++ b/ironrail/rehearsal/experiments/plan.py
@@ -17,8 +17,8 @@
 from ironrail.rehearsal.scenario.base import Table
 from ironrail.rehearsal.scenario.model import Scenario
 from ironrail.rehearsal.scenario.reader import ScenarioError, parse, read_scenario, read_text
-from ironrail.rehearsal.virtual.random_scenarios import draw_world
-from ironrail.rehearsal.worlds import FAMILIES, family_world
+from ironrail.rehearsal.virtual.random_scenarios import random_scenario
+from ironrail.rehearsal.worlds import FAMILIES, family_scenario
 
 SEEDS = re.compile(r"(\d+)\.\.(\d+)")
 DRAWN = "drawn"  # the worlds that the explorer draws, in place of a scenario
@@ -139,8 +139,8 @@
 def world_of(worlds: Worlds, seed: int) -> Scenario:
     """The world of a seed."""
     if worlds.scenario.startswith(FAMILY):
-        return family_world(worlds.scenario.removeprefix(FAMILY), seed)
-    return draw_world(seed) if worlds.scenario == DRAWN else read_scenario(worlds.scenario)
+        return family_scenario(worlds.scenario.removeprefix(FAMILY), seed)
+    return random_scenario(seed) if worlds.scenario == DRAWN else read_scenario(worlds.scenario)
 
 
 def blocks(experiment: Experiment) -> Iterator[list[Run]]:
--- a/ironrail/rehearsal/experiments/worker.py
+++ b/ironrail/rehearsal/experiments/worker.py
@@ -16,16 +16,16 @@
     from ironrail.net.lifecycle.node import NO_OPERATOR_FILE  # noqa: PLC0415 - errors of the tree are a run's, not the worker's
     from ironrail.operator_reader import read_operator  # noqa: PLC0415
     from ironrail.rehearsal.scenario.model import Scenario  # noqa: PLC0415
-    from ironrail.rehearsal.virtual.runner import play_virtual  # noqa: PLC0415
+    from ironrail.rehearsal.virtual.runner import run_virtual  # noqa: PLC0415
 
     settings = read_operator(operator) if operator else NO_OPERATOR_FILE
-    played = play_virtual(Scenario.model_validate(world), seed, operator=settings)
+    played = run_virtual(Scenario.model_validate(world), seed, operator=settings)
     result = played.result
     return {
         "service": result.service.whole.share,
         "asked": result.service.whole.asked,
         "broken": len(result.broken),
-        "faults": len(played.faults),
+        "faults": len(played.violations),
         "digest": result.digest,
         "losses": result.laid.causes if result.laid is not None else {},
     }
--- a/ironrail/rehearsal/fleet/__init__.py
+++ b/ironrail/rehearsal/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""Many routers before many caches, in virtual time: what is harmless from one router and harmful from all."""
+"""Rehearses large fleets in virtual time, to find behavior that only harms when all routers share it."""
--- a/ironrail/rehearsal/fleet/counts.py
+++ b/ironrail/rehearsal/fleet/counts.py
@@ -1,4 +1,4 @@
-"""What all routers of a fleet did together, and the bounds of that. Pure."""
+"""Counts over all routers of a fleet, and the limits that they must keep. Pure."""
 
 from __future__ import annotations
 
@@ -12,46 +12,46 @@
 from ironrail.rehearsal.scenario.model import Scenario
 from ironrail.rehearsal.verdicts import Verdict
 
-PEAK = 1.0  # seconds of the window in which calls for the list are counted
-# of all routers, so many calls within it at the most: calls in step wear out a service with places for few
-PEAK_SHARE, PEAK_LEAST = 0.5, 10  # where they are few they may all ask at once
-COLD_MOST = 1.0  # of what a cold cache bears, from routers that were told of its start
-ATTEMPTS_MOST = 2.6  # for each first try: three attempts and a retry each would be six
-UNKNOWN = "no reason in the module's books"
+PEAK_WINDOW_SECONDS = 1.0  # window in which list calls are counted
+# maximum list calls per window as a fraction of the routers: synchronized calls overload the list service
+MAX_PEAK_FRACTION, MIN_PEAK_LIMIT = 0.5, 10  # in a small fleet all routers may call at once
+MAX_COLD_LOAD = 1.0  # fraction of a cold cache's capacity, sent by routers notified of its start
+MAX_ATTEMPTS_PER_FIRST_TRY = 2.6  # three attempts and one client retry for every request would be six
+UNKNOWN_CAUSE = "no reason in the module's books"
 
 
 @dataclass(slots=True)
 class Counts:
-    """One run, over the whole fleet."""
+    """Counts of one run over the whole fleet."""
 
     first_tries: int = 0
     attempts: int = 0
     tries: int = 0
     connections_made: int = 0
-    connections_refused: int = 0  # by a full table
-    connections_most: int = 0  # at one cache at once
-    open_mean: float = 0.0  # at all caches
-    list_calls: Counter[str] = field(default_factory=Counter)  # by how they ended
-    list_peak: int = 0  # calls that waited for a turn and ended within any second
-    list_most: int = 0  # of one router
-    listed: int = 0  # routers that were told at least once
+    connections_refused: int = 0  # by a cache whose connection table was full
+    max_connections_per_cache: int = 0  # open at one cache at the same time
+    open_mean: float = 0.0  # mean of open connections at all caches
+    list_calls: Counter[str] = field(default_factory=Counter)  # by outcome
+    peak_list_calls: int = 0  # queued calls that fell within any one window
+    max_list_calls_per_router: int = 0  # calls of the busiest router
+    routers_listed: int = 0  # routers that received a list at least once
     cold_starts: int = 0
-    cold_most: float = 0.0  # of what a cold cache bears, the largest part that one was sent
-    cold_whom: str = ""
-    cold_fallen: int = 0  # pushed over, by whomever
-    given_up: Counter[str] = field(default_factory=Counter)  # refusals and failures by cause
+    max_cold_load: float = 0.0  # largest load sent to a cold cache, as a fraction of its capacity
+    max_cold_load_cache: str = ""
+    caches_overloaded: int = 0  # cold caches that failed from overload, from any router
+    given_up: Counter[str] = field(default_factory=Counter)  # refused and failed tries by cause
 
-    def attempts_each(self) -> float:
-        """Attempts for each first try."""
+    def attempts_per_first_try(self) -> float:
+        """Attempts per first try."""
         return self.attempts / max(1, self.first_tries)
 
 
 def count(record: Record, decided: Mapping[str, Decided], open_mean: float) -> Counts:
-    """All of a run; `open_mean` connections at all caches, over time."""
+    """Count a run; `open_mean`: mean number of open connections at all caches over time."""
     counts = Counts(
         connections_made=record.handshakes,
         connections_refused=record.crowded,
-        connections_most=record.most_connections,
+        max_connections_per_cache=record.most_connections,
         open_mean=open_mean,
     )
     for one in record.tries.values():
@@ -62,11 +62,15 @@
         counts.attempts += len(one.attempts)
         if one.outcome in (Outcome.REFUSED, Outcome.FAILED):
             mine = decided.get(one.request)
-            counts.given_up[str(mine.why) if mine is not None and mine.why is not None else UNKNOWN] += 1
+            counts.given_up[
+                str(mine.why) if mine is not None and mine.why is not None else UNKNOWN_CAUSE
+            ] += 1
     _count_list(counts, record)
-    counts.cold_starts, counts.cold_fallen = len(record.cold), len(record.fallen)
+    counts.cold_starts, counts.caches_overloaded = len(record.cold), len(record.fallen)
     if record.cold:
-        (counts.cold_whom, _), counts.cold_most = max(record.cold.items(), key=lambda item: item[1])
+        (counts.max_cold_load_cache, _), counts.max_cold_load = max(
+            record.cold.items(), key=lambda item: item[1]
+        )
     return counts
 
 
@@ -75,28 +79,40 @@
     calls = sorted((call for call in record.list_calls if call.queued), key=lambda call: call.at)
     first = 0
     for last, call in enumerate(calls):
-        while calls[first].at <= call.at - PEAK:
+        while calls[first].at <= call.at - PEAK_WINDOW_SECONDS:
             first += 1
-        counts.list_peak = max(counts.list_peak, last - first + 1)
+        counts.peak_list_calls = max(counts.peak_list_calls, last - first + 1)
     each = Counter(call.router for call in calls)
-    counts.list_most = max(each.values(), default=0)
-    counts.listed = len({call.router for call in record.list_calls if call.ended is Call.TOLD})
+    counts.max_list_calls_per_router = max(each.values(), default=0)
+    counts.routers_listed = len({call.router for call in record.list_calls if call.ended is Call.TOLD})
 
 
 def judge_fleet(counts: Counts, scenario: Scenario) -> list[Verdict]:
-    """Whether the fleet as a whole kept its bounds."""
-    peak = max(PEAK_LEAST, math.ceil(PEAK_SHARE * scenario.routers.count))
+    """Verdicts on whether the fleet as a whole kept its limits."""
+    peak = max(MIN_PEAK_LIMIT, math.ceil(MAX_PEAK_FRACTION * scenario.routers.count))
     places = scenario.caches.connections
-    each = counts.attempts_each()
+    each = counts.attempts_per_first_try()
     return [
-        Verdict("calls for the list in a second", counts.list_peak <= peak, peak, counts.list_peak),
+        Verdict(
+            "calls for the list in a second", counts.peak_list_calls <= peak, peak, counts.peak_list_calls
+        ),
         Verdict(
             "work sent to a cold cache by who knew",
-            counts.cold_most <= COLD_MOST,
-            COLD_MOST,
-            counts.cold_most,
-            note=counts.cold_whom,
+            counts.max_cold_load <= MAX_COLD_LOAD,
+            MAX_COLD_LOAD,
+            counts.max_cold_load,
+            note=counts.max_cold_load_cache,
+        ),
+        Verdict(
+            "connections at a cache",
+            counts.max_connections_per_cache <= places,
+            places,
+            counts.max_connections_per_cache,
+        ),
+        Verdict(
+            "attempts for each first try",
+            each <= MAX_ATTEMPTS_PER_FIRST_TRY,
+            MAX_ATTEMPTS_PER_FIRST_TRY,
+            each,
         ),
-        Verdict("connections at a cache", counts.connections_most <= places, places, counts.connections_most),
-        Verdict("attempts for each first try", each <= ATTEMPTS_MOST, ATTEMPTS_MOST, each),
     ]
--- a/ironrail/rehearsal/links/grounds.py
+++ b/ironrail/rehearsal/links/grounds.py
@@ -21,7 +21,7 @@
 from ironrail.rehearsal.scenario.names import router_names
 from ironrail.rehearsal.standins.listening import Listen
 from ironrail.rehearsal.virtual.datagrams import Datagrams
-from ironrail.rehearsal.virtual.environment import VirtualGround, VirtualRouter
+from ironrail.rehearsal.virtual.environment import VirtualEnvironment, VirtualRouter
 from ironrail.rehearsal.virtual.loop import VirtualLoop
 
 LAUNCH = (sys.executable, "-B", "-m", "ironrail.rehearsal.links.launch")
@@ -85,7 +85,7 @@
         self.links.close()
 
 
-class VirtualLinks(VirtualGround):
+class VirtualLinks(VirtualEnvironment):
     """A world in virtual time."""
 
     def __init__(
@@ -107,7 +107,7 @@
         self.links.before(router)
         return router
 
-    def system_of(self, name: str) -> System:
+    def router_system(self, name: str) -> System:
         return Drifting(self.system, self.links.switches[name])
 
     def close(self) -> None:
--- a/ironrail/rehearsal/links/rig.py
+++ b/ironrail/rehearsal/links/rig.py
@@ -34,7 +34,7 @@
 from ironrail.rehearsal.scenario.units import write_time
 from ironrail.rehearsal.standins.door import Door
 from ironrail.rehearsal.standins.lanes import Way
-from ironrail.rehearsal.virtual.runner import Virtual, play_virtual
+from ironrail.rehearsal.virtual.runner import VirtualRun, run_virtual
 
 SIGNALS = {
     Kind.KILL: FaultKind.ROUTER_KILL,
@@ -228,7 +228,7 @@
 
 def play_linked(
     scenario: Scenario, seed: int, plan: Sequence[LinkFault], observe: str = "", **others: Any
-) -> Virtual:
-    """Play a scenario with such a plan in virtual time, as `play_virtual` does."""
+) -> VirtualRun:
+    """Play a scenario with such a plan in virtual time, as `run_virtual` does."""
     made = partial(LinkedRehearsal, plan=plan, observe=observe)
-    return play_virtual(scenario, seed, ground_of=VirtualLinks, rehearsal_of=made, **others)
+    return run_virtual(scenario, seed, make_environment=VirtualLinks, make_rehearsal=made, **others)
--- a/ironrail/rehearsal/links/tier.py
+++ b/ironrail/rehearsal/links/tier.py
@@ -27,7 +27,7 @@
 from ironrail.rehearsal.scenario.names import hall_of, router_names
 from ironrail.rehearsal.settings import config_of
 from ironrail.rehearsal.virtual.datagrams import Datagrams
-from ironrail.rehearsal.virtual.loop import START, VirtualLoop
+from ironrail.rehearsal.virtual.loop import LOOP_START_SECONDS, VirtualLoop
 
 PORT = 11311
 TO_ALL = f"127.63.0.1:{PORT}"
@@ -115,7 +115,7 @@
 
     def now(self) -> float:
         """Seconds since the world began."""
-        return self.loop.time() - START
+        return self.loop.time() - LOOP_START_SECONDS
 
     def run(self, seconds: float) -> None:
         """Let time pass; whatever a router raised ends it."""
--- a/ironrail/rehearsal/links/tiercost.py
+++ b/ironrail/rehearsal/links/tiercost.py
@@ -15,7 +15,7 @@
 from typing import Any
 
 from ironrail.rehearsal.virtual.datagrams import Datagrams
-from ironrail.rehearsal.virtual.loop import PROCESS, VirtualLoop
+from ironrail.rehearsal.virtual.loop import CURRENT_PROCESS, VirtualLoop
 from ironrail.rehearsal.virtual.process import Process
 
 CODE = (
@@ -38,7 +38,7 @@
         self.kit = 0.0  # of the callback that runs now, seconds that are the kit's
 
     def _run(self, handle: Any) -> None:
-        process = handle._context.get(PROCESS)
+        process = handle._context.get(CURRENT_PROCESS)
         if process is None:
             super()._run(handle)
             return
--- a/ironrail/rehearsal/links/tierrouter.py
+++ b/ironrail/rehearsal/links/tierrouter.py
@@ -23,8 +23,8 @@
 from ironrail.rehearsal.links.switch import Drifting, Slot, Switch
 from ironrail.rehearsal.links.tierdisk import MemoryDisk, VirtualKeeper, faulty
 from ironrail.rehearsal.links.tierwatch import TierWatch
-from ironrail.rehearsal.virtual.environment import EPOCH
-from ironrail.rehearsal.virtual.loop import START, VirtualLoop
+from ironrail.rehearsal.virtual.environment import SIMULATION_START_UNIX_SECONDS
+from ironrail.rehearsal.virtual.loop import LOOP_START_SECONDS, VirtualLoop
 from ironrail.rehearsal.virtual.process import Process
 
 USUAL_DRIFT = 0.0005  # of a clock that is being slewed; more is a fault, up to what is stated
@@ -37,7 +37,9 @@
     def __init__(self, loop: VirtualLoop, offset: float) -> None:
         """`offset`: seconds that this router's clocks are ahead."""
         self.now: Callable[[], float] = lambda: loop.time() + offset
-        self.wall: Callable[[], float] = lambda: EPOCH + loop.time() - START + offset
+        self.wall: Callable[[], float] = lambda: (
+            SIMULATION_START_UNIX_SECONDS + loop.time() - LOOP_START_SECONDS + offset
+        )
 
     def listen(self, address: Any, backlog: int) -> Any:
         raise NotImplementedError
--- a/ironrail/rehearsal/virtual/__init__.py
+++ b/ironrail/rehearsal/virtual/__init__.py
@@ -1,1 +1,1 @@
-"""The daemon and the stand-ins in virtual time: one thread, and the same events for one seed."""
+"""Runs the daemon and its stand-ins in virtual time, in one thread, deterministically for a given seed."""
--- a/ironrail/rehearsal/virtual/datagrams.py
+++ b/ironrail/rehearsal/virtual/datagrams.py
@@ -1,7 +1,7 @@
-"""Datagrams between routers of a virtual world: `loop.create_datagram_endpoint` ends here.
+"""Simulated datagrams between routers, behind `loop.create_datagram_endpoint`.
 
-No socket for each pair is needed: who sends is known by its process. What a router sends to another's address
-comes from its own, copies and delays as the exchange has them, in a thousand routers as in ten.
+Each router has a single endpoint, so the number of sockets doesn't grow with the number of pairs. The
+exchange decides on loss, copies and delays.
 """
 
 from __future__ import annotations
@@ -11,19 +11,21 @@
 from typing import Any
 
 from ironrail.rehearsal.links.exchange import Exchange
-from ironrail.rehearsal.virtual.interfaces import Address, Owner
-from ironrail.rehearsal.virtual.loop import PROCESS, VirtualLoop
+from ironrail.rehearsal.virtual.interfaces import Address, ProcessInterface
+from ironrail.rehearsal.virtual.loop import CURRENT_PROCESS, VirtualLoop
 
-MOST_WAITING = 256  # datagrams that a process has not read: the usual buffer of a socket holds about as many
-LATENCY = 0.0003  # seconds one way, as the network's usual
+MAX_UNREAD_DATAGRAMS = 256  # about as many as a default socket buffer holds
+LATENCY_SECONDS = 0.0003  # one way, the default of the stream network
 
 
 class VirtualEndpoint(asyncio.DatagramTransport):
-    """Where a router sends and takes datagrams."""
+    """The datagram endpoint of a router."""
 
-    inbox = b""  # bytes that the process holds: the system holds them here
+    inbox = b""  # always empty: unread datagrams are counted in `_waiting`
 
-    def __init__(self, datagrams: Datagrams, process: Owner, address: Address, protocol: Any) -> None:
+    def __init__(
+        self, datagrams: Datagrams, process: ProcessInterface, address: Address, protocol: Any
+    ) -> None:
         super().__init__({"sockname": address})
         self._datagrams, self._address, self._protocol = datagrams, address, protocol
         self._context: contextvars.Context = process.context
@@ -37,8 +39,8 @@
         self._datagrams.send(self._address, addr, bytes(data))
 
     def arrive(self, data: bytes, source: Address) -> bool:
-        """It has come to the system; whether there was room."""
-        if self._waiting >= MOST_WAITING:
+        """Queue a received datagram; returns False if the buffer is full."""
+        if self._waiting >= MAX_UNREAD_DATAGRAMS:
             return False
         self._waiting += 1
         self._datagrams.loop.call_soon(self._take, data, source, context=self._context)
@@ -63,35 +65,35 @@
 
 
 class Datagrams:
-    """All datagrams of a world."""
+    """The datagram network of a simulation."""
 
     def __init__(
         self, loop: VirtualLoop, exchange: Exchange, addresses: dict[str, Address], to_all: Address
     ) -> None:
-        """`addresses`: of each router by name; `to_all`: what is sent there goes to all others."""
+        """`addresses`: by router name; `to_all`: the address that reaches all other routers."""
         self.loop, self._exchange, self._addresses = loop, exchange, addresses
         self._names = {address: name for name, address in addresses.items()}
         self._to_all = to_all
         self.endpoints: dict[Address, VirtualEndpoint] = {}
 
     def open(self, factory: Any, address: Any) -> tuple[VirtualEndpoint, Any]:
-        """An endpoint of the process that asks; OSError where another has the address."""
+        """Open an endpoint for the current process; raises OSError if the address is in use."""
         address = tuple(address)
         if address in self.endpoints:
             raise OSError(98, f"address already in use: {address}")
-        process, protocol = PROCESS.get(), factory()
-        assert process is not None, "only processes have datagrams here"
+        process, protocol = CURRENT_PROCESS.get(), factory()
+        assert process is not None, "datagram endpoints can only be opened in a simulated process"
         endpoint = self.endpoints[address] = VirtualEndpoint(self, process, address, protocol)
         protocol.connection_made(endpoint)
         return endpoint, protocol
 
     def send(self, source: Address, to: Any, data: bytes) -> None:
-        """A datagram of a router; to an address that is no router's it is gone."""
+        """Send a datagram; it is dropped if the target is not a router's address."""
         name, target = self._names.get(source), self._names.get(to)
         if name is None or (target is None and to != self._to_all) or target == name:
             return
         for other, delay in self._exchange.sent(name, target, len(data)):
-            at = self.loop.time() + LATENCY + delay
+            at = self.loop.time() + LATENCY_SECONDS + delay
             self.loop.call_at(at, self._arrive, name, other, data, context=self.loop.outside)
 
     def _arrive(self, source: str, target: str, data: bytes) -> None:
--- a/ironrail/rehearsal/virtual/environment.py
+++ b/ironrail/rehearsal/virtual/environment.py
@@ -1,4 +1,4 @@
-"""A rehearsal in virtual time: the daemon's own parts on a simulated system."""
+"""The environment of a rehearsal in virtual time: the real daemon code on a simulated system."""
 
 from __future__ import annotations
 
@@ -23,30 +23,32 @@
 from ironrail.rehearsal.routers import Exit
 from ironrail.rehearsal.scenario.model import Scenario
 from ironrail.rehearsal.standins.listening import BACKLOG, Accepted, Late, Listen
-from ironrail.rehearsal.virtual.loop import PROCESS, START, VirtualLoop
+from ironrail.rehearsal.virtual.loop import CURRENT_PROCESS, LOOP_START_SECONDS, VirtualLoop
 from ironrail.rehearsal.virtual.network import Network
 from ironrail.rehearsal.virtual.process import Process
 from ironrail.rehearsal.virtual.socket import Listener
 from ironrail.rehearsal.virtual.trace import Trace
 
-EPOCH = 1_700_000_000.0  # Unix time when a world begins
-START_TIME = 0.15  # seconds that a process needs before it listens, and up to as many again
-OWN_MEMORY = 40 * 1024**2  # bytes of a router without anything to do; buffers come on top
+SIMULATION_START_UNIX_SECONDS = 1_700_000_000.0  # wall clock at the start of a run
+MIN_STARTUP_SECONDS = 0.15  # until a process listens; up to as long again is added at random
+BASE_MEMORY_BYTES = 40 * 1024**2  # of an idle router; buffered bytes are added
 
 
 class VirtualSystem:
-    """The seam of `net/system.py` on the virtual world."""
+    """Implements the `System` interface of `net/system.py` on the simulated network and clock."""
 
     def __init__(self, loop: VirtualLoop, network: Network) -> None:
         self.now: Callable[[], float] = loop.time
-        self.wall: Callable[[], float] = lambda: EPOCH + loop.time() - START
+        self.wall: Callable[[], float] = lambda: (
+            SIMULATION_START_UNIX_SECONDS + loop.time() - LOOP_START_SECONDS
+        )
         self._network = network
 
     def listen(self, address: tuple[str, int], backlog: int) -> Listener:
         return self._network.listen(address, backlog)
 
     def is_served(self, address: tuple[str, int]) -> bool:
-        return self._network.listened(address)
+        return self._network.is_listening(address)
 
     def unread_check(self, transport: asyncio.Transport) -> Callable[[], bool]:
         waiting: Callable[[], bool] = transport.get_extra_info("socket").waiting
@@ -59,15 +61,15 @@
         return self._network.round_trip(transport.get_extra_info("socket"))
 
     def startup_complete(self) -> None:
-        """Nothing is to be freed here."""
+        """Does nothing: a simulated system has no startup memory to release."""
 
 
 class VirtualListening:
-    """Where a stand-in listens."""
+    """A listening address of a stand-in."""
 
     def __init__(self, network: Network, port: int, accepted: Accepted) -> None:
-        self.port: int = port or network.number()
-        place = network.place(self.port)
+        self.port: int = port or network.allocate_port()
+        place = network.host_and_port(self.port)
         self._listener = network.listen(place, BACKLOG)
         self._loop, self._accepted = network.loop, accepted
         self.address = "{}:{}".format(*place)
@@ -95,19 +97,24 @@
 
 
 class VirtualRouter:
-    """One router: a process of the virtual world that runs the daemon's `Node`."""
+    """A router: a simulated process that runs the daemon's `Node`."""
 
     def __init__(
-        self, ground: VirtualGround, name: str, config: dict[str, Any], facts: RouterFacts, on_exit: OnExit
+        self,
+        environment: VirtualEnvironment,
+        name: str,
+        config: dict[str, Any],
+        facts: RouterFacts,
+        on_exit: OnExit,
     ) -> None:
-        self._ground, self.name, self.facts, self._on_exit = ground, name, facts, on_exit
+        self._environment, self.name, self.facts, self._on_exit = environment, name, facts, on_exit
         self._table = orjson.dumps(config)
         self.address, self.door = read_address(config["listen"]), read_address(config["operator"])
-        self._asked = False
-        self._starts = 0
+        self._is_stop_requested = False
+        self._incarnations = 0
         self.process: Process | None = None
         self.node: Node | None = None
-        self._over = asyncio.Event()
+        self._ended_event = asyncio.Event()
 
     @property
     def running(self) -> bool:
@@ -118,23 +125,26 @@
         return bytes(self.process.log) if self.process is not None else b""
 
     async def start(self) -> None:
-        """Start it; each start has a seed of its own, as the platform gives one."""
-        self._asked, self._over = False, asyncio.Event()
-        self._starts += 1
-        loop = self._ground.loop
-        self.process = Process(self.name, loop, self._ended)
+        """Start a new incarnation; each has its own seed, as on the real platform."""
+        self._is_stop_requested, self._ended_event = False, asyncio.Event()
+        self._incarnations += 1
+        loop = self._environment.loop
+        self.process = Process(self.name, loop, self._on_process_end)
         self.node = None
         loop.start(self._run(self.process), self.process)
 
     async def _run(self, process: Process) -> None:
-        delay = START_TIME * (1.0 + self._ground.draws.random())
+        delay = MIN_STARTUP_SECONDS * (1.0 + self._environment.draws.random())
         await asyncio.sleep(delay)
         try:
             self.node = Node(
-                self._config(), self._ground.operator, self._ground.system_of(self.name), self._config
+                self._config(),
+                self._environment.operator,
+                self._environment.router_system(self.name),
+                self._config,
             )
             host = self.node._dispatcher
-            host.driver.router = Tap(host.driver.router, self._ground.decided)  # type: ignore[assignment]
+            host.driver.router = Tap(host.driver.router, self._environment.decided)  # type: ignore[assignment]
             await self.node.serve()
         except Exception as e:
             process.write_log(f"{type(e).__name__}: {e}\n")
@@ -143,27 +153,27 @@
             process.end(0)
 
     def configure(self, **fields: str) -> None:
-        """Change fields of its configuration; a running process reads them when it is told to."""
+        """Change fields of the configuration; a running process reads them when it reloads."""
         self._table = orjson.dumps(orjson.loads(self._table) | fields)
 
     def _config(self) -> Config:
         table = orjson.loads(self._table)
-        table["seed"] = f"{int(table['seed'], 16) + self._starts - 1:x}"
+        table["seed"] = f"{int(table['seed'], 16) + self._incarnations - 1:x}"
         return config_of_table(table, {})
 
-    def _ended(self, code: int) -> None:
-        self._over.set()
-        self._on_exit(self, Exit(code, self._asked))
+    def _on_process_end(self, code: int) -> None:
+        self._ended_event.set()
+        self._on_exit(self, Exit(code, self._is_stop_requested))
 
     def signal(self, number: signal.Signals, asked: bool = True) -> None:
         if self.process is not None and self.process.alive:
-            self._asked = self._asked or asked
-            self._ground.network.note("signal", f"{self.name} {number.name}")
+            self._is_stop_requested = self._is_stop_requested or asked
+            self._environment.network.note("signal", f"{self.name} {number.name}")
             self.process.deliver(number)
 
     async def ended(self) -> None:
         if self.process is not None:
-            await self._over.wait()
+            await self._ended_event.wait()
 
     async def kill(self) -> None:
         self.signal(signal.SIGKILL)
@@ -171,30 +181,32 @@
             await self.ended()
 
     def sample(self) -> tuple[int, int] | None:
-        """Memory in bytes, as far as buffers tell it, and open descriptors."""
+        """Memory in bytes (estimated from buffered bytes) and open descriptors; None if not running."""
         process = self.process
         if process is None or not process.alive:
             return None
-        memory, descriptors = OWN_MEMORY + process.buffered(), process.descriptors()
+        memory, descriptors = BASE_MEMORY_BYTES + process.buffered(), process.descriptors()
         self.facts.memory = max(self.facts.memory, memory)
-        self.facts.descriptors = max(self.facts.descriptors, process.most_descriptors)
+        self.facts.descriptors = max(self.facts.descriptors, process.peak_descriptors)
         self.facts.log_bytes = max(self.facts.log_bytes, process.log_bytes)
         return memory, descriptors
 
 
 class ProcessLog(logging.Handler):
-    """Gives each line of the daemon's log to the process that wrote it."""
+    """Writes each log line of the daemon to the log of the simulated process that emitted it."""
 
     def emit(self, record: logging.LogRecord) -> None:
-        process = PROCESS.get()
+        process = CURRENT_PROCESS.get()
         if process is not None:
-            record.created = EPOCH + process.now() - START  # the world's own time
+            record.created = (
+                SIMULATION_START_UNIX_SECONDS + process.now() - LOOP_START_SECONDS
+            )  # simulated time
             record.msecs = record.created % 1 * 1000
             process.write_log(self.format(record) + "\n")
 
 
-class VirtualGround:
-    """What a rehearsal in virtual time stands on."""
+class VirtualEnvironment:
+    """The simulated clock, network and router processes that a rehearsal in virtual time runs on."""
 
     def __init__(
         self,
@@ -212,14 +224,14 @@
         self.draws = stream(seed, "virtual.processes")
         self.wall = self.system.wall
         self.routers: list[VirtualRouter] = []
-        self.decided: dict[str, Decided] = {}  # by request
+        self.decided: dict[str, Decided] = {}  # what each policy module decided, by request
 
     @property
     def listen(self) -> Listen:
         return lambda port, accepted: VirtualListening(self.network, port, accepted)
 
-    def system_of(self, name: str) -> System:
-        """What the router of this name is given."""
+    def router_system(self, name: str) -> System:
+        """The `System` implementation for the router with this name."""
         return self.system
 
     def address_of(self, number: int) -> str:
@@ -233,7 +245,7 @@
         return router
 
     def settled(self) -> None:
-        """Nothing is late here."""
+        """Does nothing: a simulated run has no startup work that could delay the load."""
 
     def digest(self) -> str:
         return self.trace.hexdigest()
--- a/ironrail/rehearsal/virtual/interfaces.py
+++ b/ironrail/rehearsal/virtual/interfaces.py
@@ -1,4 +1,4 @@
-"""What the parts of the virtual world know of each other, so that none has to import one above it."""
+"""Interfaces between the modules of the simulation, which avoid circular imports."""
 
 from __future__ import annotations
 
@@ -10,22 +10,22 @@
 Address = tuple[str, int]
 
 
-class Held(Protocol):
-    """What a process has open."""
+class Descriptor(Protocol):
+    """An open descriptor of a process, such as a socket."""
 
     @property
     def inbox(self) -> bytes | bytearray:
-        """Bytes that have come and that it has not read."""
+        """Received bytes that the process has not read."""
 
     def unsent(self) -> int:
-        """Bytes under way, or held by its user."""
+        """Bytes in transit or still buffered by the owner."""
 
     def close(self) -> None:
-        """Give it up."""
+        """Close the descriptor."""
 
 
-class Owner(Protocol):
-    """A process, to those who run what is its own, open things for it or hear what it says."""
+class ProcessInterface(Protocol):
+    """A process, as seen by the loop, the network and the log handler."""
 
     name: str
     alive: bool
@@ -34,39 +34,39 @@
     handlers: dict[signal.Signals, Callable[[], None]]
     context: contextvars.Context
     extra_descriptors: int  # of files
-    most_descriptors: int
+    peak_descriptors: int
 
     def now(self) -> float:
         """Seconds on the loop's clock."""
 
     def descriptors(self) -> int:
-        """How many it has open."""
+        """The number of open descriptors."""
 
     def write_log(self, text: str) -> None:
-        """Of a log without bound its end is kept."""
+        """Append to the log; only its end is kept."""
 
-    def opened(self, socket: Held) -> None:
-        """It holds one more descriptor."""
+    def opened(self, socket: Descriptor) -> None:
+        """Register an opened descriptor."""
 
-    def closed(self, socket: Held) -> None:
-        """It holds it no more."""
+    def closed(self, socket: Descriptor) -> None:
+        """Unregister a closed descriptor."""
 
     def end(self, code: int) -> None:
-        """It is over."""
+        """End the process with an exit code."""
 
 
-class Connects(Protocol):
-    """A network, to the loop that its connections are asked of."""
+class ConnectionNetwork(Protocol):
+    """The stream network, as used by the event loop."""
 
     async def connect(self, factory: Any, address: Any, local: Any = None) -> tuple[Any, Any]:
-        """A transport and its protocol, from the address `local`; OSError if nobody listens there."""
+        """Connect to `address` from `local`; raises OSError if no listener accepts."""
 
     def adopt(self, factory: Any, socket: Any) -> tuple[Any, Any]:
-        """The same for a connection that was accepted."""
+        """The transport and protocol of an accepted connection."""
 
 
-class Posts(Protocol):
-    """All datagrams of a world, to the loop that their endpoints are asked of."""
+class DatagramNetwork(Protocol):
+    """The datagram network, as used by the event loop."""
 
     def open(self, factory: Any, address: Any) -> tuple[Any, Any]:
-        """An endpoint and its protocol; OSError where another has the address."""
+        """An endpoint and its protocol; raises OSError if the address is in use."""
--- a/ironrail/rehearsal/virtual/invariants.py
+++ b/ironrail/rehearsal/virtual/invariants.py
@@ -1,7 +1,7 @@
-"""The daemon's own books, looked at from within once all is quiet: what it believes, and what it still keeps.
+"""Checks the daemon's internal state once a run is idle.
 
-Nobody asks anything any more and every fault is over, so nothing may be held, nothing out, and each belief
-about load must equal what is there.
+With no requests left and every fault over, no request, attempt or budget may still be held, and each load
+counter must equal the actual load.
 """
 
 from __future__ import annotations
@@ -16,27 +16,33 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Fault:
-    """Something that must never be."""
+class InvariantViolation:
+    """A violated invariant of a router's internal state."""
 
     kind: str
     what: str
 
 
-def faults_at_rest(routers: Iterable[Any]) -> list[Fault]:
-    """All that is wrong in routers that run and have nothing to do."""
-    found: list[Fault] = []
+def find_violations(routers: Iterable[Any]) -> list[InvariantViolation]:
+    """All invariant violations of the running, idle routers."""
+    found: list[InvariantViolation] = []
     for router in routers:
         if router.running and router.node is not None:
-            found += [Fault(kind, f"{router.name}: {what}") for kind, what in _of_node(router.node)]
-            found += [Fault(kind, f"{router.name}: {what}") for kind, what in _descriptors(router)]
+            found += [
+                InvariantViolation(kind, f"{router.name}: {what}")
+                for kind, what in _node_violations(router.node)
+            ]
+            found += [
+                InvariantViolation(kind, f"{router.name}: {what}")
+                for kind, what in _descriptor_violations(router)
+            ]
     return found
 
 
-def _of_node(node: Node) -> Iterator[tuple[str, str]]:
+def _node_violations(node: Node) -> Iterator[tuple[str, str]]:
     host, clients = node._dispatcher, node._client_listener
     policy = host.driver.router
-    yield from _of_guard(host.diagnostics.invariants)
+    yield from _guard_violations(host.diagnostics.invariants)
     if host.requests.by_id:
         yield (
             "held",
@@ -61,7 +67,7 @@
     if load := policy.attempts_in_flight.cache_count:
         yield "load", f"the module believes {load} on its ring where nothing is out"
     for name, pool in host.pools.items():
-        yield from _of_pool(name, pool)
+        yield from _pool_violations(name, pool)
     placed = set(clients.sessions)
     if lost := placed - clients.context.connections.keys():
         yield "places", f"{len(lost)} places of connections that are none"
@@ -75,13 +81,13 @@
             )
 
 
-def _of_guard(guard: InvariantGuard) -> Iterator[tuple[str, str]]:
+def _guard_violations(guard: InvariantGuard) -> Iterator[tuple[str, str]]:
     for violation, count in guard.violations.items():
         if count:
             yield "invariant", f"{violation}: {count}"
 
 
-def _of_pool(name: str, pool: ConnectionPool) -> Iterator[tuple[str, str]]:
+def _pool_violations(name: str, pool: ConnectionPool) -> Iterator[tuple[str, str]]:
     state = pool.manager.state
     if state.waiting:
         yield "attempts", f"{len(state.waiting)} attempts wait for {name}"
@@ -100,8 +106,8 @@
         yield "connections", f"{len(state)} connections to {name}, {state.max_connections} allowed"
 
 
-def _descriptors(router: Any) -> Iterator[tuple[str, str]]:
-    """What the process has open beyond what its parts know of."""
+def _descriptor_violations(router: Any) -> Iterator[tuple[str, str]]:
+    """Open sockets of the process that none of its components tracks."""
     node = router.node
     host, clients = node._dispatcher, node._client_listener
     known = len(clients.context.connections) + len(clients._opening)
--- a/ironrail/rehearsal/virtual/loop.py
+++ b/ironrail/rehearsal/virtual/loop.py
@@ -1,8 +1,8 @@
-"""An asyncio event loop whose clock stands still while something is to be done, and then jumps.
+"""An asyncio event loop on a virtual clock, which advances only when no callback is ready.
 
-Processes share the loop, each with a context of its own: what one has scheduled runs only while it lives and
-is not frozen. Timers of a process keep to whole milliseconds as uvloop's do, so that they come due together,
-or a little early; the order of those due at one instant is drawn from the seed.
+Simulated processes share the loop, each with its own context: the callbacks of a process run only while it
+is alive and not frozen. Timers of a process have millisecond resolution, as with uvloop, so they may fire
+together or slightly early; timers due at the same instant run in an order drawn from the seed.
 """
 
 from __future__ import annotations
@@ -17,34 +17,36 @@
 from typing import Any
 
 from ironrail.rehearsal.draws import stream
-from ironrail.rehearsal.virtual.interfaces import Connects, Owner, Posts
+from ironrail.rehearsal.virtual.interfaces import ConnectionNetwork, DatagramNetwork, ProcessInterface
 
-START = 1000.0  # seconds on the clock when a world begins: no moment of it is near 0
-CANCELLED_SHARE = 0.5  # of all timers, beyond which the heap is rid of them
-LEAST_TIMERS = 100
-MOST_TURNS = 200_000  # of the loop at one instant: guards against a world that never moves on
+LOOP_START_SECONDS = 1000.0  # loop clock at the start; not 0, so that no valid time is near 0
+MAX_CANCELLED_FRACTION = 0.5  # of all timers; above it, cancelled ones are purged from the heap
+MIN_TIMERS_TO_PURGE = 100
+MAX_ITERATIONS_PER_INSTANT = 200_000  # guards against a simulation whose clock never advances
 
-PROCESS: contextvars.ContextVar[Owner | None] = contextvars.ContextVar("process", default=None)
+CURRENT_PROCESS: contextvars.ContextVar[ProcessInterface | None] = contextvars.ContextVar(
+    "process", default=None
+)
 
 
-class Standstill(RuntimeError):
-    """The world can't go on: nothing is scheduled, or it turns for good at one instant."""
+class SimulationStalledError(RuntimeError):
+    """The simulation cannot advance: nothing is scheduled, or the clock stays at one instant."""
 
 
 class VirtualLoop(asyncio.BaseEventLoop):
-    """A loop without a selector: its network is in memory, its clock is its own."""
+    """An event loop without a selector, on a virtual clock and an in-memory network."""
 
     def __init__(self, seed: int) -> None:
         super().__init__()
-        self._now = START
+        self._now = LOOP_START_SECONDS
         self._ties: random.Random = stream(seed, "virtual.ties")
-        self._turns = 0
-        self.network: Connects
-        self.datagrams: Posts  # in worlds whose routers have addresses for them
-        self.outside = contextvars.Context()  # of no process: the network's and the stand-ins'
-        self._of_the_dead: list[Any] = []
-        self.unwinding = False  # the world is over: all that is left runs to its end, whoever it belongs to
-        self.errors: list[str] = []  # what callbacks of routers raised, and nobody took
+        self._iterations = 0
+        self.network: ConnectionNetwork
+        self.datagrams: DatagramNetwork  # set only if the routers have datagram addresses
+        self.outside = contextvars.Context()  # outside all processes: for the network and the stand-ins
+        self._handles_of_ended_processes: list[Any] = []
+        self.unwinding = False  # the run is over: remaining callbacks run regardless of their process
+        self.errors: list[str] = []  # unhandled exceptions of callbacks
         self.set_exception_handler(self._note_error)
 
     # The clock
@@ -55,9 +57,9 @@
     def call_later(  # type: ignore[override]
         self, delay: float, callback: Any, *args: Any, context: Any = None
     ) -> Any:
-        if context is not None or PROCESS.get() is None:
+        if context is not None or CURRENT_PROCESS.get() is None:
             return self.call_at(self._now + delay, callback, *args, context=context)
-        # as uvloop: the loop's own time is cut to a millisecond, and the delay rounded to one
+        # like uvloop: the loop time is truncated to milliseconds, the delay rounded to them
         ticks = round(max(0.0, delay) * 1000)
         if not ticks:
             return self.call_soon(callback, *args)
@@ -66,33 +68,35 @@
     def call_at(  # type: ignore[override]
         self, when: float, callback: Any, *args: Any, context: Any = None
     ) -> Any:
-        if context is None and PROCESS.get() is not None:
+        if context is None and CURRENT_PROCESS.get() is not None:
             return self.call_later(when - math.floor(self._now * 1000) / 1000, callback, *args)
         return super().call_at(when, callback, *args, context=context)
 
-    # Turning
+    # Running callbacks
 
     def _run_once(self) -> None:
         ready: Any = self._ready  # type: ignore[attr-defined]
         timers: Any = self._scheduled  # type: ignore[attr-defined]
-        self._forget_cancelled(timers)
+        self._purge_cancelled(timers)
         if not ready:
             if not timers:
-                raise Standstill("nothing is scheduled any more")
+                raise SimulationStalledError("nothing is scheduled any more")
             if timers[0]._when > self._now:
-                self._now, self._turns = timers[0]._when, 0
-        self._turns += 1
-        if self._turns > MOST_TURNS:
-            raise Standstill(f"{MOST_TURNS} turns at {self._now - START:.6f} s")
+                self._now, self._iterations = timers[0]._when, 0
+        self._iterations += 1
+        if self._iterations > MAX_ITERATIONS_PER_INSTANT:
+            raise SimulationStalledError(
+                f"{MAX_ITERATIONS_PER_INSTANT} turns at {self._now - LOOP_START_SECONDS:.6f} s"
+            )
         self._take_due(timers, ready)
         for _ in range(len(ready)):
             handle = ready.popleft()
             if not handle._cancelled:
                 self._run(handle)
 
-    def _forget_cancelled(self, timers: Any) -> None:
+    def _purge_cancelled(self, timers: Any) -> None:
         cancelled: int = self._timer_cancelled_count  # type: ignore[has-type]
-        if len(timers) > LEAST_TIMERS and cancelled > CANCELLED_SHARE * len(timers):
+        if len(timers) > MIN_TIMERS_TO_PURGE and cancelled > MAX_CANCELLED_FRACTION * len(timers):
             for handle in timers:
                 if handle._cancelled:
                     handle._scheduled = False
@@ -104,7 +108,7 @@
             heapq.heappop(timers)._scheduled = False
 
     def _take_due(self, timers: Any, ready: Any) -> None:
-        """Move what is due to what is ready; those of one instant in an order that is drawn."""
+        """Move due timers to the ready queue; timers due at the same instant in random order."""
         together: list[Any] = []
         while timers and timers[0]._when <= self._now:
             handle = heapq.heappop(timers)
@@ -121,7 +125,7 @@
         ready.extend(together)
 
     def _run(self, handle: Any) -> None:
-        process = handle._context.get(PROCESS)
+        process = handle._context.get(CURRENT_PROCESS)
         if process is None or self.unwinding:
             handle._run()
         elif process.frozen:
@@ -132,21 +136,21 @@
             except SystemExit as e:
                 process.end(e.code if isinstance(e.code, int) else 1)
         else:
-            self._of_the_dead.append(handle)
+            self._handles_of_ended_processes.append(handle)
 
     def timers(self) -> list[Any]:
-        """All that is set and not cancelled, in no order."""
+        """All pending timers, in no particular order."""
         scheduled: Any = self._scheduled  # type: ignore[attr-defined]
         return [handle for handle in scheduled if not handle._cancelled]
 
     def unwind(self) -> None:
-        """The world is over: let whatever is left run to its end, also what belonged to the dead."""
+        """Let all remaining callbacks run to completion, including those of ended processes."""
         self.unwinding = True
-        self.resume(self._of_the_dead)
-        self._of_the_dead = []
+        self.resume(self._handles_of_ended_processes)
+        self._handles_of_ended_processes = []
 
     def resume(self, handles: list[Any]) -> None:
-        """Run what a frozen process could not."""
+        """Schedule the callbacks that a process could not run while frozen."""
         self._ready.extend(handles)  # type: ignore[attr-defined]
 
     def _note_error(self, loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
@@ -157,7 +161,7 @@
         raise NotImplementedError
 
     def _write_to_self(self) -> None:
-        """Nothing sleeps that would have to be woken."""
+        """Does nothing: there is no selector to wake."""
 
     # The network and the system
 
@@ -181,10 +185,10 @@
         return bool(fd.unwatch())
 
     def add_signal_handler(self, sig: int, callback: Any, *args: Any) -> None:  # type: ignore[override]
-        process = PROCESS.get()
-        assert process is not None, "only processes have signals here"
+        process = CURRENT_PROCESS.get()
+        assert process is not None, "signal handlers can only be set in a simulated process"
         process.handlers[signal.Signals(sig)] = lambda: callback(*args)
 
-    def start(self, work: Coroutine[Any, Any, Any], process: Owner) -> asyncio.Task[Any]:
-        """Begin a task of a process."""
-        return self.create_task(work, context=process.context)
+    def start(self, coroutine: Coroutine[Any, Any, Any], process: ProcessInterface) -> asyncio.Task[Any]:
+        """Start a task in the context of a process."""
+        return self.create_task(coroutine, context=process.context)
--- a/ironrail/rehearsal/virtual/process.py
+++ b/ironrail/rehearsal/virtual/process.py
@@ -1,4 +1,4 @@
-"""A process of the virtual world: what it holds, and how it is frozen, resumed, told and ended."""
+"""A simulated process: its descriptors, its log, and its handling of signals."""
 
 from __future__ import annotations
 
@@ -7,61 +7,61 @@
 from collections.abc import Callable
 from typing import Any
 
-from ironrail.rehearsal.virtual.interfaces import Held
-from ironrail.rehearsal.virtual.loop import PROCESS, VirtualLoop
+from ironrail.rehearsal.virtual.interfaces import Descriptor
+from ironrail.rehearsal.virtual.loop import CURRENT_PROCESS, VirtualLoop
 
-OWN_DESCRIPTORS = 8  # of a process without a connection: the standard streams, the loop's own
+BASE_DESCRIPTORS = 8  # of an idle process: standard streams and those of the event loop
 
 
 class Process:
-    """One process. Whatever runs in its context belongs to it and ends with it."""
+    """A simulated process. Callbacks that run in its context belong to it and stop when it ends."""
 
     def __init__(self, name: str, loop: VirtualLoop, on_end: Callable[[int], None]) -> None:
         self.name, self._loop, self._on_end = name, loop, on_end
         self.alive, self.frozen = True, False
-        self.backlog: list[Any] = []  # handles that came due while it was frozen
+        self.backlog: list[Any] = []  # callbacks that became due while frozen
         self.handlers: dict[signal.Signals, Callable[[], None]] = {}
-        self.sockets: dict[Held, None] = {}
+        self.sockets: dict[Descriptor, None] = {}
         self.extra_descriptors = 0  # of files
-        self.most_descriptors = OWN_DESCRIPTORS
+        self.peak_descriptors = BASE_DESCRIPTORS
         self.log = bytearray()
         self.log_bytes = 0
         self.context = contextvars.copy_context()
-        self.context.run(PROCESS.set, self)
+        self.context.run(CURRENT_PROCESS.set, self)
         self._pending: list[signal.Signals] = []
 
     def now(self) -> float:
         """Seconds on the loop's clock."""
         return self._loop.time()
 
-    # What it holds
+    # Resources
 
     def descriptors(self) -> int:
-        return OWN_DESCRIPTORS + len(self.sockets) + self.extra_descriptors
+        return BASE_DESCRIPTORS + len(self.sockets) + self.extra_descriptors
 
-    def opened(self, socket: Held) -> None:
+    def opened(self, socket: Descriptor) -> None:
         self.sockets[socket] = None
-        self.most_descriptors = max(self.most_descriptors, self.descriptors())
+        self.peak_descriptors = max(self.peak_descriptors, self.descriptors())
 
-    def closed(self, socket: Held) -> None:
+    def closed(self, socket: Descriptor) -> None:
         self.sockets.pop(socket, None)
 
     def buffered(self) -> int:
-        """Bytes that it holds in memory for peers that do not take them, and the system for it."""
+        """Bytes buffered for all sockets, by the process and by the system."""
         return sum(socket.unsent() + len(socket.inbox) for socket in self.sockets)
 
     def write_log(self, text: str) -> None:
-        """Of a log without bound its end is kept."""
+        """Append to the log; only its last 64 to 128 KiB are kept."""
         data = text.encode()
         self.log_bytes += len(data)
         self.log += data
         if len(self.log) > 128 * 1024:
             del self.log[: -64 * 1024]
 
-    # What is done to it
+    # Signals and end
 
     def deliver(self, number: signal.Signals) -> None:
-        """Send it a signal, as the system does."""
+        """Deliver a signal with the semantics of the operating system."""
         if not self.alive:
             return
         if number is signal.SIGKILL:
@@ -69,7 +69,7 @@
         elif number is signal.SIGSTOP:
             self.frozen = True
         elif number is signal.SIGCONT:
-            self._thaw()
+            self._continue()
         elif self.frozen:
             self._pending.append(number)
         elif number in self.handlers:
@@ -77,7 +77,7 @@
         else:
             self.end(-number)
 
-    def _thaw(self) -> None:
+    def _continue(self) -> None:
         if not self.frozen:
             return
         self.frozen = False
@@ -88,7 +88,7 @@
             self.deliver(number)
 
     def end(self, code: int) -> None:
-        """It is over: the system closes all that it had open, and nothing of it runs again."""
+        """End the process: close its descriptors and run none of its callbacks again."""
         if not self.alive:
             return
         self.alive, self.frozen = False, False
--- a/ironrail/rehearsal/virtual/random_scenarios.py
+++ b/ironrail/rehearsal/virtual/random_scenarios.py
@@ -1,6 +1,6 @@
-"""Small worlds drawn from a seed, with faults at random: what the explorer plays. Pure.
+"""Generates small random scenarios with random faults from a seed, for the explorer. Pure.
 
-A world is an ordinary scenario, so that one that fails can be written down, shrunk and played again.
+The result is an ordinary scenario, so one that fails can be written to a file, shrunk and replayed.
 """
 
 from __future__ import annotations
@@ -14,14 +14,15 @@
 from ironrail.rehearsal.scenario.model import Scenario
 from ironrail.rehearsal.scenario.names import cache_names, router_names
 from ironrail.rehearsal.scenario.units import read_time, write_time
-from ironrail.rehearsal.virtual.fault_combinations import rare_moments
-
-MOST_FAULTS = 6
-QUIET_END = 3.0  # seconds of load without a fault, in which service has to come back
-TERM_LEAST = "2500 ms"  # from SIGTERM to the kill: the longest deadline here, and 0.7 s more
-LATER = (FaultKind.LIST_MOVES,)  # kinds with a stream of their own, so that no world drawn before is another
-# for fleets at size: a world with few routers has no crowd at the list, and these would move all draws
-NOT_DRAWN = (
+from ironrail.rehearsal.virtual.fault_combinations import draw_fault_combinations
+
+MAX_FAULTS = 6
+RECOVERY_SECONDS = 3.0  # fault-free load at the end, in which service has to recover
+MIN_TERM_DURATION = "2500 ms"  # from SIGTERM to the kill: the longest deadline here, and 0.7 s more
+# drawn from a separate stream, so that adding them did not change the scenarios of existing seeds
+SEPARATE_STREAM_KINDS = (FaultKind.LIST_MOVES,)
+# meant for large fleets or drawn elsewhere; adding them here would change the scenarios of all seeds
+EXCLUDED_KINDS = (
     FaultKind.LIST_CROWDED,
     FaultKind.LIST_CUT,
     FaultKind.LIST_SPOILT,
@@ -38,15 +39,16 @@
     FaultKind.WATCH_RESET,
     FaultKind.CLIENTS_LEAVE,
 )
-KINDS = tuple(kind for kind in FaultKind if kind not in LATER + NOT_DRAWN)
-CUT_SHARE = 0.2  # of worlds, in which a task of a router is cut short
-CUTS = (("Discovery._run", CutKind.MOVES, 40), ("Pool._open", CutKind.TIME_UP, 120))  # the last await, too
-RARE_SHARE = 0.6  # of worlds, with moments of `fault_combinations.py` on top of what is drawn here
-MOVED_SHARE = 0.2  # of worlds, in which the list moves and routers are told by SIGHUP
+KINDS = tuple(kind for kind in FaultKind if kind not in SEPARATE_STREAM_KINDS + EXCLUDED_KINDS)
+INTERRUPTION_FRACTION = 0.2  # of scenarios that interrupt a router's task
+# task, kind of interruption, and the highest number of an await to interrupt
+INTERRUPTIONS = (("Discovery._run", CutKind.MOVES, 40), ("Pool._open", CutKind.TIME_UP, 120))
+COMBINATION_FRACTION = 0.6  # of scenarios with additional faults from `fault_combinations.py`
+LIST_MOVE_FRACTION = 0.2  # of scenarios in which the list moves and routers are notified by SIGHUP
 
 
-def draw_world(seed: int) -> Scenario:
-    """The world of a seed; a second call gives an equal one."""
+def random_scenario(seed: int) -> Scenario:
+    """The random scenario of a seed; the same seed always gives an equal scenario."""
     draws = stream(seed, "explore.world")
     length = draws.uniform(5.0, 8.0)
     table: dict[str, Any] = {
@@ -84,8 +86,8 @@
         },
         "registry": {"notice": "400 ms", "silent_notice": "1200 ms", "add": "300 ms", "spread": "100 ms"},
         "network": {
-            # what a client can wait for beyond its time is 50 ms: no world is slower than that
-            **draws.choice(DISTANCES),
+            # a client waits at most 50 ms beyond its deadline, so no network may be slower than that
+            **draws.choice(NETWORK_CONDITIONS),
             "split": draws.choice([0.0, 0.05, 0.5]),
             "window": draws.choice(["4 KB", "64 KB", "512 KB"]),
             "refused": draws.choice([0.0, 0.0, 0.05]),
@@ -95,12 +97,12 @@
     scenario = Scenario.model_validate(table)
     rare = stream(seed, "explore.rare")
     others: dict[str, Any] = {}
-    besides, longer = list[dict[str, Any]](), 0.0
-    if rare.random() < RARE_SHARE:
-        others, besides, longer = rare_moments(rare, scenario)
-    faults = [_fault(draws, scenario, length) for _ in range(draws.randint(0, MOST_FAULTS))]
-    later = _later(stream(seed, "explore.later"), length)
-    faults = _one_at_a_time(besides + faults) + later
+    besides, extension_seconds = list[dict[str, Any]](), 0.0
+    if rare.random() < COMBINATION_FRACTION:
+        others, besides, extension_seconds = draw_fault_combinations(rare, scenario)
+    faults = [_fault(draws, scenario, length) for _ in range(draws.randint(0, MAX_FAULTS))]
+    later = _list_move(stream(seed, "explore.later"), length)
+    faults = _one_per_router(besides + faults) + later
     faults.sort(key=lambda fault: read_time(fault["at"]))
     table |= {
         name: table[name] | part if name in table and isinstance(part, dict) else part
@@ -108,8 +110,8 @@
     }
     if any(fault["kind"] == FaultKind.ROUTER_REPLACE for fault in faults):
         table.get("registry", {}).pop("asked", None)  # an agent can't tell two processes of one name apart
-    table["length"] = write_time(length + longer)
-    return Scenario.model_validate(table | _cut(stream(seed, "explore.cut")) | {"fault": faults})
+    table["length"] = write_time(length + extension_seconds)
+    return Scenario.model_validate(table | _interruption(stream(seed, "explore.cut")) | {"fault": faults})
 
 
 def _classes(draws: random.Random) -> list[dict[str, Any]]:
@@ -122,25 +124,25 @@
     ]
 
 
-def _later(draws: random.Random, length: float) -> list[dict[str, Any]]:
-    if draws.random() >= MOVED_SHARE:
+def _list_move(draws: random.Random, length: float) -> list[dict[str, Any]]:
+    if draws.random() >= LIST_MOVE_FRACTION:
         return []
-    at = draws.uniform(0.0, max(0.3, length - QUIET_END - 0.2))
-    return [{"kind": LATER[0].value, "at": write_time(at), "lasts": "100 ms"}]
+    at = draws.uniform(0.0, max(0.3, length - RECOVERY_SECONDS - 0.2))
+    return [{"kind": SEPARATE_STREAM_KINDS[0].value, "at": write_time(at), "lasts": "100 ms"}]
 
 
-def _cut(draws: random.Random) -> dict[str, Any]:
-    if draws.random() >= CUT_SHARE:
+def _interruption(draws: random.Random) -> dict[str, Any]:
+    if draws.random() >= INTERRUPTION_FRACTION:
         return {}
-    task, how, most = draws.choice(CUTS)
+    task, how, most = draws.choice(INTERRUPTIONS)
     nth, woken = draws.randint(1, most), draws.random() < 0.5
     return {"cut": {"task": task, "nth": nth, "how": how.value, "woken": woken}}
 
 
 def _fault(draws: random.Random, scenario: Scenario, length: float) -> dict[str, Any]:
-    """A fault that is over in time for service to come back."""
+    """A random fault that ends early enough for service to recover before the end."""
     kind = draws.choice(KINDS)
-    last = max(0.5, length - QUIET_END)
+    last = max(0.5, length - RECOVERY_SECONDS)
     at = draws.uniform(0.0, last - 0.2)
     fault: dict[str, Any] = {
         "kind": kind.value,
@@ -158,15 +160,18 @@
         fault["whom"] = draws.choice(victims)
     if kind in (FaultKind.ERRORS, FaultKind.RESET, FaultKind.SPOILT) and draws.random() < 0.3:
         fault["whom"] = "archive"
-    if kind is FaultKind.ROUTER_TERM:  # the platform kills none sooner than that
-        fault["lasts"] = TERM_LEAST
-    if kind in SHARED:
+    if kind is FaultKind.ROUTER_TERM:  # the platform never sends SIGKILL earlier
+        fault["lasts"] = MIN_TERM_DURATION
+    if kind in PARTIAL_KINDS:
         fault["hard"] = draws.choice([0.02, 0.2, 1.0])
     return fault
 
 
-def _one_at_a_time(faults: list[dict[str, Any]]) -> list[dict[str, Any]]:
-    """A router is killed, told to end or frozen once: two plans for one process would kill its successor."""
+def _one_per_router(faults: list[dict[str, Any]]) -> list[dict[str, Any]]:
+    """Keep one process fault (kill, termination, stop, replacement) per router.
+
+    A second one planned for the same process could kill its successor.
+    """
     seen: set[str] = set()
     kept = []
     for fault in faults:
@@ -179,13 +184,13 @@
     return kept
 
 
-DISTANCES = (
+NETWORK_CONDITIONS = (
     {"latency": "0.05 ms", "jitter": 0.0},
     {"latency": "0.3 ms", "jitter": 0.5},
     {"latency": "0.3 ms", "jitter": 20.0},
     {"latency": "2 ms", "jitter": 0.5},
 )
-SHARED = (
+PARTIAL_KINDS = (
     FaultKind.RESET,
     FaultKind.SPOILT,
     FaultKind.SURPLUS,
--- a/ironrail/rehearsal/virtual/runner.py
+++ b/ironrail/rehearsal/virtual/runner.py
@@ -1,4 +1,4 @@
-"""One rehearsal in virtual time, from start to end."""
+"""Runs one rehearsal in virtual time from start to end."""
 
 from __future__ import annotations
 
@@ -19,48 +19,48 @@
 from ironrail.rehearsal.run import Progress, Rehearsal, Result
 from ironrail.rehearsal.scenario.model import Scenario
 from ironrail.rehearsal.verdicts import Verdict
-from ironrail.rehearsal.virtual.environment import ProcessLog, VirtualGround
-from ironrail.rehearsal.virtual.invariants import Fault, faults_at_rest
-from ironrail.rehearsal.virtual.loop import START, Standstill, VirtualLoop
-from ironrail.rehearsal.virtual.task_interruption import Cutter
+from ironrail.rehearsal.virtual.environment import ProcessLog, VirtualEnvironment
+from ironrail.rehearsal.virtual.invariants import InvariantViolation, find_violations
+from ironrail.rehearsal.virtual.loop import LOOP_START_SECONDS, SimulationStalledError, VirtualLoop
+from ironrail.rehearsal.virtual.task_interruption import TaskInterrupter
 
-UNWINDING = 1.0  # simulated seconds for what is left to end once it is cancelled
-DAEMON = logging.getLogger("ironrail")
+UNWIND_SECONDS = 1.0  # simulated; for cancelled tasks to end
+DAEMON_LOGGER = logging.getLogger("ironrail")
 
 
 @dataclass(slots=True)
-class Virtual:
-    """What came of a run in virtual time."""
+class VirtualRun:
+    """The outcome of a run in virtual time."""
 
     result: Result
-    faults: list[Fault]  # what the daemon's own books say against it
-    lines: list[str] = field(default_factory=list)  # the latest events
+    violations: list[InvariantViolation]  # of the routers' internal state
+    lines: list[str] = field(default_factory=list)  # the latest trace events
     seconds: float = 0.0  # simulated
     events: int = 0
-    awaits: int = 0  # of the tasks that the scenario would cut
-    decided: dict[str, Decided] = field(default_factory=dict)  # by each module, by request
+    awaits: int = 0  # of the tasks that the scenario interrupts
+    decided: dict[str, Decided] = field(default_factory=dict)  # what each policy module decided, by request
 
 
 @contextmanager
-def logs_to_processes() -> Iterator[None]:
-    """The daemon's log goes to the process that writes it, and nowhere else."""
+def route_logs_to_processes() -> Iterator[None]:
+    """Send the daemon's log only to the simulated process that emits each line."""
     handler = ProcessLog()
     form = json_formatter()
-    form.converter = time.gmtime  # the same everywhere
+    form.converter = time.gmtime  # independent of the local time zone
     handler.setFormatter(form)
-    before = DAEMON.propagate, DAEMON.level
-    DAEMON.propagate = False
-    DAEMON.setLevel(logging.INFO)
-    DAEMON.addHandler(handler)
+    before = DAEMON_LOGGER.propagate, DAEMON_LOGGER.level
+    DAEMON_LOGGER.propagate = False
+    DAEMON_LOGGER.setLevel(logging.INFO)
+    DAEMON_LOGGER.addHandler(handler)
     try:
         yield
     finally:
-        DAEMON.removeHandler(handler)
-        DAEMON.propagate = before[0]
-        DAEMON.setLevel(before[1])
+        DAEMON_LOGGER.removeHandler(handler)
+        DAEMON_LOGGER.propagate = before[0]
+        DAEMON_LOGGER.setLevel(before[1])
 
 
-def play_virtual(
+def run_virtual(
     scenario: Scenario,
     seed: int,
     *,
@@ -68,61 +68,79 @@
     progress: Progress = lambda at, text: None,
     kept_lines: int = 0,
     schedule: list[Planned] | None = None,
-    ground_of: Callable[..., VirtualGround] = VirtualGround,
-    rehearsal_of: Callable[..., Rehearsal] = Rehearsal,
-) -> Virtual:
-    """Play a scenario. The same scenario and seed give the same events, byte for byte.
-
-    `ground_of`, `rehearsal_of`: what makes either where it is more than a plain one.
+    make_environment: Callable[..., VirtualEnvironment] = VirtualEnvironment,
+    make_rehearsal: Callable[..., Rehearsal] = Rehearsal,
+) -> VirtualRun:
+    """Run a scenario. The same scenario and seed produce the same events, byte for byte.
+
+    Args:
+        scenario: what to run.
+        seed: the seed of all random draws.
+        operator: settings of the operator file.
+        progress: called with the time and a text as the run proceeds.
+        kept_lines: number of trace lines to keep.
+        schedule: requests to send instead of the scenario's own load.
+        make_environment: creates the environment, for runs that need a subclass.
+        make_rehearsal: creates the rehearsal, for runs that need a subclass.
+
+    Raises:
+        SimulationStalledError: the simulation cannot advance.
     """
     loop = VirtualLoop(seed)
-    ground = ground_of(loop, scenario, seed, operator=operator, kept_lines=kept_lines)
-    cutter = Cutter(loop, ground, scenario.cut) if scenario.cut is not None else None
-    faults: list[Fault] = []
+    environment = make_environment(loop, scenario, seed, operator=operator, kept_lines=kept_lines)
+    cutter = TaskInterrupter(loop, environment, scenario.cut) if scenario.cut is not None else None
+    violations: list[InvariantViolation] = []
     errors: list[str] = []
 
     async def look_at_rest() -> None:
-        faults.extend(faults_at_rest(ground.routers))
+        violations.extend(find_violations(environment.routers))
 
-    with logs_to_processes():
+    with route_logs_to_processes():
         try:
-            rehearsal = rehearsal_of(
-                scenario, seed, ground=ground, progress=progress, at_rest=look_at_rest, schedule=schedule
+            rehearsal = make_rehearsal(
+                scenario, seed, ground=environment, progress=progress, at_rest=look_at_rest, schedule=schedule
             )
             result = loop.run_until_complete(rehearsal.run())
             errors += loop.errors
-            result.laid = lay(result.service.losses, result.record, scenario, ground.decided, result.began)
-        except Standstill as e:
-            raise Standstill(f"seed {seed}: {e}") from e
+            result.laid = lay(
+                result.service.losses, result.record, scenario, environment.decided, result.began
+            )
+        except SimulationStalledError as e:
+            raise SimulationStalledError(f"seed {seed}: {e}") from e
         finally:
-            _put_away(loop)
-    faults += [Fault("unhandled", text) for text in errors]
-    faults += [Fault("log", line) for router in ground.routers for line in _alarms(router.log)]
-    note = "; ".join(dict.fromkeys(fault.kind for fault in faults))
-    result.verdicts.append(Verdict("the routers' own books", not faults, 0, len(faults), note=note))
+            _close_loop(loop)
+    violations += [InvariantViolation("unhandled", text) for text in errors]
+    violations += [
+        InvariantViolation("log", line) for router in environment.routers for line in _alarms(router.log)
+    ]
+    note = "; ".join(dict.fromkeys(fault.kind for fault in violations))
+    result.verdicts.append(Verdict("the routers' own books", not violations, 0, len(violations), note=note))
     awaits = cutter.awaits if cutter is not None else 0
-    lines = list(ground.trace.lines)
-    seconds, events = loop.time() - START, ground.trace.events
-    return Virtual(result, faults, lines, seconds, events, awaits, ground.decided)
+    lines = list(environment.trace.lines)
+    seconds, events = loop.time() - LOOP_START_SECONDS, environment.trace.events
+    return VirtualRun(result, violations, lines, seconds, events, awaits, environment.decided)
 
 
-ALARMS = ('"policy_failed"', '"request_dropped_by_policy"', '"endpoint_list_call_crashed"')
+ALARM_EVENTS = ('"policy_failed"', '"request_dropped_by_policy"', '"endpoint_list_call_crashed"')
 
 
 def _alarms(log: bytes) -> list[str]:
-    """Lines that a router never writes while it is well."""
+    """Log lines that report a defect of the router."""
     lines = log.decode(errors="replace").splitlines()
-    return [line for line in lines if any(alarm in line for alarm in ALARMS)]
+    return [line for line in lines if any(alarm in line for alarm in ALARM_EVENTS)]
 
 
-def _put_away(loop: VirtualLoop) -> None:
-    """Nothing of a world may reach the next: what a process that was killed had begun never ends."""
+def _close_loop(loop: VirtualLoop) -> None:
+    """End all remaining tasks and close the loop, so that nothing leaks into the next run.
+
+    Tasks of a killed process never end by themselves.
+    """
     loop.unwind()
     tasks = asyncio.all_tasks(loop)
     for task in tasks:
         task.cancel()
     if tasks:
-        loop.run_until_complete(asyncio.wait(tasks, timeout=UNWINDING))
+        loop.run_until_complete(asyncio.wait(tasks, timeout=UNWIND_SECONDS))
     loop._ready.clear()  # type: ignore[attr-defined]
     loop._scheduled.clear()  # type: ignore[attr-defined]
     loop.close()
--- a/ironrail/rehearsal/virtual/shrink.py
+++ b/ironrail/rehearsal/virtual/shrink.py
@@ -1,8 +1,8 @@
-"""A smaller world that still fails: one change at a time, kept where the failure stays. Pure.
+"""Shrinks a failing scenario one change at a time, keeping changes that preserve the failure. Pure.
 
-Greedy delta debugging on the form of a scenario (Zeller and Hildebrandt, "Simplifying and Isolating
-Failure-Inducing Input", 2002): halves of the faults first, then one by one, then everything that has a
-simpler value. Each step asks `fails`, so that the number of runs is bounded by MOST_RUNS.
+Greedy delta debugging on scenarios (Zeller and Hildebrandt, "Simplifying and Isolating Failure-Inducing
+Input", 2002): first halves of the faults, then single faults, then every field that has a simpler value.
+Each step is one call of `fails`; MAX_RUNS bounds their number.
 """
 
 from __future__ import annotations
@@ -14,27 +14,27 @@
 from ironrail.rehearsal.scenario.model import Scenario
 from ironrail.rehearsal.scenario.units import read_time, write_time
 
-MOST_RUNS = 400  # of `fails` for one failure
+MAX_RUNS = 400  # calls of `fails` per failure
 Table = dict[str, Any]
-LEAST_LENGTH = 1.0  # seconds
-LEAST_LASTS = 0.05  # seconds of a fault
-SIZES = ("count", "rate", "keys")  # fields whose usual value is larger than what a world has
-USUAL_LASTS = "3 s"  # of a fault that does not say
+MIN_LENGTH_SECONDS = 1.0  # seconds
+MIN_FAULT_SECONDS = 0.05  # seconds of a fault
+SIZE_FIELDS = ("count", "rate", "keys")  # kept when defaults are restored: their defaults are larger
+DEFAULT_FAULT_DURATION = "3 s"  # of a fault without `lasts`
 
 
-def shrink(scenario: Scenario, fails: Callable[[Scenario], bool], most: int = MOST_RUNS) -> Scenario:
-    """The smallest world found on which `fails` still holds; the one given if none is smaller."""
+def shrink(scenario: Scenario, fails: Callable[[Scenario], bool], max_runs: int = MAX_RUNS) -> Scenario:
+    """The smallest scenario found for which `fails` holds; the given one if none is smaller."""
     table = scenario.model_dump(mode="json", by_alias=True, exclude_defaults=True)
     runs, again = 0, True
     while again:
         again = False
-        for candidate in _smaller(table):
-            if runs >= most:
+        for candidate in _simplifications(table):
+            if runs >= max_runs:
                 return Scenario.model_validate(table)
             try:
                 world = Scenario.model_validate(candidate)
                 make_plan(world, 0)
-            except ValueError:  # a fault that begins after the new end, or hits whom there is no more
+            except ValueError:  # a fault starts after the new end, or its target no longer exists
                 continue
             runs += 1
             if fails(world):
@@ -43,14 +43,14 @@
     return Scenario.model_validate(table)
 
 
-def _smaller(table: Table) -> Iterator[Table]:
-    """Simpler worlds, the boldest first."""
+def _simplifications(table: Table) -> Iterator[Table]:
+    """Yield simpler scenarios, largest changes first."""
     if "cut" in table:
         yield {name: part for name, part in table.items() if name != "cut"}
     yield from _fewer_faults(table)
     yield from _shorter(table)
-    yield from _fewer(table)
-    yield from _plainer(table)
+    yield from _with_lower_counts(table)
+    yield from _with_defaults(table)
 
 
 def _fewer_faults(table: Table) -> Iterator[Table]:
@@ -68,9 +68,9 @@
         at = read_time(fault["at"])
         if at > 0.1:
             yield table | {"fault": [*faults[:i], fault | {"at": write_time(at / 2)}, *faults[i + 1 :]]}
-        long = read_time(fault.get("lasts", USUAL_LASTS))
+        long = read_time(fault.get("lasts", DEFAULT_FAULT_DURATION))
         for lasts in (0.1, long / 2):
-            if lasts >= LEAST_LASTS and long >= 2 * lasts:
+            if lasts >= MIN_FAULT_SECONDS and long >= 2 * lasts:
                 shorter = fault | {"lasts": write_time(lasts)}
                 yield table | {"fault": [*faults[:i], shorter, *faults[i + 1 :]]}
 
@@ -78,11 +78,11 @@
 def _shorter(table: Table) -> Iterator[Table]:
     length = read_time(table["length"])
     for shorter in (length / 2, length * 0.8, length - 0.5):
-        if LEAST_LENGTH <= shorter < length:
+        if MIN_LENGTH_SECONDS <= shorter < length:
             yield table | {"length": write_time(shorter)}
 
 
-def _fewer(table: Table) -> Iterator[Table]:
+def _with_lower_counts(table: Table) -> Iterator[Table]:
     """Fewer routers, caches, requests, classes."""
     for part, field, least in (("routers", "count", 1), ("caches", "count", 1), ("load", "keys", 1)):
         value = table.get(part, {}).get(field)
@@ -99,15 +99,15 @@
             yield table | {"class": classes[:i] + classes[i + 1 :]}
 
 
-def _plainer(table: Table) -> Iterator[Table]:
-    """A part or a field as usual."""
+def _with_defaults(table: Table) -> Iterator[Table]:
+    """Yield scenarios with a part or a field reset to its default."""
     for part in ("network", "clients", "registry", "archive", "caches", "load", "halls"):
         if part not in table:
             continue
-        sizes = {name: value for name, value in table[part].items() if name in SIZES}
+        sizes = {name: value for name, value in table[part].items() if name in SIZE_FIELDS}
         if sizes != table[part]:
             yield table | {part: sizes}
             for field in table[part]:
-                if field not in SIZES:
+                if field not in SIZE_FIELDS:
                     rest = {name: value for name, value in table[part].items() if name != field}
                     yield table | {part: rest}
--- a/ironrail/rehearsal/virtual/socket.py
+++ b/ironrail/rehearsal/virtual/socket.py
@@ -1,7 +1,7 @@
-"""The system's side of one end of a TCP connection: what was sent, what has come, how it ends.
+"""Simulated sockets: the kernel's side of one end of a TCP connection, and listening sockets.
 
-Bytes arrive in the order they were sent, in pieces that the network draws, after its latency and at its
-bandwidth. A window bounds what is under way and unread together, so that a reader who stops stops the writer.
+Bytes arrive in order, in pieces chosen by the network, after its latency and at its bandwidth. A window
+bounds the bytes in transit plus those unread, so a reader that stops reading blocks the writer.
 """
 
 from __future__ import annotations
@@ -11,61 +11,68 @@
 from collections.abc import Callable
 from typing import Any, Protocol
 
-from ironrail.rehearsal.virtual.interfaces import Owner
+from ironrail.rehearsal.virtual.interfaces import ProcessInterface
 
-MOST_READ = 256 * 1024  # bytes that one read takes, as uvloop's do
+MAX_READ_BYTES = 256 * 1024  # per read, as in uvloop
 
 
-def nothing() -> None:
-    """Nobody wants to know."""
+def no_callback() -> None:
+    """The callback of a socket that has none set."""
 
 
-class Carrier(Protocol):
-    """A network, to the ends of its connections."""
+class SocketNetwork(Protocol):
+    """The network, as used by sockets."""
 
-    window: int  # bytes under way and unread together
+    window: int  # bytes in transit plus unread
 
     @property
     def loop(self) -> asyncio.AbstractEventLoop:
-        """That all runs on."""
+        """The event loop of the simulation."""
 
     def context_now(self) -> contextvars.Context:
-        """The context that callbacks asked for now are to run in."""
+        """The context for callbacks registered now."""
 
     def carry(self, sender: VirtualSocket, data: bytes) -> None:
-        """Bytes are under way."""
+        """Deliver bytes to the peer."""
 
     def carry_end(self, sender: VirtualSocket) -> None:
-        """It sends no more."""
+        """Deliver the end of the stream to the peer."""
 
     def carry_reset(self, sender: VirtualSocket) -> None:
-        """It ends with a reset."""
+        """Deliver a reset to the peer."""
 
     def reset_destroys(self) -> bool:
-        """Whether what was not read is gone with a reset."""
+        """Whether a reset discards unread bytes."""
 
     def unlisten(self, listener: Listener) -> None:
-        """Nobody listens there any more."""
+        """Unregister a closed listener."""
 
 
 class VirtualSocket:
-    """One end."""
-
-    def __init__(self, network: Carrier, process: Owner | None, name: str, own: Any, other: Any) -> None:
+    """One end of a connection."""
+
+    def __init__(
+        self,
+        network: SocketNetwork,
+        process: ProcessInterface | None,
+        name: str,
+        local_address: Any,
+        remote_address: Any,
+    ) -> None:
         self.network, self.process, self.name = network, process, name
-        self.own, self.other = own, other  # addresses
+        self.local_address, self.remote_address = local_address, remote_address  # addresses
         self.peer: VirtualSocket | None = None
         self.inbox = bytearray()
-        self.under_way = 0  # bytes sent and not yet come
-        self.ended = False  # the other end sends no more
+        self.in_transit_bytes = 0  # sent and not yet delivered
+        self.ended = False  # the peer has shut down its sending side
         self.error: OSError | None = None
         self.open = True
-        self.shut = False  # it sends no more itself
-        self.last_arrival = 0.0  # of what it sent: nothing overtakes
-        self.readable: Callable[[], None] = nothing
-        self.writable: Callable[[], None] = nothing
+        self.shut = False  # own sending side is shut down
+        self.last_arrival = 0.0  # arrival time of the latest bytes sent, which keeps them in order
+        self.readable: Callable[[], None] = no_callback
+        self.writable: Callable[[], None] = no_callback
         self._abrupt = False
-        self.held = 0  # bytes that its user still wants to send
+        self.buffered_bytes = 0  # in the transport's write buffer
         if process is not None:
             process.opened(self)
 
@@ -76,42 +83,42 @@
         """It never blocks."""
 
     def setsockopt(self, *what: Any) -> None:
-        """The one option that anybody sets: to end with a reset."""
+        """Close with a reset: SO_LINGER is the only option that callers set."""
         self._abrupt = True
 
     def getsockname(self) -> Any:
-        return self.own
+        return self.local_address
 
     def unsent(self) -> int:
-        """Bytes under way, or held by its user."""
-        return self.under_way + self.held
+        """Bytes in transit or still buffered by the transport."""
+        return self.in_transit_bytes + self.buffered_bytes
 
     # Sending
 
-    def room(self) -> int:
-        """Bytes that it may send now."""
+    def send_capacity(self) -> int:
+        """The number of bytes that the window allows to send now."""
         if self.peer is None:
             return self.network.window
-        return max(0, self.network.window - self.under_way - len(self.peer.inbox))
+        return max(0, self.network.window - self.in_transit_bytes - len(self.peer.inbox))
 
     def send(self, data: bytes) -> int:
-        """Send what there is room for; answers with how much that is."""
+        """Send as many bytes as the window allows and return their number."""
         if self.error is not None or not self.open:
-            raise BrokenPipeError("sent on a connection that has ended")
-        piece = data[: self.room()]
+            raise BrokenPipeError("send on a closed connection")
+        piece = data[: self.send_capacity()]
         if piece:
-            self.under_way += len(piece)
+            self.in_transit_bytes += len(piece)
             self.network.carry(self, bytes(piece))
         return len(piece)
 
     def shutdown(self) -> None:
-        """Say that no more will come."""
+        """Shut down the sending side."""
         if not self.shut and self.open:
             self.shut = True
             self.network.carry_end(self)
 
     def close(self) -> None:
-        """Give it up: a reset where something has come that nobody read, or was asked for so."""
+        """Close; sends a reset if unread bytes remain or an abortive close was requested."""
         if not self.open:
             return
         self.open = False
@@ -124,20 +131,20 @@
                 self.shut = True
                 self.network.carry_end(self)
         self.inbox.clear()
-        self.readable = self.writable = nothing
+        self.readable = self.writable = no_callback
 
     def abort(self) -> None:
-        """End it with a reset."""
+        """Close with a reset."""
         self._abrupt = True
         self.close()
 
-    # What arrives
+    # Receiving
 
     def arrive(self, data: bytes) -> None:
         if self.error is not None:
             return
         if not self.open:
-            self.network.carry_reset(self)  # nobody is there any more
+            self.network.carry_reset(self)  # closed on this side
             return
         self.inbox += data
         self.readable()
@@ -155,16 +162,16 @@
             self.writable()
 
     def waiting(self) -> bool:
-        """Whether there is something to read, the end among it."""
+        """Whether a read returns at once: bytes, the end of the stream or an error."""
         return bool(self.inbox) or self.ended or self.error is not None
 
     def hung_up(self) -> bool:
-        """Whether the other end sends no more, unread bytes before that or not."""
+        """Whether the peer has ended the stream, even if unread bytes remain."""
         return self.ended or self.error is not None
 
     def recv(self) -> bytes:
-        """What has come; the other end may send more then."""
-        data = bytes(self.inbox[:MOST_READ])
+        """Take received bytes, which opens the window for the peer."""
+        data = bytes(self.inbox[:MAX_READ_BYTES])
         del self.inbox[: len(data)]
         if self.peer is not None and data:
             self.peer.writable()
@@ -172,18 +179,22 @@
 
 
 class Listener:
-    """A listening socket: connections come up by themselves, as far as its queue goes."""
+    """A listening socket; connections are established without accept, up to its backlog."""
 
-    def __init__(self, network: Carrier, process: Owner | None, address: Any, backlog: int) -> None:
+    def __init__(
+        self, network: SocketNetwork, process: ProcessInterface | None, address: Any, backlog: int
+    ) -> None:
         self.network, self.process, self.address = network, process, address
         self.backlog = backlog
         self.queue: list[VirtualSocket] = []
-        self.inbox = b""  # it has nothing to read
-        self.hangs = False  # connects are not answered
-        self.late: Callable[[], float] | None = None  # draws by how many seconds one comes up late
+        self.inbox = b""  # a listener never has bytes to read
+        self.hangs = False  # SYNs are not answered
+        self.late: Callable[[], float] | None = (
+            None  # draws the extra seconds until a connection is established
+        )
         self.open = True
         self._watcher: Callable[[], None] | None = None
-        self._told = False
+        self._is_notification_scheduled = False
 
     def getsockname(self) -> Any:
         return self.address
@@ -198,7 +209,7 @@
         return 0 if self.open else -1
 
     def watch(self, callback: Callable[[], None]) -> None:
-        """Tell, in the context of who asks, while there is something to accept."""
+        """Call `callback`, in the caller's context, while connections wait to be accepted."""
         self._context = self.network.context_now()
         self._watcher = callback
         self.notify()
@@ -208,28 +219,28 @@
         return was
 
     def notify(self) -> None:
-        if self._watcher is not None and self.queue and not self._told:
-            self._told = True
-            self.network.loop.call_soon(self._tell, context=self._context)
+        if self._watcher is not None and self.queue and not self._is_notification_scheduled:
+            self._is_notification_scheduled = True
+            self.network.loop.call_soon(self._notify_watcher, context=self._context)
 
-    def _tell(self) -> None:
-        self._told = False
+    def _notify_watcher(self) -> None:
+        self._is_notification_scheduled = False
         if self._watcher is not None and self.queue:
             self._watcher()
             self.notify()
 
     def accept(self) -> tuple[VirtualSocket, Any]:
-        """The connection that waits longest; BlockingIOError if there is none."""
+        """Accept the connection that has waited longest; raises BlockingIOError if there is none."""
         if not self.queue:
             raise BlockingIOError("nothing to accept")
         socket = self.queue.pop(0)
         socket.process = self.process
         if self.process is not None:
             self.process.opened(socket)
-        return socket, socket.other
+        return socket, socket.remote_address
 
     def close(self) -> None:
-        """Refuse connects from now on; what waits to be accepted is reset."""
+        """Stop listening and reset connections that wait to be accepted."""
         if not self.open:
             return
         self.open = False
--- a/ironrail/rehearsal/virtual/task_interruption.py
+++ b/ironrail/rehearsal/virtual/task_interruption.py
@@ -1,7 +1,8 @@
-"""Cuts a task of a router short at one of its awaits, in the ways in which the daemon itself does that.
+"""Interrupts a router's task at a chosen await, in the ways in which the daemon itself can do so.
 
-A task stands still only at an await, so that a cut at each of them in turn covers all that it can be cut
-in: the list moves while it is asked for, a dial's time is up, SIGTERM comes while the router starts.
+A task is suspended only at an await, so interrupting it at each await in turn covers every point at which
+it can be interrupted: the endpoint list moves during a request for it, a connect times out, or SIGTERM
+arrives during startup.
 """
 
 from __future__ import annotations
@@ -16,98 +17,99 @@
 from ironrail.net.discovery.watcher import EndpointWatcher
 from ironrail.net.upstream.connector import Connector
 from ironrail.rehearsal.scenario.faults import Cut, CutKind
-from ironrail.rehearsal.virtual.environment import VirtualGround, VirtualRouter
-from ironrail.rehearsal.virtual.loop import PROCESS, VirtualLoop
+from ironrail.rehearsal.virtual.environment import VirtualEnvironment, VirtualRouter
+from ironrail.rehearsal.virtual.loop import CURRENT_PROCESS, VirtualLoop
 
-Work = Coroutine[Any, Any, Any]
-# tasks that scenarios name, and drawn worlds as well: a name stays, whatever the code calls its coroutine
-TASKS: dict[str, Callable[..., Work]] = {
+AnyCoroutine = Coroutine[Any, Any, Any]
+# task names used in scenario files; they stay stable when the coroutine is renamed in the code
+TASKS: dict[str, Callable[..., AnyCoroutine]] = {
     "Discovery._run": EndpointWatcher._run,
     "Pool._open": Connector._connect,
 }
 
 
-def name_of(work: Work) -> str:
-    """Of the function that a coroutine came from, qualified."""
-    return str(getattr(work, "__qualname__", ""))
+def qualified_name(coroutine: AnyCoroutine) -> str:
+    """The qualified name of the function that created a coroutine."""
+    return str(getattr(coroutine, "__qualname__", ""))
 
 
 def coroutine_name(task: str) -> str:
-    """The qualified name of the coroutine function that a scenario means by `task`."""
+    """The qualified name of the coroutine function that `task` denotes in a scenario."""
     return TASKS[task].__qualname__ if task in TASKS else task
 
 
-class Watched(Work):
-    """A coroutine that tells each time it stands still."""
+class ObservedCoroutine(AnyCoroutine):
+    """Wraps a coroutine and calls `on_suspended` with the awaited object each time it suspends."""
 
-    def __init__(self, work: Work, still: Callable[[Any], None]) -> None:
-        self._work, self._still = work, still
-        self.__qualname__ = name_of(work)  # a task shows it
+    def __init__(self, coroutine: AnyCoroutine, on_suspended: Callable[[Any], None]) -> None:
+        self._coroutine, self._on_suspended = coroutine, on_suspended
+        self.__qualname__ = qualified_name(coroutine)  # asyncio.Task shows it in its repr
 
     def send(self, value: Any) -> Any:
-        awaited = self._work.send(value)
-        self._still(awaited)
+        awaited = self._coroutine.send(value)
+        self._on_suspended(awaited)
         return awaited
 
     def throw(self, *error: Any) -> Any:
-        awaited = self._work.throw(*error)
-        self._still(awaited)
+        awaited = self._coroutine.throw(*error)
+        self._on_suspended(awaited)
         return awaited
 
     def close(self) -> None:
-        self._work.close()
+        self._coroutine.close()
 
     def __await__(self) -> Generator[Any, Any, Any]:
-        return self._work.__await__()
+        return self._coroutine.__await__()
 
 
-class Cutter:
-    """Watches the tasks of one name in all routers, counts their awaits, and cuts at one of them.
+class TaskInterrupter:
+    """Counts the awaits of all routers' tasks of one name and interrupts the task at one of them.
 
-    Either as the task begins to wait there, or at the moment when what it waited for has come.
+    The interruption happens either when the task starts to wait, or in the loop iteration in which the
+    awaited future completes, before the task resumes.
     """
 
-    def __init__(self, loop: VirtualLoop, ground: VirtualGround, cut: Cut) -> None:
-        self._loop, self._ground, self._cut = loop, ground, cut
+    def __init__(self, loop: VirtualLoop, environment: VirtualEnvironment, cut: Cut) -> None:
+        self._loop, self._environment, self._cut = loop, environment, cut
         self._coroutine_name = coroutine_name(cut.task)
         self.awaits = 0
         loop.set_task_factory(self._make_task)
 
-    def _make_task(self, loop: Any, work: Any, **named: Any) -> asyncio.Task[Any]:
+    def _make_task(self, loop: Any, coroutine: Any, **named: Any) -> asyncio.Task[Any]:
         context = named.get("context") or contextvars.copy_context()
-        if context.get(PROCESS) is not None and name_of(work) == self._coroutine_name:
-            work = Watched(work, self._still)
-        return asyncio.Task(work, loop=loop, **named)
+        if context.get(CURRENT_PROCESS) is not None and qualified_name(coroutine) == self._coroutine_name:
+            coroutine = ObservedCoroutine(coroutine, self._on_suspended)
+        return asyncio.Task(coroutine, loop=loop, **named)
 
-    def _still(self, awaited: Any) -> None:
+    def _on_suspended(self, awaited: Any) -> None:
         self.awaits += 1
         router, task = self._router(), asyncio.current_task(self._loop)
         if self.awaits != self._cut.nth or router is None or task is None:
             return
         if self._cut.woken and asyncio.isfuture(awaited):
-            # the task is not told yet: what it waited for has come, and it is cut in the same turn
-            awaited.add_done_callback(lambda _: self._carry_out(router, task))
-        else:  # after what runs now, as a signal or a timer would
-            self._loop.call_soon(self._carry_out, router, task)
+            # the awaited future is done but the task has not resumed: interrupt it in the same iteration
+            awaited.add_done_callback(lambda _: self._interrupt(router, task))
+        else:  # after the running callback, as a signal or a timer would
+            self._loop.call_soon(self._interrupt, router, task)
 
     def _router(self) -> VirtualRouter | None:
-        process = PROCESS.get()
-        return next((router for router in self._ground.routers if router.process is process), None)
+        process = CURRENT_PROCESS.get()
+        return next((router for router in self._environment.routers if router.process is process), None)
 
-    def _limits(self, task: asyncio.Task[Any]) -> list[asyncio.Timeout]:
-        """The time limits that a task stands under."""
+    def _time_limits(self, task: asyncio.Task[Any]) -> list[asyncio.Timeout]:
+        """The active `asyncio.Timeout`s of a task."""
         due = [
             timer._args[1] for timer in self._loop.timers() if timer._callback is io_timeout.on_timeout_due
         ]
         return [limit for limit in due if limit._task is task and not limit.expired()]
 
-    def _carry_out(self, router: VirtualRouter, task: asyncio.Task[Any]) -> None:
-        self._ground.network.note("cut", f"{router.name} {self._cut.task} {self._cut.how}")
+    def _interrupt(self, router: VirtualRouter, task: asyncio.Task[Any]) -> None:
+        self._environment.network.note("cut", f"{router.name} {self._cut.task} {self._cut.how}")
         match self._cut.how:
             case CutKind.MOVES if router.node is not None:
-                router.node._endpoint_watcher.relist()  # as soon after a SIGHUP
+                router.node._endpoint_watcher.relist()  # as shortly after a SIGHUP
             case CutKind.TIME_UP:
-                for limit in self._limits(task):
+                for limit in self._time_limits(task):
                     limit.reschedule(self._loop.time())
             case CutKind.TERM:
                 router.signal(signal.SIGTERM)
--- a/ironrail/rehearsal/virtual/transport.py
+++ b/ironrail/rehearsal/virtual/transport.py
@@ -1,8 +1,8 @@
-"""Transports over virtual sockets, with the ways of uvloop's (`docs/virtual/design.md` lists them).
+"""Transports over simulated sockets that behave like uvloop's (`docs/virtual/design.md` lists how).
 
-A write goes out at once as far as it fits, and `pause_writing` comes from within where it does not. An end of
-the other side closes the transport unless the protocol wants otherwise. `connection_lost` comes last, once;
-a write after that is an error.
+A write is sent immediately as far as it fits; otherwise `pause_writing` is called from within the write.
+The end of the peer's stream closes the transport unless the protocol keeps it open. `connection_lost` is
+called last and exactly once; a write after that is an error.
 """
 
 from __future__ import annotations
@@ -14,19 +14,21 @@
 from ironrail.rehearsal.virtual.loop import VirtualLoop
 from ironrail.rehearsal.virtual.socket import VirtualSocket
 
-HIGH_WATER = 64 * 1024
+HIGH_WATER_BYTES = 64 * 1024
 
 
 class VirtualTransport(asyncio.Transport):
-    """One connection of a protocol."""
+    """The transport of one simulated connection."""
 
     def __init__(
         self, loop: VirtualLoop, socket: VirtualSocket, protocol: Any, context: contextvars.Context
     ) -> None:
-        super().__init__({"socket": socket, "sockname": socket.own, "peername": socket.other})
+        super().__init__(
+            {"socket": socket, "sockname": socket.local_address, "peername": socket.remote_address}
+        )
         self._loop, self._socket, self._protocol, self._context = loop, socket, protocol, context
         self._buffer = bytearray()
-        self._high, self._low = HIGH_WATER, HIGH_WATER // 4
+        self._high, self._low = HIGH_WATER_BYTES, HIGH_WATER_BYTES // 4
         self._writing_paused = False
         self._reading = False
         self._closing = False
@@ -37,7 +39,7 @@
         self._reads_due = False
 
     def begin(self) -> None:
-        """Tell the protocol, and read."""
+        """Call `connection_made` and start reading."""
         self._socket.readable = self._on_readable
         self._socket.writable = self._on_writable
         self._protocol.connection_made(self)
@@ -47,7 +49,7 @@
     # Reading
 
     def _on_readable(self) -> None:
-        """The system has something; the process looks when it runs next."""
+        """Schedule a read in the context of the process."""
         if self._reading and not self._reads_due and not self._lost:
             self._reads_due = True
             self._loop.call_soon(self._read, context=self._context)
@@ -92,35 +94,35 @@
             return
         waiting = bool(self._buffer)
         self._buffer += data
-        self._note_held()
+        self._update_buffered_bytes()
         if not waiting:
             self._flush()
         else:
-            self._tell_writing()
+            self._update_flow_control()
 
-    def _note_held(self) -> None:
-        self._socket.held = len(self._buffer)
+    def _update_buffered_bytes(self) -> None:
+        self._socket.buffered_bytes = len(self._buffer)
 
     def _flush(self) -> None:
-        """Hand over what fits into the system's buffers."""
+        """Send as much of the buffer as the socket takes."""
         self._flush_due = False
         if self._lost or not self._socket.open:
             return
         if self._buffer and self._socket.error is None:
             sent = self._socket.send(bytes(self._buffer))
             del self._buffer[:sent]
-            self._note_held()
+            self._update_buffered_bytes()
         elif self._buffer:
             self._loop.call_soon(self._fail, self._socket.error, context=self._context)
             return
-        self._tell_writing()
+        self._update_flow_control()
         if not self._buffer:
             if self._eof_wanted:
                 self._socket.shutdown()
             if self._closing:
                 self._loop.call_soon(self._finish, None, context=self._context)
 
-    def _tell_writing(self) -> None:
+    def _update_flow_control(self) -> None:
         size = len(self._buffer)
         if size > self._high and not self._writing_paused:
             self._writing_paused = True
@@ -130,13 +132,13 @@
             self._protocol.resume_writing()
 
     def _on_writable(self) -> None:
-        """The other end has read: there is room, and the process looks when it runs next."""
+        """Schedule a flush in the context of the process: the peer has read."""
         if self._buffer and not self._flush_due:
             self._flush_due = True
             self._loop.call_soon(self._flush, context=self._context)
 
     def set_write_buffer_limits(self, high: int | None = None, low: int | None = None) -> None:
-        self._high = HIGH_WATER if high is None else high
+        self._high = HIGH_WATER_BYTES if high is None else high
         self._low = self._high // 4 if low is None else low
 
     def get_write_buffer_size(self) -> int:
@@ -152,7 +154,7 @@
     def can_write_eof(self) -> bool:
         return True
 
-    # The end
+    # Closing
 
     def is_closing(self) -> bool:
         return self._closing
@@ -169,13 +171,13 @@
         if self._lost:
             return
         self._buffer.clear()
-        self._note_held()
+        self._update_buffered_bytes()
         self._closing, self._reading = True, False
         self._loop.call_soon(self._finish, None, context=self._context)
 
     def _fail(self, error: OSError | None) -> None:
         self._buffer.clear()
-        self._note_held()
+        self._update_buffered_bytes()
         self._closing, self._reading = True, False
         self._finish(error)
 
--- a/ironrail/rehearsal/worlds/__init__.py
+++ b/ironrail/rehearsal/worlds/__init__.py
@@ -1,5 +1,5 @@
-"""Families of worlds as hard as service is, each drawn from its seed: an ordinary scenario once drawn."""
+"""Families of generated scenarios with production-like load; each seed gives an ordinary scenario."""
 
-from ironrail.rehearsal.worlds.families import FAMILIES, family_world
+from ironrail.rehearsal.worlds.families import FAMILIES, family_scenario
 
-__all__ = ["FAMILIES", "family_world"]
+__all__ = ["FAMILIES", "family_scenario"]
--- a/ironrail/rehearse.py
+++ b/ironrail/rehearse.py
@@ -35,7 +35,7 @@
 from ironrail.rehearsal.run import Result
 from ironrail.rehearsal.scenario import Scenario, ScenarioError, read_scenario, shipped
 from ironrail.rehearsal.scenario.model import VIRTUAL_ROUTERS, Repeats
-from ironrail.rehearsal.virtual.runner import play_virtual
+from ironrail.rehearsal.virtual.runner import run_virtual
 
 TRACE_LINES = 200_000  # of the events that a trace keeps
 
@@ -50,7 +50,7 @@
     """In virtual time, with the last events in a file of their own."""
     kept = TRACE_LINES if events else 0
     told = Printer(console, scenario)
-    played = play_virtual(scenario, seed, progress=told, kept_lines=kept, schedule=schedule)
+    played = run_virtual(scenario, seed, progress=told, kept_lines=kept, schedule=schedule)
     if events:
         Path(events).write_text("\n".join(played.lines) + "\n")
     return played.result
--- a/tests/access_log/test_access_log.py
+++ b/tests/access_log/test_access_log.py
@@ -24,7 +24,7 @@
 from ironrail.rehearsal.result import Result
 from ironrail.rehearsal.routers import OWN_ROUTER
 from ironrail.rehearsal.scenario.reader import parse_scenario
-from ironrail.rehearsal.virtual.runner import play_virtual
+from ironrail.rehearsal.virtual.runner import run_virtual
 from tests.machine_lock import play_until_verdict
 from tests.peers import World, scenario, until
 from tests.recorded.samples import importer
@@ -224,7 +224,7 @@
         assert Counter(getattr(p, field) for p in plan) == Counter(getattr(p, field) for p in first.schedule)
     gaps = sorted(a.at - b.at for a, b in zip(plan, first.schedule, strict=True))
     assert gaps[-1] - gaps[0] < 1.0  # when a router took it, against when it was to be sent
-    again = play_virtual(*plan_of(made, conf, 3)[:1], 3, schedule=plan).result
+    again = run_virtual(*plan_of(made, conf, 3)[:1], 3, schedule=plan).result
     assert len({t.planned.number for t in again.record.tries.values()}) == len(made)
 
 
--- a/tests/diagnostics/test_invariants.py
+++ b/tests/diagnostics/test_invariants.py
@@ -16,7 +16,7 @@
 from ironrail.policy.retry_policy import RetryPolicy
 from ironrail.policy.settings import Idempotency
 from ironrail.rehearsal.scenario.reader import parse_scenario
-from ironrail.rehearsal.virtual.runner import play_virtual
+from ironrail.rehearsal.virtual.runner import run_virtual
 from tests.peers import World, scenario
 
 SENDING = Sending(
@@ -134,12 +134,12 @@
 
 
 def found() -> set[str]:
-    played = play_virtual(parse_scenario(WORLD, "world.toml"), 1)
+    played = run_virtual(parse_scenario(WORLD, "world.toml"), 1)
     # refused by the guard, it does not come to the servers
     assert not {"no-second-effect", "drains"} & {broken.rule for broken in played.result.broken}
     return {
         fault.what.split(": ")[1].removeprefix("violation.")
-        for fault in played.faults
+        for fault in played.violations
         if fault.kind == "invariant"
     }
 
--- a/tests/mutants/__main__.py
+++ b/tests/mutants/__main__.py
@@ -29,7 +29,7 @@
     sys.exit(main())
 
 from ironrail.cli import _commands  # noqa: E402
-from ironrail.rehearsal.virtual.loop import PROCESS  # noqa: E402
+from ironrail.rehearsal.virtual.loop import CURRENT_PROCESS  # noqa: E402
 
 opened, stderr = os.open, sys.stderr
 
@@ -38,7 +38,7 @@
     """What a process of the virtual world writes there is its log."""
 
     def write(self, text: str) -> int:
-        process = PROCESS.get()
+        process = CURRENT_PROCESS.get()
         if process is None:
             return stderr.write(text)
         process.write_log(text)
@@ -55,10 +55,10 @@
 
 def count_opened(*what: Any, **how: Any) -> int:
     """Files count as descriptors of the process that opened them."""
-    process = PROCESS.get()
+    process = CURRENT_PROCESS.get()
     if process is not None:
         process.extra_descriptors += 1
-        process.most_descriptors = max(process.most_descriptors, process.descriptors())
+        process.peak_descriptors = max(process.peak_descriptors, process.descriptors())
     return opened(*what, **how)
 
 
--- a/tests/net/discovery/test_overloaded_service_played.py
+++ b/tests/net/discovery/test_overloaded_service_played.py
@@ -10,7 +10,7 @@
 from ironrail.rehearsal.standins.agent import Agent
 from ironrail.rehearsal.standins.fleet import Fleet
 from ironrail.rehearsal.standins.telling import BROKEN, News, Telling
-from ironrail.rehearsal.virtual.runner import Virtual, play_virtual
+from ironrail.rehearsal.virtual.runner import VirtualRun, run_virtual
 
 OUTAGE = """
 summary = "the list is out of reach, then crowded, and caches drain"
@@ -47,7 +47,7 @@
     return parse_scenario(OUTAGE.format(first=first), "outage.toml")
 
 
-def play(first: str, monkeypatch: pytest.MonkeyPatch) -> Virtual:
+def play(first: str, monkeypatch: pytest.MonkeyPatch) -> VirtualRun:
     """The stand-in counts news as told 6 s after the service had it, whatever became of a router's calls.
 
     And when the service goes down watches end, and a cache that drains turns away what is new.
@@ -69,7 +69,7 @@
     monkeypatch.setattr(Fleet, "drain", turns_away)
     monkeypatch.setattr(Telling, "_weigh", counts)
     monkeypatch.setattr(Agent, "begin_silence", ends)
-    return play_virtual(world(first), 1)
+    return run_virtual(world(first), 1)
 
 
 @pytest.mark.parametrize("first", ["1500 ms", "3500 ms"])
@@ -77,7 +77,7 @@
     first: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     played = play(first, monkeypatch)
-    assert not played.result.broken and not played.faults
+    assert not played.result.broken and not played.violations
     assert played.result.service.whole.share > 0.9
 
 
--- a/tests/net/discovery/test_watch_timeout_played.py
+++ b/tests/net/discovery/test_watch_timeout_played.py
@@ -7,7 +7,7 @@
 from ironrail.rehearsal.scenario.model import Scenario
 from ironrail.rehearsal.scenario.reader import parse_scenario
 from ironrail.rehearsal.standins.fleet import Fleet
-from ironrail.rehearsal.virtual.runner import play_virtual
+from ironrail.rehearsal.virtual.runner import run_virtual
 
 WORLD = """
 summary = "watches fall silent, and a cache drains"
@@ -65,8 +65,8 @@
         self.caches[name].draining = True
 
     monkeypatch.setattr(Fleet, "drain", turns_away)
-    played = play_virtual(world(registry, silences, None if moves is None else silences[-1] + moves), 1)
-    assert not played.result.broken and not played.faults
+    played = run_virtual(world(registry, silences, None if moves is None else silences[-1] + moves), 1)
+    assert not played.result.broken and not played.violations
     assert played.result.service.whole.share > 0.97
     for router in played.result.record.routers:
         states = [told.state for told in played.result.record.told[router, "cache-1"]]
--- a/tests/recorded/test_browser.py
+++ b/tests/recorded/test_browser.py
@@ -10,7 +10,7 @@
 from ironrail.recorded.entry import Entry
 from ironrail.recorded.schedule import plan_of
 from ironrail.rehearsal.scenario.reader import parse_scenario
-from ironrail.rehearsal.virtual.runner import play_virtual
+from ironrail.rehearsal.virtual.runner import run_virtual
 from tests.recorded.samples import importer
 from tests.recorded.test_import import run
 
@@ -81,7 +81,7 @@
     scenario, schedule = plan_of(
         made, parse_scenario('summary = "x"\nlength = "5 s"\nwarm_up = "0 s"', "x"), 1
     )
-    result = play_virtual(scenario, 1, schedule=schedule).result
+    result = run_virtual(scenario, 1, schedule=schedule).result
     assert not result.broken and result.service.whole.first_tries == 120
     told = Counter(e.kind for e in made)
     assert {kind: tally.first_tries for kind, tally in result.service.classes.items()} == told
--- a/tests/recorded/test_replay.py
+++ b/tests/recorded/test_replay.py
@@ -17,7 +17,7 @@
 from ironrail.rehearsal.scenario.faults import Fault, FaultKind
 from ironrail.rehearsal.scenario.model import Scenario
 from ironrail.rehearsal.scenario.reader import parse_scenario
-from ironrail.rehearsal.virtual.runner import play_virtual
+from ironrail.rehearsal.virtual.runner import run_virtual
 from tests.recorded.samples import RULES, START, clf, entry, log_of
 
 SCENARIO = 'summary = "x"\nlength = "10 s"\nwarm_up = "1 s"\n'
@@ -54,7 +54,7 @@
 def test_ten_times_the_speed_against_stand_ins_keeps_the_mix_and_the_window() -> None:
     rows = day()
     changed, plan = plan_of(list(scaled(rows, 10, 1, 2.5, 1)), scenario(), 1)
-    result = play_virtual(changed, 1, schedule=plan).result
+    result = run_virtual(changed, 1, schedule=plan).result
     sent = [one.planned for one in result.record.tries.values() if one.number == 0]
     assert len(sent) == len(rows)
     for field in ("kind", "title", "key", "size"):
--- a/tests/rehearsal/fleet/test_days.py
+++ b/tests/rehearsal/fleet/test_days.py
@@ -1,4 +1,4 @@
-"""What fleets are played through on the newer days, and routers that such a day shows to be broken."""
+"""The roll, herd and join fleet scenarios, and broken routers that they detect."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from ironrail.net.protocol.meta_codec import FramingError
 from ironrail.net.upstream.cache_connection import CacheConnection
 from ironrail.rehearsal.faults.plan import Planned, make_plan
-from ironrail.rehearsal.fleet.scenarios import fleet_world
+from ironrail.rehearsal.fleet.scenarios import fleet_scenario
 from ironrail.rehearsal.scenario.faults import FaultKind
 from tests.rehearsal.fleet.test_fleet import failed, world
 
@@ -16,13 +16,13 @@
 
 def plan_of(trouble: str) -> dict[FaultKind, list[Planned]]:
     plan: dict[FaultKind, list[Planned]] = {}
-    for planned in make_plan(fleet_world(trouble, 2, 40, 64, 20.0), 2):
+    for planned in make_plan(fleet_scenario(trouble, 2, 40, 64, 20.0), 2):
         plan.setdefault(planned.fault.kind, []).append(planned)
     return plan
 
 
 def test_one_in_twenty_caches_hangs_while_routers_restart_and_clients_stay() -> None:
-    plan, drawn = plan_of("roll"), fleet_world("roll", 2, 40, 64, 20.0)
+    plan, drawn = plan_of("roll"), fleet_scenario("roll", 2, 40, 64, 20.0)
     hung = {p.victims[0] for p in plan[KIND.HANG]}
     assert len(hung) == 3 and not hung & {p.victims[0] for p in plan[KIND.REPLACE]}
     told = [p.fault.hard for p in plan[KIND.ROUTER_RESTART]]
@@ -44,7 +44,7 @@
 
 
 def test_most_caches_are_replaced_while_others_come_up_late_or_answer_twice_and_clients_leave() -> None:
-    plan, drawn = plan_of("join"), fleet_world("join", 2, 40, 64, 20.0)
+    plan, drawn = plan_of("join"), fleet_scenario("join", 2, 40, 64, 20.0)
     times = [p.fault.at for p in plan[KIND.REPLACE]]
     assert len({p.victims for p in plan[KIND.REPLACE]}) == len(times) == 38
     assert max(times) - min(times) < 7.0
@@ -60,5 +60,5 @@
             raise FramingError("a reply without a request")
 
     monkeypatch.setattr(CacheConnection, "_check_id", trusting)
-    # a second answer has to meet a further command on its connection, which one such day in four brings about
+    # a second reply must coincide with another command on its connection, as in about one seed of four
     assert any("rule own-value" in failed(world("join", seed)) for seed in (3, 1, 2, 4))
--- a/tests/rehearsal/fleet/test_parts.py
+++ b/tests/rehearsal/fleet/test_parts.py
@@ -1,4 +1,4 @@
-"""The parts of a fleet's rehearsal: the desk where calls wait, replaced machines, spoilt lists, counts."""
+"""Parts of a fleet rehearsal: the queue for list calls, replaced caches, corrupt lists, and counts."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from ironrail.rehearsal.scenario.reader import parse_scenario
 from ironrail.rehearsal.standins.desk import Desk
 from ironrail.rehearsal.standins.warmth import Warmth
-from ironrail.rehearsal.virtual.runner import play_virtual
+from ironrail.rehearsal.virtual.runner import run_virtual
 from tests.rehearsal.facts import Story, planned
 
 
@@ -36,7 +36,7 @@
 def test_a_desk_works_off_what_it_refused() -> None:
     desk = Desk(1.0, 2.0)
     assert [desk.call(0.0)[1] for _ in range(10)] == [True] * 3 + [False] * 7
-    assert desk.call(7.9) == (9.9, False)  # behind those seven
+    assert desk.call(7.9) == (9.9, False)  # queued behind those seven
     assert desk.call(20.0) == (21.0, True)
 
 
@@ -53,7 +53,7 @@
     warmth.sent(0.1, 0.4, informed=False)
     assert 0.35 < warmth.most < 0.41
     warmth.sent(2.0, 0.1, informed=True)
-    assert warmth.most < 0.41  # what left the window counts no more
+    assert warmth.most < 0.41  # calls outside the window no longer count
     warmth.start(5.0)
     assert warmth.most == 0.0
 
@@ -81,9 +81,9 @@
 
 
 def test_a_machine_that_takes_a_place_has_another_id_and_is_listed_cold() -> None:
-    played = play_virtual(scenario(REPLACED), 1)
+    played = run_virtual(scenario(REPLACED), 1)
     record = played.result.record
-    assert not played.result.broken and not played.faults
+    assert not played.result.broken and not played.violations
     servers = Counter(a.server for one in record.tries.values() for a in one.attempts if a.last_at > 3.0)
     assert servers["cache-2-2"] > 20 and not servers["cache-2"]
     for router in record.routers:
@@ -94,7 +94,7 @@
 
 def test_replaced_twice_it_has_a_third_id() -> None:
     again = REPLACED + '[[fault]]\nkind = "replace"\nwhom = "cache-2"\nat = "4 s"\nlasts = "500 ms"\n'
-    record = play_virtual(scenario(again), 1).result.record
+    record = run_virtual(scenario(again), 1).result.record
     assert ("router-1", "cache-2-3") in record.told
     assert record.told["router-1", "cache-2-2"][-1].state == "terminated"
 
@@ -113,8 +113,8 @@
 
 
 def calls(text: str) -> Counter[Call]:
-    played = play_virtual(scenario(ASKED + text), 1)
-    assert not played.result.broken and not played.faults
+    played = run_virtual(scenario(ASKED + text), 1)
+    assert not played.result.broken and not played.violations
     return Counter(call.ended for call in played.result.record.list_calls)
 
 
@@ -147,13 +147,17 @@
     counts = count(record, {request: Decided(0.0, why=Why.BUDGET)}, 3.0)
     assert (counts.first_tries, counts.attempts, counts.tries) == (2, 1, 2)
     assert counts.given_up == {str(Why.BUDGET): 1}
-    assert (counts.list_peak, counts.list_most, counts.listed) == (3, 4, 1)
+    assert (counts.peak_list_calls, counts.max_list_calls_per_router, counts.routers_listed) == (3, 4, 1)
     assert counts.list_calls == {"refused": 4, "told": 1}
 
 
 def test_a_fleet_is_judged_by_its_bounds() -> None:
     conf = scenario("[routers]\ncount = 40\n")
-    good = Counts(first_tries=10, attempts=20, list_peak=20, cold_most=1.0, connections_most=95)
+    good = Counts(
+        first_tries=10, attempts=20, peak_list_calls=20, max_cold_load=1.0, max_connections_per_cache=95
+    )
     assert all(v.kept for v in judge_fleet(good, conf))
-    bad = Counts(first_tries=10, attempts=40, list_peak=21, cold_most=1.01, connections_most=96)
+    bad = Counts(
+        first_tries=10, attempts=40, peak_list_calls=21, max_cold_load=1.01, max_connections_per_cache=96
+    )
     assert not any(v.kept for v in judge_fleet(bad, conf))
--- a/tests/rehearsal/links/readers_stage.py
+++ b/tests/rehearsal/links/readers_stage.py
@@ -17,7 +17,7 @@
 from ironrail.rehearsal.scenario.names import hall_of, router_names
 from ironrail.rehearsal.standins.clientpool import ClientPool
 from ironrail.rehearsal.standins.front import Front
-from ironrail.rehearsal.virtual.runner import Virtual, play_virtual
+from ironrail.rehearsal.virtual.runner import VirtualRun, run_virtual
 from tests.rehearsal.links.readers_world import CLIENTS, STRAYS, World
 
 
@@ -92,7 +92,7 @@
     def put_ways(self) -> None:
         """The world's ways, on the network."""
         names = router_names(self._scenario)
-        ways = self._ground.network.ways  # type: ignore[attr-defined]
+        ways = self._ground.network.extra_delays  # type: ignore[attr-defined]
         for region, by_hall in self.world.ways.items():
             for number, _ in enumerate(names):
                 router = self._ground.address_of(number)
@@ -145,7 +145,7 @@
 class Played:
     """What came of it."""
 
-    virtual: Virtual
+    virtual: VirtualRun
     rehearsal: Regions
 
     def served(self, since: float = 0.0, until: float = 1e9, region: str = "") -> list[float]:
@@ -175,17 +175,17 @@
 def play(world: World, seed: int, folder: Path, steered: bool = True) -> Played:
     made: list[Regions] = []
 
-    def rehearsal_of(scenario: Scenario, seed: int, **others: Any) -> Regions:
+    def make_rehearsal(scenario: Scenario, seed: int, **others: Any) -> Regions:
         made.append(Regions(scenario, seed, world, **others))
         return made[0]
 
     scenario = world.scenario()
-    played = play_virtual(
+    played = run_virtual(
         scenario,
         seed,
         operator=world.operator(folder, steered),
         schedule=world.schedule(seed),
-        ground_of=VirtualLinks,
-        rehearsal_of=rehearsal_of,
+        make_environment=VirtualLinks,
+        make_rehearsal=make_rehearsal,
     )
     return Played(played, made[0])
--- a/tests/rehearsal/links/test_exchange.py
+++ b/tests/rehearsal/links/test_exchange.py
@@ -17,7 +17,7 @@
 from ironrail.rehearsal.links.exchange import Exchange
 from ironrail.rehearsal.links.paths import Places, path_of
 from ironrail.rehearsal.links.plan import link_fault
-from ironrail.rehearsal.virtual.datagrams import MOST_WAITING, Datagrams
+from ironrail.rehearsal.virtual.datagrams import MAX_UNREAD_DATAGRAMS, Datagrams
 from ironrail.rehearsal.virtual.loop import VirtualLoop
 from ironrail.rehearsal.virtual.process import Process
 from tests.peers import scenario as bounded
@@ -210,18 +210,18 @@
     settle(loop)
     exchange.end(0)
     processes[1].frozen = True
-    for n in range(MOST_WAITING + 5):
+    for n in range(MAX_UNREAD_DATAGRAMS + 5):
         one.transport.sendto(b"%d" % n, there)
     settle(loop)
     assert two.heard == []
-    processes[1]._thaw()
+    processes[1]._continue()
     settle(loop)
-    assert len(two.heard) == MOST_WAITING
+    assert len(two.heard) == MAX_UNREAD_DATAGRAMS
     processes[1].end(0)
     one.transport.sendto(b"gone", there)
     one.transport.sendto(b"nowhere", ("127.0.0.1", 7))
     settle(loop)
-    assert len(two.heard) == MOST_WAITING and two.transport.is_closing()
+    assert len(two.heard) == MAX_UNREAD_DATAGRAMS and two.transport.is_closing()
     with pytest.raises(OSError, match="in use"):
         loop.run_until_complete(
             loop.start(loop.create_datagram_endpoint(Chatty, local_addr=one.transport._address), processes[0])
--- a/tests/rehearsal/links/test_halls.py
+++ b/tests/rehearsal/links/test_halls.py
@@ -14,7 +14,7 @@
 from ironrail.rehearsal.run import Result
 from ironrail.rehearsal.scenario.model import Scenario
 from ironrail.rehearsal.scenario.names import hall_of
-from ironrail.rehearsal.virtual.runner import play_virtual
+from ironrail.rehearsal.virtual.runner import run_virtual
 
 ROUTERS, SEED = 6, 1
 BEGINS = 2.0
@@ -51,10 +51,14 @@
     def rehearsal(*args: object, **others: object) -> LinkedRehearsal:
         return Observed(*args, plan=plan, observe="/-/halls", **others)
 
-    played = play_virtual(
-        scenario, SEED, operator=OperatorSettings(peers=peers), ground_of=VirtualLinks, rehearsal_of=rehearsal
+    played = run_virtual(
+        scenario,
+        SEED,
+        operator=OperatorSettings(peers=peers),
+        make_environment=VirtualLinks,
+        make_rehearsal=rehearsal,
     )
-    assert played.faults == [] and played.result.broken == []
+    assert played.violations == [] and played.result.broken == []
     return played.result
 
 
--- a/tests/rehearsal/links/test_readers.py
+++ b/tests/rehearsal/links/test_readers.py
@@ -34,7 +34,7 @@
 def test_readers_whose_way_became_slow_are_moved_and_no_request_is_lost(tmp_path: Path) -> None:
     played = play(world(), 1, tmp_path)
     result = played.virtual.result
-    assert not result.no_verdict and result.broken == [] and played.virtual.faults == []
+    assert not result.no_verdict and result.broken == [] and played.virtual.violations == []
     # rows came of it, one version after another, the same at all
     rows = played.rows()
     assert len(rows) >= 2 and all(b[1][0] == a[1][0] + 1 for a, b in pairwise(rows))
--- a/tests/rehearsal/links/test_rig.py
+++ b/tests/rehearsal/links/test_rig.py
@@ -21,7 +21,7 @@
 from ironrail.rehearsal.links.rig import LinkedRehearsal, RigError, play_linked
 from ironrail.rehearsal.run import Result
 from ironrail.rehearsal.scenario.model import Scenario
-from ironrail.rehearsal.virtual.runner import play_virtual
+from ironrail.rehearsal.virtual.runner import run_virtual
 from tests.machine_lock import play_until_verdict
 
 PATIENCE = 60.0  # seconds of all tries: the rig bounds itself well within
@@ -164,7 +164,7 @@
     plan = draw_plan(scenario, seed, 14)
     one, other = (play_linked(scenario, seed, plan) for _ in range(2))
     assert one.result.digest == other.result.digest
-    assert one.result.broken == [] and one.faults == []
+    assert one.result.broken == [] and one.violations == []
     assert [v for v in one.result.verdicts if not v.kept] == []
     assert one.result.digest != play_linked(scenario, seed, []).result.digest
 
@@ -229,7 +229,9 @@
             shown.append((system.now(), self._linked.system.now()))  # type: ignore[attr-defined]
 
     plan = [link_fault("clock", "router-1", 0.5, 2.0, 0.05)]
-    played = play_virtual(world(4.0, 2), SEED, ground_of=VirtualLinks, rehearsal_of=partial(Watch, plan=plan))
+    played = run_virtual(
+        world(4.0, 2), SEED, make_environment=VirtualLinks, make_rehearsal=partial(Watch, plan=plan)
+    )
     assert played.result.broken == []
     [(fast, true)] = shown
     assert fast - true == pytest.approx(0.1, abs=0.01)
--- a/tests/rehearsal/list_stage.py
+++ b/tests/rehearsal/list_stage.py
@@ -11,7 +11,7 @@
 from ironrail.rehearsal.standins.fleet import make_caches, rows_of
 from ironrail.rehearsal.standins.registry import Registry
 from ironrail.rehearsal.standins.world import World
-from ironrail.rehearsal.virtual.environment import VirtualGround
+from ironrail.rehearsal.virtual.environment import VirtualEnvironment
 from ironrail.rehearsal.virtual.loop import VirtualLoop
 from tests.rehearsal.facts import scenario
 from tests.rehearsal.stage import Wire, ask, wire
@@ -23,7 +23,7 @@
 class ListStage:
     """The agent of one router, and what the record says that the router was told."""
 
-    def __init__(self, ground: VirtualGround, text: str) -> None:
+    def __init__(self, ground: VirtualEnvironment, text: str) -> None:
         self.record = Record()
         halls = {R: "hall-a", CACHE: "hall-a", "cache-2": "hall-b"}
         conf = scenario("[caches]\ncount = 2\n" + text)
@@ -68,7 +68,7 @@
 def on_stage(test: Callable[[ListStage], Coroutine[Any, Any, None]], text: str = "") -> None:
     """Play a test to its end, in no time."""
     loop = VirtualLoop(1)
-    ground = VirtualGround(loop, scenario(), 1)
+    ground = VirtualEnvironment(loop, scenario(), 1)
 
     async def bounded() -> None:
         async with asyncio.timeout(300.0):
--- a/tests/rehearsal/losses/test_planted.py
+++ b/tests/rehearsal/losses/test_planted.py
@@ -16,7 +16,7 @@
 from ironrail.rehearsal.losses.tap import Why
 from ironrail.rehearsal.scenario.reader import parse_scenario
 from ironrail.rehearsal.virtual import environment
-from ironrail.rehearsal.virtual.runner import play_virtual
+from ironrail.rehearsal.virtual.runner import run_virtual
 
 SMALL = """
 summary = "small"
@@ -40,7 +40,7 @@
 
 
 def laid(text: str, seed: int = 1) -> Laid:
-    found = play_virtual(parse_scenario(text, "planted.toml"), seed).result.laid
+    found = run_virtual(parse_scenario(text, "planted.toml"), seed).result.laid
     assert found is not None
     return found
 
@@ -116,9 +116,9 @@
 def test_looking_changes_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
     text = CALM + "[clients]\nretries = 0\n" + fault("reset", whom="all", hard="0.6")
     scenario = parse_scenario(text, "planted.toml")
-    seen = play_virtual(scenario, 3).result
+    seen = run_virtual(scenario, 3).result
     monkeypatch.setattr(environment, "Tap", lambda router, decided: router)
-    blind = play_virtual(scenario, 3).result
+    blind = run_virtual(scenario, 3).result
     assert blind.digest == seen.digest
     assert blind.laid is not None and seen.laid is not None
     assert blind.laid.causes != seen.laid.causes  # nobody looked
--- a/tests/rehearsal/test_client_days.py
+++ b/tests/rehearsal/test_client_days.py
@@ -4,7 +4,7 @@
 
 from ironrail.rehearsal.account.record import LEFT, Outcome
 from ironrail.rehearsal.scenario.reader import parse_scenario
-from ironrail.rehearsal.virtual.runner import Virtual, play_virtual
+from ironrail.rehearsal.virtual.runner import VirtualRun, run_virtual
 from tests.peers import scenario
 from tests.rehearsal.facts import planned
 from tests.rehearsal.stage import FAST, client_of, plan_of, stage
@@ -31,14 +31,14 @@
 """
 
 
-def sent_after(played: Virtual) -> list[float]:
+def sent_after(played: VirtualRun) -> list[float]:
     """Seconds from SIGTERM to what router-1 was sent before it was ready again."""
     sent = [t.sent_at - 1.0 for t in played.result.record.tries.values() if t.router == "router-1"]
     return [at for at in sent if 0.0 < at < 0.9]
 
 
-def play(text: str, seed: int = 1) -> Virtual:
-    return play_virtual(parse_scenario(text, "x.toml"), seed)
+def play(text: str, seed: int = 1) -> VirtualRun:
+    return run_virtual(parse_scenario(text, "x.toml"), seed)
 
 
 def test_new_clients_come_for_as_long_after_sigterm_as_the_fault_says() -> None:
@@ -54,7 +54,7 @@
     played, without = play(text), play(text.replace("stay = 1.0", "stay = 0.0"))
     assert len([at for at in sent_after(played) if at > 0.1]) > 5
     assert not [at for at in sent_after(without) if at > 0.1]
-    assert not played.result.broken and not played.faults
+    assert not played.result.broken and not played.violations
     ends = {t.outcome for t in played.result.record.tries.values() if 1.31 < t.sent_at < 1.9}
     assert ends <= {Outcome.SERVED, Outcome.REFUSED}
 
@@ -88,7 +88,7 @@
     played = play(RESTART.replace("retries = 0", "retries = 1\nleave = 0.3").split("[[fault]]")[0])
     tries = list(played.result.record.tries.values())
     left = [t for t in tries if t.excuse == LEFT]
-    assert len(left) > 10 and not played.result.broken and not played.faults
+    assert len(left) > 10 and not played.result.broken and not played.violations
     assert all(t.ended_at is not None and t.ended_at < t.due for t in left)
     again = {t.planned.number for t in tries if t.number == 1}
     assert {t.planned.number for t in left if t.number == 0} <= again
--- a/tests/rehearsal/test_clients_gone.py
+++ b/tests/rehearsal/test_clients_gone.py
@@ -10,7 +10,7 @@
 from ironrail.rehearsal.account.record import LEFT
 from ironrail.rehearsal.scenario.model import Scenario
 from ironrail.rehearsal.scenario.reader import parse_scenario
-from ironrail.rehearsal.virtual.runner import play_virtual
+from ironrail.rehearsal.virtual.runner import run_virtual
 
 GRANTED = 0.1  # seconds after a client's close in which an attempt may still begin
 DAY = """
@@ -50,8 +50,8 @@
         return told
 
     monkeypatch.setattr(settings, "settings_of", changed)
-    played = play_virtual(parse_scenario(DAY, "x.toml"), 2)
+    played = run_virtual(parse_scenario(DAY, "x.toml"), 2)
     left = [t for t in played.result.record.tries.values() if t.excuse == LEFT and t.ended_at is not None]
     late = [a for t in left for a in t.attempts if a.last_at > (t.ended_at or 0.0) + GRANTED]
     assert len(left) > 100 and not late
-    assert not played.faults  # some seconds later every place is given back
+    assert not played.violations  # some seconds later every place is given back
--- a/tests/rehearsal/test_new_days.py
+++ b/tests/rehearsal/test_new_days.py
@@ -17,7 +17,7 @@
 from ironrail.rehearsal.virtual.environment import VirtualListening
 from ironrail.rehearsal.virtual.loop import VirtualLoop
 from ironrail.rehearsal.virtual.network import Network
-from ironrail.rehearsal.virtual.runner import play_virtual
+from ironrail.rehearsal.virtual.runner import run_virtual
 from ironrail.rehearsal.virtual.trace import Trace
 from tests.peers import scenario, until
 from tests.rehearsal.stage import R, stage, wire
@@ -94,8 +94,8 @@
 
 def test_second_answers_come_some_milliseconds_late_on_a_share_of_connections() -> None:
     text = 'summary = "x"\nlength = "3 s"\n[load]\nkeys = 20\n[[fault]]\nkind = "second-answer"\n'
-    played = play_virtual(parse_scenario(text + 'whom = "all"\nat = "0 s"\nhard = 0.5\n', "x.toml"), 1)
-    assert not played.result.broken and not played.faults
+    played = run_virtual(parse_scenario(text + 'whom = "all"\nat = "0 s"\nhard = 0.5\n', "x.toml"), 1)
+    assert not played.result.broken and not played.violations
     faults = [log.count("a reply without a request") for log in played.result.logs.values()]
     assert sum(faults) > 3  # a fault of the connection, not of the request: the first answer was good
     assert played.result.service.whole.share > 0.9
@@ -175,7 +175,7 @@
 
 def test_the_true_router_keeps_all_rules_on_such_days() -> None:
     for seed in (1, 2):
-        played = play_virtual(read_scenario(str(FOLDER / "days.toml")), seed)
+        played = run_virtual(read_scenario(str(FOLDER / "days.toml")), seed)
         assert not [v for v in played.result.verdicts if not v.kept]
 
 
@@ -192,5 +192,5 @@
 
     monkeypatch.setattr(Carrier, "carry_out", noted)
     day: Scenario = read_scenario(str(FOLDER / "days.toml"))
-    play_virtual(day, 1)
+    run_virtual(day, 1)
     assert set(begun) == {"hang", "late", "second"}
--- a/tests/rehearsal/test_ports.py
+++ b/tests/rehearsal/test_ports.py
@@ -12,7 +12,7 @@
 from ironrail.rehearsal.ground import FIRST_ROUTER_NETWORK, RealGround
 from ironrail.rehearsal.scenario.model import Scenario
 from ironrail.rehearsal.standins.listening import LOCAL
-from ironrail.rehearsal.virtual.runner import play_virtual
+from ironrail.rehearsal.virtual.runner import run_virtual
 from tests.peers import scenario
 
 
@@ -79,4 +79,4 @@
     fault = {"kind": "stall", "whom": "cache-1", "at": "500 ms", "lasts": "500 ms"}
     world = {"summary": "x", "length": "2 s", "warm_up": "0 s", "load": {"rate": 20.0}, "fault": [fault]}
     with pytest.raises(OSError, match="Address already in use"):
-        play_virtual(Scenario.model_validate(world), 1)
+        run_virtual(Scenario.model_validate(world), 1)
--- a/tests/rehearsal/virtual/test_exact.py
+++ b/tests/rehearsal/virtual/test_exact.py
@@ -1,4 +1,4 @@
-"""One scenario and seed give the same events, whatever the hashes of texts and addresses of objects."""
+"""A scenario and seed give the same events, independent of string hashes and object addresses."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 import pytest
 
 from ironrail.rehearsal.scenario.reader import parse_scenario, read_scenario
-from ironrail.rehearsal.virtual.runner import play_virtual
+from ironrail.rehearsal.virtual.runner import run_virtual
 from tests.rehearsal.test_mutants import FOLDER, ROOT
 
 BUSY = """
@@ -35,14 +35,14 @@
 PLAY = """
 import sys
 from ironrail.rehearsal.scenario.reader import read_scenario
-from ironrail.rehearsal.virtual.runner import play_virtual
-print(play_virtual(read_scenario(sys.argv[1]), 7).result.digest)
+from ironrail.rehearsal.virtual.runner import run_virtual
+print(run_virtual(read_scenario(sys.argv[1]), 7).result.digest)
 """
 
 
 def test_two_runs_of_one_seed_have_one_digest_and_another_seed_another() -> None:
     scenario = parse_scenario(BUSY + FAULTS, "busy.toml")
-    first, second, other = (play_virtual(scenario, seed) for seed in (7, 7, 8))
+    first, second, other = (run_virtual(scenario, seed) for seed in (7, 7, 8))
     assert first.result.digest == second.result.digest != other.result.digest
     assert first.events == second.events > 1000
     assert [v.measured for v in first.result.verdicts] == [v.measured for v in second.result.verdicts]
@@ -67,15 +67,15 @@
 @pytest.mark.parametrize("kept", [0, 50])
 def test_the_trace_changes_nothing_and_keeps_its_end(kept: int) -> None:
     scenario = read_scenario(str(FOLDER / "short.toml")).model_copy(update={"length": 1.0, "faults": []})
-    played = play_virtual(scenario, 1, kept_lines=kept)
+    played = run_virtual(scenario, 1, kept_lines=kept)
     assert len(played.lines) == kept
-    assert played.result.digest == play_virtual(scenario, 1).result.digest
+    assert played.result.digest == run_virtual(scenario, 1).result.digest
     assert played.result.kept, [v for v in played.result.verdicts if not v.kept]
 
 
 def test_a_world_leaves_nothing_behind() -> None:
-    """No process, no socket, no file: all of it was memory."""
+    """A simulated run leaves no open descriptor: all of it is in memory."""
     before = set(os.listdir("/proc/self/fd")) if os.path.isdir("/proc/self/fd") else set()
-    play_virtual(parse_scenario(BUSY + FAULTS, "busy.toml"), 3)
+    run_virtual(parse_scenario(BUSY + FAULTS, "busy.toml"), 3)
     after = set(os.listdir("/proc/self/fd")) if os.path.isdir("/proc/self/fd") else set()
     assert len(after) <= len(before)
--- a/tests/rehearsal/virtual/test_explore.py
+++ b/tests/rehearsal/virtual/test_explore.py
@@ -1,4 +1,4 @@
-"""Drawing worlds, finding what fails in them, making it smaller, and playing it again."""
+"""Generating random scenarios, finding failures, shrinking them and replaying them."""
 
 from __future__ import annotations
 
@@ -19,8 +19,8 @@
 from ironrail.rehearsal.scenario.reader import read_scenario
 from ironrail.rehearsal.scenario.units import read_time, write_time
 from ironrail.rehearsal.virtual.command import explore as command
-from ironrail.rehearsal.virtual.explore import Finding, look_at, shrunk, write_finding
-from ironrail.rehearsal.virtual.random_scenarios import QUIET_END, draw_world
+from ironrail.rehearsal.virtual.explore import Finding, run_and_check, shrink_finding, write_finding
+from ironrail.rehearsal.virtual.random_scenarios import RECOVERY_SECONDS, random_scenario
 from ironrail.rehearsal.virtual.shrink import shrink
 
 CORPUS = sorted((Path(__file__).parent.parent.parent / "corpus").glob("*.toml"))
@@ -28,11 +28,11 @@
 
 @settings(max_examples=50, deadline=None)
 @given(st.integers(0, 10**9))
-def test_every_seed_draws_a_world_that_can_be_played_and_is_drawn_alike_again(seed: int) -> None:
-    world = draw_world(seed)
-    assert world == draw_world(seed)
+def test_every_seed_gives_a_valid_reproducible_scenario(seed: int) -> None:
+    world = random_scenario(seed)
+    assert world == random_scenario(seed)
     plan = make_plan(world, seed)
-    assert all(p.ends <= world.length - QUIET_END + 2.5 for p in plan)
+    assert all(p.ends <= world.length - RECOVERY_SECONDS + 2.5 for p in plan)
     again = Scenario.model_validate(world.model_dump(mode="json", by_alias=True, exclude_defaults=True))
     assert again == world
 
@@ -45,8 +45,8 @@
 
 
 def test_a_failure_is_shrunk_to_what_brings_it_about() -> None:
-    """Here a world fails where anything drains: one fault is left, and the smallest of everything else."""
-    world = next(w for w in map(draw_world, range(500)) if _drains(w) and len(w.faults) >= 4)
+    """Any drain counts as a failure here: one fault must be left, and minimal values elsewhere."""
+    world = next(w for w in map(random_scenario, range(500)) if _drains(w) and len(w.faults) >= 4)
     runs = 0
 
     def fails(smaller: Scenario) -> bool:
@@ -73,14 +73,14 @@
         asked += 1
         return True
 
-    shrink(draw_world(1), never, most=25)
+    shrink(random_scenario(1), never, max_runs=25)
     assert asked <= 25
 
 
-def test_a_fault_of_the_books_is_found_shrunk_written_and_played_again(
+def test_an_invariant_violation_is_found_shrunk_written_and_replayed(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """A module that goes on counting what a reset has ended."""
+    """A policy module that keeps counting an attempt after a reset ended it."""
     on_outcome = Router._on_attempt_ended
 
     def forgetful(self: Router, event: AttemptEnded) -> None:
@@ -92,21 +92,21 @@
     monkeypatch.setattr(Router, "_on_attempt_ended", forgetful)
     found: list[Finding] = []
     for seed in range(30):
-        found += [f for f in look_at(draw_world(seed), seed)[0].findings if f.kind == "load"]
+        found += [f for f in run_and_check(random_scenario(seed), seed)[0].findings if f.kind == "load"]
         if found:
             break
-    assert found, "thirty worlds, some with resets, and nobody noticed"
-    small = shrunk(found[0], most=30)
+    assert found, "no violation found in thirty scenarios, some of them with resets"
+    small = shrink_finding(found[0], max_runs=30)
     path = write_finding(small, tmp_path)
     assert len(small.scenario.faults) <= len(found[0].scenario.faults)
     assert (tmp_path / f"{path.stem}.trace").read_text().count("\n") > 10
-    again = look_at(read_scenario(str(path)), small.seed)[0].findings
+    again = run_and_check(read_scenario(str(path)), small.seed)[0].findings
     assert small.kind in {finding.kind for finding in again}
     monkeypatch.undo()
-    assert small.kind not in {f.kind for f in look_at(read_scenario(str(path)), small.seed)[0].findings}
+    assert small.kind not in {f.kind for f in run_and_check(read_scenario(str(path)), small.seed)[0].findings}
 
 
-def test_the_command_plays_seeds_and_tells(tmp_path: Path) -> None:
+def test_the_command_runs_seeds_and_reports(tmp_path: Path) -> None:
     told = tmp_path / "report.json"
     done = CliRunner().invoke(
         command,
@@ -119,13 +119,13 @@
 
 
 @pytest.mark.parametrize("seeds", ["x", "5..5", "9..1", "1..", "-1..4"])
-def test_seeds_that_are_none(seeds: str) -> None:
+def test_invalid_seed_ranges_are_refused(seeds: str) -> None:
     done = CliRunner().invoke(command, ["--seeds", seeds])
     assert done.exit_code == 2 and "--seeds" in done.output
 
 
 @pytest.mark.parametrize("path", CORPUS, ids=[path.stem for path in CORPUS])
-def test_what_failed_once_does_not_again(path: Path) -> None:
+def test_scenarios_of_the_corpus_no_longer_fail(path: Path) -> None:
     seed = int(path.stem.rpartition("-")[2])
-    findings = look_at(read_scenario(str(path)), seed)[0].findings
+    findings = run_and_check(read_scenario(str(path)), seed)[0].findings
     assert not findings, [(f.kind, f.what) for f in findings]
--- a/tests/rehearsal/virtual/test_list_clock_played.py
+++ b/tests/rehearsal/virtual/test_list_clock_played.py
@@ -1,4 +1,4 @@
-"""Routers whose watches of the list fall silent while a cache drains, pushed and asked for."""
+"""Watches of the endpoint list go silent while a cache drains, with pushed and with polled lists."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from ironrail.net.discovery import http_client
 from ironrail.rehearsal.scenario.model import Scenario
 from ironrail.rehearsal.scenario.reader import parse_scenario
-from ironrail.rehearsal.virtual.runner import play_virtual
+from ironrail.rehearsal.virtual.runner import run_virtual
 from tests.mutants import keeps_silent_watch
 
 SILENT = """
@@ -43,8 +43,8 @@
 
 @pytest.mark.parametrize(("registry", "length", "at"), WORLDS)
 def test_routers_open_a_silent_watch_anew_in_time(registry: str, length: int, at: float) -> None:
-    played = play_virtual(world(registry, length, at), 1)
-    assert not played.result.broken and not played.faults
+    played = run_virtual(world(registry, length, at), 1)
+    assert not played.result.broken and not played.violations
     assert played.result.service.whole.share > 0.98
     for router in played.result.record.routers:
         told = [t.at for t in played.result.record.told[router, "cache-1"] if t.state == "terminating"]
@@ -54,6 +54,8 @@
 def test_a_router_that_waits_for_good_breaks_the_rule_on_drains_where_it_asks(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(http_client.DiscoveryClient, "get", http_client.DiscoveryClient.get)  # to be put back
+    monkeypatch.setattr(
+        http_client.DiscoveryClient, "get", http_client.DiscoveryClient.get
+    )  # so that monkeypatch restores it
     keeps_silent_watch.break_it()
-    assert {b.rule for b in play_virtual(world(ASKED, 28, 1.5), 1).result.broken} == {"drains"}
+    assert {b.rule for b in run_virtual(world(ASKED, 28, 1.5), 1).result.broken} == {"drains"}
--- a/tests/rehearsal/virtual/test_loop.py
+++ b/tests/rehearsal/virtual/test_loop.py
@@ -1,4 +1,4 @@
-"""The virtual loop: its clock, its ties, and processes that freeze, resume and end on it."""
+"""The virtual loop: its clock, the order of simultaneous timers, and frozen, resumed and ended processes."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 import pytest
 
-from ironrail.rehearsal.virtual.loop import START, Standstill, VirtualLoop
+from ironrail.rehearsal.virtual.loop import LOOP_START_SECONDS, SimulationStalledError, VirtualLoop
 from ironrail.rehearsal.virtual.process import Process
 
 
@@ -22,19 +22,19 @@
 def test_an_hour_passes_at_once_and_exactly() -> None:
     async def test() -> None:
         await asyncio.sleep(3600.0)
-        assert asyncio.get_running_loop().time() == START + 3600.0
+        assert asyncio.get_running_loop().time() == LOOP_START_SECONDS + 3600.0
 
     play(test())
 
 
-def test_timers_of_one_instant_come_in_an_order_that_the_seed_draws() -> None:
+def test_simultaneous_timers_fire_in_an_order_drawn_from_the_seed() -> None:
     def order(seed: int) -> list[int]:
         seen: list[int] = []
 
         async def test() -> None:
             loop = asyncio.get_running_loop()
             for n in range(6):
-                loop.call_at(START + 1.0, seen.append, n)
+                loop.call_at(LOOP_START_SECONDS + 1.0, seen.append, n)
             await asyncio.sleep(2.0)
 
         play(test(), seed)
@@ -44,7 +44,7 @@
     assert len({tuple(order(seed)) for seed in range(20)}) > 10
 
 
-def test_callbacks_of_one_turn_keep_their_order() -> None:
+def test_callbacks_of_one_iteration_keep_their_order() -> None:
     seen: list[int] = []
 
     async def test() -> None:
@@ -57,22 +57,22 @@
     assert seen == list(range(50))
 
 
-def test_a_world_with_nothing_to_do_says_so() -> None:
+def test_a_simulation_with_nothing_scheduled_raises() -> None:
     async def test() -> None:
         await asyncio.Event().wait()
 
-    with pytest.raises(Standstill, match="nothing is scheduled"):
+    with pytest.raises(SimulationStalledError, match="nothing is scheduled"):
         play(test())
 
 
-def test_a_world_that_turns_for_good_says_so(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("ironrail.rehearsal.virtual.loop.MOST_TURNS", 1000)
+def test_a_simulation_stuck_at_one_instant_raises(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr("ironrail.rehearsal.virtual.loop.MAX_ITERATIONS_PER_INSTANT", 1000)
 
     async def test() -> None:
         while True:
             await asyncio.sleep(0.0)
 
-    with pytest.raises(Standstill, match="turns at"):
+    with pytest.raises(SimulationStalledError, match="turns at"):
         play(test())
 
 
@@ -89,7 +89,7 @@
 
 
 class Beat:
-    """A process that counts every 10 ms, and what it was told."""
+    """A process that counts every 10 ms and records the signals it receives."""
 
     def __init__(self, loop: VirtualLoop) -> None:
         self.count, self.codes, self.told = 0, list[int](), 0
@@ -106,7 +106,7 @@
         self.told += 1
 
 
-def test_a_frozen_process_stands_still_and_takes_up_what_it_missed() -> None:
+def test_a_frozen_process_runs_missed_callbacks_when_resumed() -> None:
     async def test() -> None:
         loop = asyncio.get_running_loop()
         assert isinstance(loop, VirtualLoop)
@@ -115,7 +115,7 @@
         assert beat.count == 10
         beat.process.deliver(signal.SIGSTOP)
         await asyncio.sleep(1.0)
-        beat.process.deliver(signal.SIGTERM)  # comes when it runs again
+        beat.process.deliver(signal.SIGTERM)  # delivered when the process resumes
         assert (beat.count, beat.told) == (10, 0)
         beat.process.deliver(signal.SIGCONT)
         await asyncio.sleep(0.105)
@@ -124,7 +124,7 @@
     play(test())
 
 
-def test_a_killed_process_never_runs_again_and_its_end_is_told_once() -> None:
+def test_a_killed_process_never_runs_again_and_its_end_is_reported_once() -> None:
     async def test() -> None:
         loop = asyncio.get_running_loop()
         assert isinstance(loop, VirtualLoop)
@@ -141,7 +141,7 @@
     play(test())
 
 
-def test_timers_of_a_process_keep_to_milliseconds_as_uvloop_s_do_and_may_come_a_little_early() -> None:
+def test_process_timers_have_millisecond_resolution_like_uvloop_and_may_fire_early() -> None:
     async def test() -> None:
         loop = asyncio.get_running_loop()
         assert isinstance(loop, VirtualLoop)
@@ -156,12 +156,12 @@
         await asyncio.sleep(0.0007)
         loop.start(work(), Process("p", loop, lambda code: None))
         await asyncio.sleep(0.5)
-        assert due == pytest.approx([START + 0.0007, START + 0.010])
+        assert due == pytest.approx([LOOP_START_SECONDS + 0.0007, LOOP_START_SECONDS + 0.010])
 
     play(test())
 
 
-def test_a_process_that_leaves_by_itself_tells_its_code() -> None:
+def test_a_process_that_exits_reports_its_exit_code() -> None:
     async def test() -> None:
         loop = asyncio.get_running_loop()
         assert isinstance(loop, VirtualLoop)
--- a/tests/rehearsal/virtual/test_mutants.py
+++ b/tests/rehearsal/virtual/test_mutants.py
@@ -1,4 +1,4 @@
-"""Each deliberately broken router is caught in virtual time too, for its reason, and the true one is not."""
+"""Each deliberately broken router fails its rule in virtual time too; the unmodified router passes."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 
 from tests.rehearsal.test_mutants import FOLDER, MUTANTS, Run, scenario_of, start
 
-MOST_SEEDS = 3  # that it may take to catch one
+MOST_SEEDS = 3  # within which a broken router must be detected
 
 
 def rehearse(name: str, scenario: str, folder: Path) -> tuple[Run, int]:
-    """The first run that fails, or the last of all, and its seed."""
+    """The first run that fails the rule, or the last run, with its seed."""
     rule = "" if name == "true" else importlib.import_module(f"tests.mutants.{name}").RULE
     for seed in range(1, MOST_SEEDS + 1):
         path = folder / f"{name}-{scenario}-{seed}.json"
--- a/tests/rehearsal/virtual/test_transports.py
+++ b/tests/rehearsal/virtual/test_transports.py
@@ -1,4 +1,4 @@
-"""One suite on uvloop and on the virtual loop: what the daemon relies on is the same on both."""
+"""One suite on uvloop and on the virtual loop: both behave the same where the daemon relies on it."""
 
 from __future__ import annotations
 
@@ -47,7 +47,7 @@
     run(test)
 
 
-def test_high_water_at_0_tells_that_not_all_is_out_and_reading_it_that_all_is(run: Run) -> None:
+def test_high_water_at_0_pauses_writing_until_all_bytes_are_sent(run: Run) -> None:
     async def test(world: World) -> None:
         near, far = await world.pair()
         near.transport.set_write_buffer_limits(high=0)
@@ -66,7 +66,7 @@
     run(test)
 
 
-def test_close_sends_what_is_still_held(run: Run) -> None:
+def test_close_sends_the_buffered_bytes(run: Run) -> None:
     async def test(world: World) -> None:
         near, far = await world.pair()
         near.transport.write(b"x" * BIG)
@@ -109,7 +109,7 @@
     run(test)
 
 
-def test_what_waits_unread_is_known_before_it_is_read(run: Run) -> None:
+def test_unread_bytes_are_visible_before_they_are_read(run: Run) -> None:
     async def test(world: World) -> None:
         near, far = await world.pair()
         unread = world.system.unread_check(near.transport)
@@ -125,7 +125,7 @@
     run(test)
 
 
-def test_nobody_listening_refuses(run: Run) -> None:
+def test_a_connect_without_a_listener_is_refused(run: Run) -> None:
     async def test(world: World) -> None:
         world.loop.remove_reader(world.listener)
         world.listener.close()
@@ -139,7 +139,7 @@
     async def test(world: World) -> None:
         assert world.system.is_served((LOCAL, world.port))
         world.system.listen((LOCAL, world.port), 16).close()
-        await world.pair()  # the one that is left takes it
+        await world.pair()  # accepted by the remaining listener
         assert world.system.is_served((LOCAL, world.port))
         world.loop.remove_reader(world.listener)
         world.listener.close()
--- a/tests/rehearsal/virtual/transports.py
+++ b/tests/rehearsal/virtual/transports.py
@@ -1,4 +1,4 @@
-"""Two ends of a connection, on uvloop or on the virtual loop, for tests to play with."""
+"""Test helpers: both ends of a connection, on uvloop or on the virtual loop."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class Peer(asyncio.Protocol):
-    """Keeps what happens to it, and lets the test wait for it."""
+    """A protocol that records its callbacks and lets the test wait for them."""
 
     transport: asyncio.Transport
 
@@ -58,7 +58,7 @@
         self._tell("lost" if exc is None else f"lost {type(exc).__name__}")
 
     async def until(self, *what: str) -> None:
-        """Wait until one of these was told."""
+        """Wait until one of these callbacks was called."""
         while not any(word in told for told in self.told for word in what):
             self._news.clear()
             await self._news.wait()
@@ -70,7 +70,7 @@
 
 
 class World:
-    """A listener of the daemon's kind on one of the two loops."""
+    """A listener like the daemon's on one of the two loops."""
 
     def __init__(self, system: System) -> None:
         self.system = system
@@ -97,7 +97,7 @@
         await self.accepted.put(peer)
 
     async def pair(self) -> tuple[Peer, Peer]:
-        """The near and the far end of a new connection."""
+        """The connecting and the accepting end of a new connection."""
         near = Peer()
         await self.loop.create_connection(lambda: near, LOCAL, self.port)
         return near, await self.accepted.get()
