--- a/benchmarks/accord_service.py
+++ b/benchmarks/accord_service.py
@@ -28,7 +28,7 @@
 from ironrail.rehearsal.links.tierrouter import drawing
 from ironrail.rehearsal.scenario.model import Scenario
 from ironrail.rehearsal.scenario.names import hall_of
-from ironrail.rehearsal.virtual.play import play_virtual
+from ironrail.rehearsal.virtual.runner import run_virtual
 
 ROUTER_COUNTS = (7, 9, 12)
 # first attempts; with the caches below, four tenths of their capacity
@@ -103,15 +103,16 @@
 
     operator = OperatorSettings() if mode == "alone" else OperatorSettings(peers=peers)
     with drawing(random.Random(seed)):
-        run = play_virtual(
-            scenario, seed, operator=operator, ground_of=VirtualLinks, rehearsal_of=make_rehearsal
+        run = run_virtual(
+            scenario, seed, operator=operator, make_environment=VirtualLinks, make_rehearsal=make_rehearsal
         )
     result = run.result
     assert not result.no_verdict, result.no_verdict
     service = result.service
     return {
         "way": mode, "seed": seed, "share": service.whole.share, "broken": result.broken,
-        "asked": rehearsals[0].asked, "taken": rehearsals[0].taken, "faults": [str(f) for f in run.faults],
+        "asked": rehearsals[0].asked, "taken": rehearsals[0].taken,
+        "faults": [str(f) for f in run.violations],
     }  # fmt: skip
 
 
--- a/benchmarks/zone_scenarios.py
+++ b/benchmarks/zone_scenarios.py
@@ -33,7 +33,7 @@
 from ironrail.rehearsal.scenario.model import Scenario
 from ironrail.rehearsal.scenario.names import cache_names, hall_of, router_names
 from ironrail.rehearsal.standins.delay_line import Direction
-from ironrail.rehearsal.virtual.play import play_virtual
+from ironrail.rehearsal.virtual.runner import run_virtual
 
 LENGTH_SECONDS, FAULT_AT_SECONDS, FAULT_SECONDS = 24.0, 6.0, 12.0  # the load, and the fault in it
 WARM_UP_SECONDS = 12.0  # in which caches fill and baselines are measured
@@ -205,10 +205,14 @@
         peers = PeerSettings({1: str(key)}, 1, router_zones, zone_latency_map=True)
         operator = OperatorSettings(peers=peers if mode == "on" else None)
         rehearsal = partial(ZonesRehearsal, plan=plan, matrix=matrix, truth=mode == "truth")
-        played = play_virtual(
-            played_scenario, seed, operator=operator, ground_of=VirtualLinks, rehearsal_of=rehearsal
+        played = run_virtual(
+            played_scenario, seed, operator=operator, make_environment=VirtualLinks, make_rehearsal=rehearsal
         )
-    assert not played.faults and not played.result.broken, (job, played.faults, played.result.broken[:2])
+    assert not played.violations and not played.result.broken, (
+        job,
+        played.violations,
+        played.result.broken[:2],
+    )
     return Figures.of(played.result)
 
 
