--- a/ironrail/rehearsal/account/__init__.py
+++ b/ironrail/rehearsal/account/__init__.py
@@ -1,1 +1,1 @@
-"""What the stand-ins saw, and what follows from it: service, broken rules, verdicts. Pure."""
+"""Evaluates what the stand-ins recorded: service, rule violations and answer counts. No I/O."""
--- a/ironrail/rehearsal/account/answers.py
+++ b/ironrail/rehearsal/account/answers.py
@@ -1,8 +1,9 @@
-"""How the tries that routers took were answered: how many are refused, and how many are lost. Pure.
+"""Counts how the tries that routers accepted were answered: refused, lost, or refused without a time.
 
-Over all of a run, the warm-up too, as the rules are judged. `Outcome` is what a client saw; here a try that
-was never sent on and is answered as failed is refused, as is one whose new connection was closed, up to what
-`rules.CLOSED_ONE_IN` allows: nothing has run, so nothing but its worth is gone.
+Covers the whole run including the warm-up, like the rules. `Outcome` is what a client saw. Here, a try that
+was answered as failed without being sent to any server counts as refused, and so does a try whose new
+connection was closed, up to the share that `rules.TRIES_PER_CLOSED_CONNECTION` allows: nothing was executed,
+so only the worth of the request is lost.
 """
 
 from __future__ import annotations
@@ -10,43 +11,43 @@
 from dataclasses import dataclass
 
 from ironrail.rehearsal.account.record import Outcome, Record, Try
-from ironrail.rehearsal.account.rules import closed_new, lost, taken
+from ironrail.rehearsal.account.rules import is_closed_new_connection, is_taken, lost_tries
 
 
 @dataclass(slots=True)
 class Answers:
-    """Tries by what they count as. Those that neither were served nor stand here had run and failed."""
+    """Number of tries by category; a try that was executed and failed is in none but `taken`."""
 
-    taken: int = 0  # connections came up for so many
-    refused: int = 0  # the next two among them
-    unsent_failed: int = 0  # never sent on and answered as failed
-    closed_new: int = 0  # first on their connection, which was closed with no answer
-    lost: int = 0  # never answered, or half a second after their time: each breaks `one-answer`
-    untimed: int = 0  # refusals that name no time
+    taken: int = 0  # tries whose connection was established
+    refused: int = 0  # includes `unsent_failed` and `closed_new`
+    unsent_failed: int = 0  # answered as failed without being sent to a server
+    closed_new: int = 0  # first on their connection, which was closed without an answer
+    lost: int = 0  # never answered, or over 0.5 s after the deadline; each breaks `one-answer`
+    untimed: int = 0  # refusals without a retry time
 
 
-def count_answers(record: Record) -> Answers:
-    """All tries of a run."""
-    found, gone = Answers(), {one.request for one, _, _ in lost(record)}
+def count_answer_outcomes(record: Record) -> Answers:
+    """Count the answers to all tries of a run."""
+    found, gone = Answers(), {one.request for one, _, _ in lost_tries(record)}
     found.lost = len(gone)
     for one in record.tries.values():
-        found.taken += taken(one)
+        found.taken += is_taken(one)
         if one.request in gone:
             continue
-        failed, closed = unsent_failed(one), closed_new(one)
+        failed, closed = is_unsent_failed(one), is_closed_new_connection(one)
         found.unsent_failed += failed
         found.closed_new += closed
         found.refused += failed or closed or one.outcome is Outcome.REFUSED
-    found.untimed = sum(untimed(one) for one in record.tries.values())
+    found.untimed = sum(is_untimed(one) for one in record.tries.values())
     return found
 
 
-def unsent_failed(one: Try) -> bool:
-    """Whether it was answered as failed though no stand-in was ever sent it."""
-    told = one.outcome is Outcome.FAILED and bool(one.answers) and one.answers[0].kind == "failed"
-    return told and not one.attempts
+def is_unsent_failed(one: Try) -> bool:
+    """Return whether the try was answered as failed although no stand-in received an attempt."""
+    answered_failed = one.outcome is Outcome.FAILED and bool(one.answers) and one.answers[0].kind == "failed"
+    return answered_failed and not one.attempts
 
 
-def untimed(one: Try) -> bool:
-    """Whether its refusal names no time, as `SERVER_ERROR busy` always may."""
+def is_untimed(one: Try) -> bool:
+    """Return whether the try was refused without a retry time, as `SERVER_ERROR busy` may be."""
     return any(given.kind == "busy" and given.retry_after is None for given in one.answers)
--- a/ironrail/rehearsal/fleet/counts.py
+++ b/ironrail/rehearsal/fleet/counts.py
@@ -7,7 +7,7 @@
 from collections.abc import Mapping
 from dataclasses import dataclass, field
 
-from ironrail.rehearsal.account.record import Call, Outcome, Record
+from ironrail.rehearsal.account.record import ListCallOutcome, Outcome, Record
 from ironrail.rehearsal.losses.tap import Decided
 from ironrail.rehearsal.scenario.model import Scenario
 from ironrail.rehearsal.verdicts import Verdict
@@ -64,7 +64,7 @@
             mine = decided.get(one.request)
             counts.given_up[str(mine.why) if mine is not None and mine.why is not None else UNKNOWN] += 1
     _count_list(counts, record)
-    counts.cold_starts, counts.cold_fallen = len(record.cold), len(record.fallen)
+    counts.cold_starts, counts.cold_fallen = len(record.cold), len(record.collapses)
     if record.cold:
         (counts.cold_whom, _), counts.cold_most = max(record.cold.items(), key=lambda item: item[1])
     return counts
@@ -80,7 +80,7 @@
         counts.list_peak = max(counts.list_peak, last - first + 1)
     each = Counter(call.router for call in calls)
     counts.list_most = max(each.values(), default=0)
-    counts.listed = len({call.router for call in record.list_calls if call.ended is Call.TOLD})
+    counts.listed = len({call.router for call in record.list_calls if call.ended is ListCallOutcome.TOLD})
 
 
 def judge_fleet(counts: Counts, scenario: Scenario) -> list[Verdict]:
--- a/ironrail/rehearsal/losses/lay.py
+++ b/ironrail/rehearsal/losses/lay.py
@@ -17,7 +17,7 @@
 
 from ironrail.policy.events import AttemptStatus
 from ironrail.rehearsal.account.record import Attempt, Ended, Outcome, Record, Try
-from ironrail.rehearsal.account.service import WINDOW, Loss
+from ironrail.rehearsal.account.service import WINDOW_SECONDS, Loss
 from ironrail.rehearsal.losses.tap import Decided, Sent, Why
 from ironrail.rehearsal.scenario.model import Scenario
 
@@ -64,7 +64,7 @@
         self.whole += loss.worth
         self.causes[cause] = self.causes.get(cause, 0.0) + loss.worth
         self.requests[cause] = self.requests.get(cause, 0) + 1
-        window = self.windows.setdefault(int(loss.planned.at // WINDOW), {})
+        window = self.windows.setdefault(int(loss.planned.at // WINDOW_SECONDS), {})
         window[cause] = window.get(cause, 0.0) + loss.worth
         self.examples.setdefault(cause, example)
 
--- a/ironrail/rehearsal/report/document.py
+++ b/ironrail/rehearsal/report/document.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from ironrail.rehearsal.account.rules import Violation
-from ironrail.rehearsal.account.service import WINDOW, Service, Tally
+from ironrail.rehearsal.account.service import WINDOW_SECONDS, Service, Tally
 from ironrail.rehearsal.losses.lay import Laid
 from ironrail.rehearsal.run import Result
 from ironrail.rehearsal.verdicts import Verdict
@@ -117,7 +117,7 @@
         "classes": {n: _tally(t) | {"judged": t.judged} for n, t in sorted(service.classes.items())},
         "titles": {n: _tally(t) | {"judged": t.judged} for n, t in sorted(service.titles.items())},
         "halls": {name: _tally(t) for name, t in sorted(service.halls.items())},
-        "windows": [{"from": n * WINDOW, **_tally(t)} for n, t in sorted(service.windows.items())],
+        "windows": [{"from": n * WINDOW_SECONDS, **_tally(t)} for n, t in sorted(service.windows.items())],
         "latencies": {
             kind: {str(q): seconds for q, seconds in found.items()}
             for kind, found in sorted(service.latencies.items())
@@ -139,7 +139,7 @@
             "requests": laid.requests[cause],
             "example": laid.examples[cause],
             "windows": [
-                {"from": n * WINDOW, "worth": causes[cause]}
+                {"from": n * WINDOW_SECONDS, "worth": causes[cause]}
                 for n, causes in sorted(laid.windows.items())
                 if cause in causes
             ],
--- a/ironrail/rehearsal/report/plots.py
+++ b/ironrail/rehearsal/report/plots.py
@@ -10,7 +10,7 @@
 from matplotlib.axes import Axes
 from matplotlib.figure import Figure
 
-from ironrail.rehearsal.account.service import WINDOW
+from ironrail.rehearsal.account.service import WINDOW_SECONDS
 from ironrail.rehearsal.report.series import series
 from ironrail.rehearsal.run import Result
 
@@ -69,11 +69,11 @@
     def losses(axes: Axes) -> None:
         laid = result.laid
         assert laid is not None
-        numbers = range(math.ceil(result.scenario.length / WINDOW))
-        edges, below = [n * WINDOW for n in numbers], [0.0 for _ in numbers]
+        numbers = range(math.ceil(result.scenario.length / WINDOW_SECONDS))
+        edges, below = [n * WINDOW_SECONDS for n in numbers], [0.0 for _ in numbers]
         for cause, _ in laid.largest_first():
             worth = [laid.windows.get(n, {}).get(cause, 0.0) for n in numbers]
-            axes.bar(edges, worth, WINDOW, below, align="edge", label=cause, edgecolor="white")
+            axes.bar(edges, worth, WINDOW_SECONDS, below, align="edge", label=cause, edgecolor="white")
             below = [low + high for low, high in zip(below, worth, strict=True)]
         axes.legend(loc="upper right", fontsize=7)
 
--- a/ironrail/rehearsal/run.py
+++ b/ironrail/rehearsal/run.py
@@ -8,8 +8,8 @@
 from pathlib import Path
 
 from ironrail.rehearsal.account.record import RouterFacts, Try
-from ironrail.rehearsal.account.rules import violations
-from ironrail.rehearsal.account.service import account
+from ironrail.rehearsal.account.rules import find_violations
+from ironrail.rehearsal.account.service import measure_service
 from ironrail.rehearsal.faults import plan as faults
 from ironrail.rehearsal.faults.carry import Carrier
 from ironrail.rehearsal.ground import Ground, RealGround, Router, ready
@@ -214,8 +214,8 @@
 
     def _result(self, why: str) -> Result:
         scenario, record = self._scenario, self._record
-        service = account(record, scenario, self._schedule)
-        broken = violations(record, scenario)
+        service = measure_service(record, scenario, self._schedule)
+        broken = find_violations(record, scenario)
         counted = [s.connections for s in self._samples if s.at >= 0]
         mean = sum(counted) / len(counted) / scenario.caches.count if counted else 0.0
         return Result(
--- a/ironrail/rehearsal/standins/agent.py
+++ b/ironrail/rehearsal/standins/agent.py
@@ -10,7 +10,7 @@
 import asyncio
 from collections.abc import Iterable
 
-from ironrail.rehearsal.account.record import Call, ListCall
+from ironrail.rehearsal.account.record import ListCall, ListCallOutcome
 from ironrail.rehearsal.scenario.faults import FaultKind
 from ironrail.rehearsal.standins.calls import JSON, AgentConnection, asked_of
 from ironrail.rehearsal.standins.desk import Desk
@@ -176,10 +176,10 @@
         if answered:
             self._serve(connection, index, wait)
             return
-        self._note_call(connection, Call.REFUSED)
+        self._note_call(connection, ListCallOutcome.REFUSED)
         connection.respond(503, b"")
 
-    def _note_call(self, connection: AgentConnection, ended: Call) -> None:
+    def _note_call(self, connection: AgentConnection, ended: ListCallOutcome) -> None:
         if self._desk is not None:
             call = ListCall(self.world.now(), self.router, connection.queued, ended)
             self.world.record.list_calls.append(call)
@@ -237,7 +237,7 @@
         hit = [kind for kind, share in self._troubles.values() if self._draws.random() < share]
         if not hit:
             connection.respond(200, data, JSON)
-            self._note_call(connection, Call.TOLD)
+            self._note_call(connection, ListCallOutcome.TOLD)
             self._telling.told(connection, rows, full)
             return False
         stops_short = False
@@ -245,6 +245,6 @@
             stops_short = not connection.respond_half(data, closes=self._draws.random() < 0.5)
         else:  # LIST_SPOILT
             connection.respond(200, data[: len(data) // 2], JSON)
-        self._note_call(connection, Call.SPOILT)
+        self._note_call(connection, ListCallOutcome.SPOILT)
         self._telling.spoilt(connection, rows, full, stops_short)
         return True
--- a/ironrail/rehearsal/standins/clientpool.py
+++ b/ironrail/rehearsal/standins/clientpool.py
@@ -6,7 +6,7 @@
 from collections import deque
 from typing import Any, Protocol, cast
 
-from ironrail.rehearsal.account.record import Given, Outcome, Try, value_digest
+from ironrail.rehearsal.account.record import Outcome, ReceivedAnswer, Try, value_digest
 from ironrail.rehearsal.standins.meta import Answer, AnswerReader, NotMeta
 from ironrail.rehearsal.standins.world import World
 
@@ -72,7 +72,7 @@
         if one is None:
             return  # a word of farewell on a connection never used, such as that there are too many
         value = value_digest(answer.body) if answer.kind in ("VA", "HD") else None
-        one.answers.append(Given(now, answer.kind, answer.request, value, answer.retry_after))
+        one.answers.append(ReceivedAnswer(now, answer.kind, answer.request, value, answer.retry_after))
         if not asked:
             return
         self._last = one
@@ -93,7 +93,7 @@
         for one in out:
             if unread:
                 now = self._pool.clients.world.now()
-                one.answers.append(Given(now, unread, "", None, None))
+                one.answers.append(ReceivedAnswer(now, unread, "", None, None))
                 one.end(Outcome.FAILED, now)
                 self._pool.clients.ended(one, None)
             else:
--- a/ironrail/rehearsal/standins/clients.py
+++ b/ironrail/rehearsal/standins/clients.py
@@ -10,8 +10,8 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from ironrail.rehearsal.account.record import LEFT, Outcome, Try
-from ironrail.rehearsal.account.rules import LATE_GRANTED, OWN_SLACK
+from ironrail.rehearsal.account.record import CLIENT_LEFT, Outcome, Try
+from ironrail.rehearsal.account.rules import KIT_LATENESS_SECONDS, LATE_ANSWER_TOLERANCE_SECONDS
 from ironrail.rehearsal.draws import stream, token
 from ironrail.rehearsal.load.schedule import Planned
 from ironrail.rehearsal.scenario.model import Repeats, RequestClass
@@ -75,7 +75,7 @@
         self.world.record.begin(one)
         data = self._command(planned, name, patience, number)
         early = self._leaves_after(kind, patience)
-        limit = patience + LATE_GRANTED + OWN_SLACK if early is None else early
+        limit = patience + LATE_ANSWER_TOLERANCE_SECONDS + KIT_LATENESS_SECONDS if early is None else early
         timer = self._loop.call_later(limit, self._time_is_up, name, early is not None)
         self._waiting[name] = Waiting(one, timer, data)
         if stays is not None:
@@ -122,7 +122,7 @@
             return
         one = waiting.one
         if early:
-            one.excuse = self.excused(one) or LEFT
+            one.excuse = self.excused(one) or CLIENT_LEFT
         for connection in list(self.pools[one.router].all):
             if one in connection.out:
                 connection.give_up(one)
@@ -142,7 +142,7 @@
         now = self.world.now()
         for connection in self.pools[router].all:
             for one in connection.out:
-                if one.request in self._waiting and one.sent_at < now - OWN_SLACK:
+                if one.request in self._waiting and one.sent_at < now - KIT_LATENESS_SECONDS:
                     one.killed_at = now
 
     def unconnected(self, one: Try) -> None:
--- a/ironrail/rehearsal/standins/gridcache.py
+++ b/ironrail/rehearsal/standins/gridcache.py
@@ -5,7 +5,7 @@
 import asyncio
 from functools import partial
 
-from ironrail.rehearsal.account.record import Ended, Fallen
+from ironrail.rehearsal.account.record import CacheCollapse, Ended
 from ironrail.rehearsal.scenario.faults import FaultKind
 from ironrail.rehearsal.standins.cacheconnection import CacheConnection, Turn
 from ironrail.rehearsal.standins.door import Door
@@ -110,7 +110,9 @@
             self.world.record.cold[self.id, self.started_ms] = self._warmth.most
         if fall is not None and not self.fallen:
             self.fallen = True
-            self.world.record.fallen.append(Fallen(now, self.id, fall.sent, fall.allowed, fall.informed))
+            self.world.record.collapses.append(
+                CacheCollapse(now, self.id, fall.sent, fall.allowed, fall.informed)
+            )
             for door in self.doors.values():
                 door.begin_silence("fallen")
             self.work.clear()
--- a/ironrail/rehearsal/virtual/explore.py
+++ b/ironrail/rehearsal/virtual/explore.py
@@ -10,7 +10,7 @@
 
 import tomli_w
 
-from ironrail.rehearsal.account.leaving import begun_after
+from ironrail.rehearsal.account.leaving import attempts_after_departure
 from ironrail.rehearsal.account.record import Outcome
 from ironrail.rehearsal.scenario.model import Scenario
 from ironrail.rehearsal.virtual.loop import Standstill
@@ -66,7 +66,9 @@
         yield fault.kind, fault.what
     for broken in played.result.broken:
         yield f"rule {broken.rule}", f"{broken.what}: {broken.request}"
-    for one, attempt in begun_after(played.result.record, 0.0):  # a run may have two, a world has none
+    for one, attempt in attempts_after_departure(
+        played.result.record, 0.0
+    ):  # a run may have two, a world has none
         after = attempt.first_at - (one.left_at or 0.0)
         yield "left", f"sent to {attempt.server} {after:.3f} s after its client had gone: {one.request}"
     for name, facts in played.result.record.routers.items():
@@ -83,7 +85,9 @@
     """Liveness: once the last fault is over for some time, requests are served as without any."""
     last = max((p.ends for p in played.result.plan), default=0.0)
     since = max(last + QUIET_END - SETTLED, scenario.length - SETTLED)
-    fallen = played.result.record.fallen  # for good: pushed by routers that could not know, or a rule broke
+    fallen = (
+        played.result.record.collapses
+    )  # for good: pushed by routers that could not know, or a rule broke
     if not scenario.faults or fallen or since > scenario.length - 0.5:
         return
     share, count = _served(played, since)
--- a/tests/rehearsal/facts.py
+++ b/tests/rehearsal/facts.py
@@ -2,7 +2,15 @@
 
 from __future__ import annotations
 
-from ironrail.rehearsal.account.record import Attempt, Ended, Given, Outcome, Record, Try, value_digest
+from ironrail.rehearsal.account.record import (
+    Attempt,
+    Ended,
+    Outcome,
+    ReceivedAnswer,
+    Record,
+    Try,
+    value_digest,
+)
 from ironrail.rehearsal.load.schedule import Planned
 from ironrail.rehearsal.scenario.model import Scenario
 from ironrail.rehearsal.scenario.reader import parse_scenario
@@ -56,7 +64,7 @@
         """The client is given an answer, made for it unless `value` says otherwise."""
         self.one.made.add(VALUE)
         name = self.one.request if request is None and kind in ("VA", "HD") else request or ""
-        self.one.answers.append(Given(at, kind, name, value if kind in ("VA", "HD") else None, None))
+        self.one.answers.append(ReceivedAnswer(at, kind, name, value if kind in ("VA", "HD") else None, None))
         outcome = {"VA": Outcome.SERVED, "HD": Outcome.SERVED, "busy": Outcome.REFUSED}
         self.one.end(outcome.get(kind, Outcome.FAILED), at)
         return self
--- a/tests/rehearsal/fleet/test_parts.py
+++ b/tests/rehearsal/fleet/test_parts.py
@@ -7,7 +7,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from ironrail.rehearsal.account.record import Call, ListCall, Record
+from ironrail.rehearsal.account.record import ListCall, ListCallOutcome, Record
 from ironrail.rehearsal.fleet.counts import Counts, count, judge_fleet
 from ironrail.rehearsal.losses.tap import Decided, Why
 from ironrail.rehearsal.scenario.model import Scenario
@@ -112,27 +112,27 @@
 """
 
 
-def calls(text: str) -> Counter[Call]:
+def calls(text: str) -> Counter[ListCallOutcome]:
     played = play_virtual(scenario(ASKED + text), 1)
     assert not played.result.broken and not played.faults
     return Counter(call.ended for call in played.result.record.list_calls)
 
 
 def test_routers_that_have_to_ask_are_told_and_watch() -> None:
-    assert calls("") == {Call.TOLD: 2}  # the watches are open at the end
+    assert calls("") == {ListCallOutcome.TOLD: 2}  # the watches are open at the end
 
 
 def test_a_crowded_list_refuses() -> None:
     crowd = '[[fault]]\nkind = "list-crowded"\nat = "0 s"\nlasts = "4 s"\nhard = 200\n'
     moved = '[[fault]]\nkind = "list-moves"\nat = "500 ms"\n'
-    assert calls(crowd + moved)[Call.REFUSED] >= 1
+    assert calls(crowd + moved)[ListCallOutcome.REFUSED] >= 1
 
 
 def test_spoilt_answers_are_asked_for_again_until_one_can_be_used() -> None:
     for kind in ("list-cut", "list-spoilt"):
         spoilt = f'[[fault]]\nkind = "{kind}"\nat = "0 s"\nlasts = "3 s"\nhard = 1.0\n'
         told = calls(spoilt + '[[fault]]\nkind = "list-moves"\nat = "500 ms"\n')
-        assert told[Call.SPOILT] >= 4 and told[Call.TOLD] >= 2
+        assert told[ListCallOutcome.SPOILT] >= 4 and told[ListCallOutcome.TOLD] >= 2
 
 
 def test_counts_add_up() -> None:
@@ -142,8 +142,8 @@
     Story(record, planned(2, at=-1.0)).attempt(-1.0)  # in the warm-up
     request = next(one.request for one in record.tries.values() if one.planned.number == 1)
     for at in (0.0, 0.1, 0.2, 5.0):
-        record.list_calls.append(ListCall(at, "router-1", True, Call.REFUSED))
-    record.list_calls.append(ListCall(0.1, "router-2", False, Call.TOLD))
+        record.list_calls.append(ListCall(at, "router-1", True, ListCallOutcome.REFUSED))
+    record.list_calls.append(ListCall(0.1, "router-2", False, ListCallOutcome.TOLD))
     counts = count(record, {request: Decided(0.0, why=Why.BUDGET)}, 3.0)
     assert (counts.first_tries, counts.attempts, counts.tries) == (2, 1, 2)
     assert counts.given_up == {str(Why.BUDGET): 1}
--- a/tests/rehearsal/links/test_rig.py
+++ b/tests/rehearsal/links/test_rig.py
@@ -13,7 +13,7 @@
 import uvloop
 
 from ironrail.rehearsal.account.record import Outcome
-from ironrail.rehearsal.account.rules import LATE_GRANTED, OWN_SLACK
+from ironrail.rehearsal.account.rules import KIT_LATENESS_SECONDS, LATE_ANSWER_TOLERANCE_SECONDS
 from ironrail.rehearsal.ground import Router
 from ironrail.rehearsal.links.drawn import draw_plan
 from ironrail.rehearsal.links.grounds import RealLinks, VirtualLinks
@@ -212,7 +212,9 @@
     tries = [
         o
         for o in result.record.tries.values()  # those that nobody listens to any more when the fault ends
-        if o.router == "router-1" and o.sent_at > 1.0 and o.due + LATE_GRANTED + OWN_SLACK < 3.0
+        if o.router == "router-1"
+        and o.sent_at > 1.0
+        and o.due + LATE_ANSWER_TOLERANCE_SECONDS + KIT_LATENESS_SECONDS < 3.0
     ]
     assert any(o.outcome is Outcome.UNCONNECTED for o in tries) is (kind == "cut")
     assert all(o.outcome in (Outcome.UNCONNECTED, Outcome.UNANSWERED) and o.excuse for o in tries)
--- a/tests/rehearsal/losses/test_lay.py
+++ b/tests/rehearsal/losses/test_lay.py
@@ -8,7 +8,7 @@
 
 from ironrail.policy.events import AttemptStatus
 from ironrail.rehearsal.account.record import Ended, Outcome, Record
-from ironrail.rehearsal.account.service import account
+from ironrail.rehearsal.account.service import measure_service
 from ironrail.rehearsal.losses.lay import Causes, Laid, largest, lay
 from ironrail.rehearsal.losses.tap import Decided, Sent, Why
 from tests.rehearsal.facts import Story, planned, scenario
@@ -19,7 +19,7 @@
 
 def laid(record: Record, decided: dict[str, Decided]) -> Laid:
     tries = [one.planned for one in record.tries.values() if one.number == 0]
-    return lay(account(record, S, tries).losses, record, S, decided, START)
+    return lay(measure_service(record, S, tries).losses, record, S, decided, START)
 
 
 def cause_of(record: Record, decided: dict[str, Decided]) -> str:
@@ -166,7 +166,7 @@
                 why=why,  # type: ignore[arg-type]
             )
     found = laid(record, told)
-    service = account(record, S, [one.planned for one in record.tries.values()])
+    service = measure_service(record, S, [one.planned for one in record.tries.values()])
     assert found.whole == pytest.approx(service.whole.asked - service.whole.answered)
     assert sum(found.causes.values()) == pytest.approx(found.whole)
     assert sum(found.requests.values()) == len(service.losses)
--- a/tests/rehearsal/test_client_days.py
+++ b/tests/rehearsal/test_client_days.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from ironrail.rehearsal.account.record import LEFT, Outcome
+from ironrail.rehearsal.account.record import CLIENT_LEFT, Outcome
 from ironrail.rehearsal.scenario.reader import parse_scenario
 from ironrail.rehearsal.virtual.play import Virtual, play_virtual
 from tests.peers import scenario
@@ -87,7 +87,7 @@
 def test_clients_that_leave_early_are_owed_nothing_and_ask_again() -> None:
     played = play(RESTART.replace("retries = 0", "retries = 1\nleave = 0.3").split("[[fault]]")[0])
     tries = list(played.result.record.tries.values())
-    left = [t for t in tries if t.excuse == LEFT]
+    left = [t for t in tries if t.excuse == CLIENT_LEFT]
     assert len(left) > 10 and not played.result.broken and not played.faults
     assert all(t.ended_at is not None and t.ended_at < t.due for t in left)
     again = {t.planned.number for t in tries if t.number == 1}
--- a/tests/rehearsal/test_clients_gone.py
+++ b/tests/rehearsal/test_clients_gone.py
@@ -7,7 +7,7 @@
 import pytest
 
 from ironrail.rehearsal import settings
-from ironrail.rehearsal.account.record import LEFT
+from ironrail.rehearsal.account.record import CLIENT_LEFT
 from ironrail.rehearsal.scenario.model import Scenario
 from ironrail.rehearsal.scenario.reader import parse_scenario
 from ironrail.rehearsal.virtual.play import play_virtual
@@ -51,7 +51,9 @@
 
     monkeypatch.setattr(settings, "settings_of", changed)
     played = play_virtual(parse_scenario(DAY, "x.toml"), 2)
-    left = [t for t in played.result.record.tries.values() if t.excuse == LEFT and t.ended_at is not None]
+    left = [
+        t for t in played.result.record.tries.values() if t.excuse == CLIENT_LEFT and t.ended_at is not None
+    ]
     late = [a for t in left for a in t.attempts if a.last_at > (t.ended_at or 0.0) + GRANTED]
     assert len(left) > 100 and not late
     assert not played.faults  # some seconds later every place is given back
--- a/tests/rehearsal/test_refused.py
+++ b/tests/rehearsal/test_refused.py
@@ -6,10 +6,10 @@
 
 import pytest
 
-from ironrail.rehearsal.account.answers import Answers, count_answers
+from ironrail.rehearsal.account.answers import Answers, count_answer_outcomes
 from ironrail.rehearsal.account.record import Attempt, Ended, Outcome, Record
-from ironrail.rehearsal.account.rules import violations
-from ironrail.rehearsal.account.service import account
+from ironrail.rehearsal.account.rules import find_violations
+from ironrail.rehearsal.account.service import measure_service
 from ironrail.rehearsal.report.table import answers_line
 from ironrail.rehearsal.verdicts import judge
 from tests.rehearsal.facts import Story, planned, scenario
@@ -27,7 +27,7 @@
 
 
 def broken(record: Record) -> list[tuple[str, str]]:
-    return [(v.rule, v.request) for v in violations(record, S)]
+    return [(v.rule, v.request) for v in find_violations(record, S)]
 
 
 @pytest.mark.parametrize(
@@ -39,7 +39,7 @@
     if attempted:
         story.attempt(1.0, ended=Ended.ERROR)
     story.answer(1.2, kind)
-    assert count_answers(record) == Answers(1, refused=refused, unsent_failed=refused)
+    assert count_answer_outcomes(record) == Answers(1, refused=refused, unsent_failed=refused)
     assert broken(record) == []
 
 
@@ -48,7 +48,7 @@
 )
 def test_new_connections_that_were_closed(served: int, closed: int, lost: int) -> None:
     record = crowd(served, closed)
-    told = count_answers(record)
+    told = count_answer_outcomes(record)
     assert (told.closed_new, told.refused, told.lost) == (closed - lost, closed - lost, lost)
     latest = [("one-answer", f"id-{served + closed - 1}-0")]
     assert broken(record) == latest * lost  # of those beyond the bound, and no other
@@ -67,7 +67,7 @@
             one.attempts.append(Attempt("cache-1", "router-1", False, 1.1, 1.1, False))
         case "unconnected":
             one.outcome = Outcome.UNCONNECTED
-    told = count_answers(record)
+    told = count_answer_outcomes(record)
     assert (told.refused, told.lost) == (0, change == "sent on")
     assert len(broken(record)) == told.lost and told.taken == (change != "unconnected")
 
@@ -75,7 +75,7 @@
 def test_those_that_no_router_took_allow_no_further_closes() -> None:
     record = crowd(198, 1)
     Story(record, planned(500)).end(Outcome.UNCONNECTED, 1.5)
-    assert count_answers(record).lost == 1
+    assert count_answer_outcomes(record).lost == 1
 
 
 @pytest.mark.parametrize(  # due at 1.9; lost beyond half a second and 0.1 s of the kit's own
@@ -84,7 +84,7 @@
 def test_a_late_answer_earns_nothing_and_a_later_one_is_lost(at: float, answered: float, lost: int) -> None:
     record, plan = Record(), [planned()]
     Story(record, plan[0]).answer(at)
-    service = account(record, S, plan)
+    service = measure_service(record, S, plan)
     assert service.whole.answered == pytest.approx(answered)  # late_worth of 3, as 0.8 s were wanted
     assert [rule for rule, _ in broken(record)] == ["one-answer"] * lost
     assert service.answers.lost == lost
@@ -96,7 +96,7 @@
 def test_refusals_that_name_no_time(names: float | None, bound: int, kept: bool) -> None:
     conf, record, plan = scenario(f"[bounds]\nuntimed = {bound}\n"), Record(), [planned()]
     Story(record, plan[0]).answer(1.2, "busy").one.answers[0].retry_after = names
-    verdicts = judge(conf, account(record, conf, plan), record, [], 0.0)
+    verdicts = judge(conf, measure_service(record, conf, plan), record, [], 0.0)
     (verdict,) = (v for v in verdicts if v.name == "refusals that name no time")
     assert (verdict.kept, verdict.measured, verdict.bound) == (kept, names is None, bound)
 
@@ -133,7 +133,7 @@
     for p in plan:
         Story(record, p).answer(1.1)
     plan.append(replace(planned(reads, kind="entry"), work=0.1))  # never served
-    service = account(record, conf, plan)
+    service = measure_service(record, conf, plan)
     assert (service.classes["grid-read"].judged, service.classes["prize-entry"].judged) == (True, judged)
     (verdict,) = (v for v in judge(conf, service, record, [], 0.0) if v.name == "worst class")
     assert (verdict.kept, verdict.note) == (not judged, "prize-entry" if judged else "grid-read")
@@ -151,7 +151,7 @@
         Story(record, p).answer(p.at + 0.1)
     # the first of them fills the share; what comes beyond it is worth less and adds nothing to it
     plan += [planned(100 + n, 1.0, title="junior", work=0.11 if n == 0 else 0.2) for n in range(juniors)]
-    service = account(record, conf, plan)
+    service = measure_service(record, conf, plan)
     assert service.titles["junior"].within == pytest.approx(3.0)
     assert (service.titles["daily"].judged, service.titles["junior"].judged) == (True, judged)
     (verdict,) = (v for v in judge(conf, service, record, [], 0.0) if v.name == "worst title")
@@ -161,7 +161,7 @@
 def test_the_same_facts_in_another_order_give_the_same_answers() -> None:
     record, turned = crowd(197, 3), Record()
     turned.tries = dict(reversed(record.tries.items()))
-    assert count_answers(record) == count_answers(turned)
+    assert count_answer_outcomes(record) == count_answer_outcomes(turned)
     assert broken(record) == broken(turned)
 
 
--- a/tests/rehearsal/test_rules.py
+++ b/tests/rehearsal/test_rules.py
@@ -4,15 +4,15 @@
 
 import pytest
 
-from ironrail.rehearsal.account.record import Ended, Fallen, Outcome, Record
-from ironrail.rehearsal.account.rules import violations
+from ironrail.rehearsal.account.record import CacheCollapse, Ended, Outcome, Record
+from ironrail.rehearsal.account.rules import find_violations
 from tests.rehearsal.facts import Story, planned, scenario
 
 S = scenario()
 
 
 def rules(record: Record) -> list[tuple[str, str]]:
-    return [(v.rule, v.what) for v in violations(record, S)]
+    return [(v.rule, v.what) for v in find_violations(record, S)]
 
 
 def served(record: Record) -> Story:
@@ -190,7 +190,7 @@
 
 def test_falls_and_strays_are_told_in_order_of_time() -> None:
     record = Record()
-    record.fallen.append(Fallen(3.0, "cache-2", 9.0, 4.0, 8.0))
+    record.collapses.append(CacheCollapse(3.0, "cache-2", 9.0, 4.0, 8.0))
     record.stray(2.0, "cache-1", "a probe")
     assert [r for r, _ in rules(record)] == ["protocol", "cold"]
 
@@ -201,7 +201,7 @@
     story.attempt(1.0, "archive", Ended.RESET, 1.05).effect_at = 1.04
     story.attempt(1.2, "archive", Ended.SERVED, 1.3)
     story.answer(1.31, "HD")
-    (violation,) = violations(record, S)
+    (violation,) = find_violations(record, S)
     text = "\n".join(violation.history)
     assert violation.request == "id-0-0"
     assert "reset at 1.050, took effect at 1.040" in text
--- a/tests/rehearsal/test_service.py
+++ b/tests/rehearsal/test_service.py
@@ -5,7 +5,7 @@
 import pytest
 
 from ironrail.rehearsal.account.record import Ended, Outcome, Record
-from ironrail.rehearsal.account.service import account, quantiles
+from ironrail.rehearsal.account.service import measure_service, quantiles
 from ironrail.rehearsal.lateness import Lateness
 from tests.rehearsal.facts import Story, planned, scenario
 
@@ -19,7 +19,7 @@
     Story(record, plan[1]).answer(1.95)  # late: 0.3 of its worth
     Story(record, plan[2]).answer(1.4, "busy")
     Story(record, plan[3]).answer(6.5, "HD")
-    service = account(record, S, plan)
+    service = measure_service(record, S, plan)
     assert service.whole.asked == pytest.approx(3 * 3 + 8)
     assert service.whole.answered == pytest.approx(3 + 0.9 + 8)
     assert service.classes["grid-read"].share == pytest.approx(3.9 / 9)
@@ -33,7 +33,7 @@
     record = Record()
     plan = [planned(0, 1.0)]
     Story(record, plan[0]).answer(2.51)
-    service = account(record, S, plan)
+    service = measure_service(record, S, plan)
     assert service.whole.answered == 0.0 and service.whole.unserved == 1
 
 
@@ -42,7 +42,7 @@
     plan = [planned(0, 1.0)]
     Story(record, plan[0]).answer(1.1, "busy")
     Story(record, plan[0], 1, sent_at=1.2).answer(1.75)
-    service = account(record, S, plan)
+    service = measure_service(record, S, plan)
     assert (service.whole.first_tries, service.whole.in_time, service.retries) == (1, 1, 1)
     assert service.latencies["grid-read"][0.5] == pytest.approx(0.75)  # from the first, not from the retry
 
@@ -51,7 +51,7 @@
     record = Record()
     plan = [planned(0, 1.0)]
     Story(record, plan[0], sent_at=1.5).answer(1.9)  # sent late: a stalled loop wins nothing by that
-    assert account(record, S, plan).whole.in_time == 0
+    assert measure_service(record, S, plan).whole.in_time == 0
 
 
 def test_worth_goes_by_work() -> None:
@@ -59,7 +59,7 @@
     plan = [planned(0, 1.0, work=0.11), planned(1, 1.1, work=0.33)]
     Story(record, plan[0]).answer(1.2)
     Story(record, plan[1]).answer(1.2, "failed")
-    assert account(record, S, plan).whole.share == pytest.approx(1 / 4)
+    assert measure_service(record, S, plan).whole.share == pytest.approx(1 / 4)
 
 
 def test_what_a_title_asks_for_beyond_its_share_is_worth_less() -> None:
@@ -69,7 +69,7 @@
     record, plan = Record(), [planned(n, 1.0) for n in range(20)]
     for p in plan:
         Story(record, p).answer(1.1)
-    service = account(record, conf, plan)
+    service = measure_service(record, conf, plan)
     within = int(1.375 / 2 * 2 / 0.11)
     assert within == 12
     assert service.whole.asked == pytest.approx(3 * within + 0.6 * (20 - within))
@@ -80,7 +80,7 @@
     plan = [planned(0, -1.0), planned(1, 1.0)]
     for p in plan:
         Story(record, p).answer(p.at + 0.1)
-    assert account(record, S, plan).whole.first_tries == 1
+    assert measure_service(record, S, plan).whole.first_tries == 1
 
 
 def test_a_window_cut_short_by_the_end_counts_only_if_most_of_it_is_there() -> None:
@@ -88,7 +88,7 @@
     plan = [planned(0, 1.0), planned(1, 5.5)]
     Story(record, plan[0]).answer(1.1)
     Story(record, plan[1]).end(Outcome.UNANSWERED, 6.5)
-    service = account(record, S, plan)
+    service = measure_service(record, S, plan)
     assert service.worst_window(6.0) == (0, 1.0)
     assert service.worst_window(7.0) == (1, 0.0)
 
@@ -111,7 +111,7 @@
     story.one.due = 2.05
     story.attempt(1.0, ended=ended, until=1.1)
     story.answer(at, kind)
-    assert account(record, S, plan).kept_back == kept_back
+    assert measure_service(record, S, plan).kept_back == kept_back
 
 
 def test_an_attempt_that_ended_just_before_explains_the_time() -> None:
@@ -120,7 +120,7 @@
     story = Story(record, plan[0])
     story.attempt(1.0, ended=Ended.ERROR, until=1.95)
     story.answer(2.0, "failed")
-    assert account(record, S, plan).kept_back == 0
+    assert measure_service(record, S, plan).kept_back == 0
 
 
 def test_quantiles_by_nearest_rank() -> None:
--- a/tests/rehearsal/test_standins.py
+++ b/tests/rehearsal/test_standins.py
@@ -131,8 +131,8 @@
         cache = await wire(s.caches["cache-1"].doors[R].address)
         for n in range(20):
             cache.read(s.asked(n, work=2.0))
-        await until(lambda: s.record.fallen)
-        assert s.record.fallen[0].server == "cache-1"
+        await until(lambda: s.record.collapses)
+        assert s.record.collapses[0].server == "cache-1"
         assert s.caches["cache-1"].doors[R].silent
 
 
--- a/tests/rehearsal/test_standins_clients.py
+++ b/tests/rehearsal/test_standins_clients.py
@@ -7,7 +7,7 @@
 import pytest
 
 from ironrail.rehearsal.account.record import Outcome
-from ironrail.rehearsal.account.rules import OWN_SLACK
+from ironrail.rehearsal.account.rules import KIT_LATENESS_SECONDS
 from ironrail.rehearsal.standins.front import Front, Seen
 from tests.peers import scenario, until
 from tests.rehearsal.facts import planned
@@ -109,7 +109,7 @@
         await until(lambda: clients.pools[R]._idle)
         clients.send(planned(1, s.world.now()))
         taken = await router.next()
-        await asyncio.sleep(2 * OWN_SLACK)
+        await asyncio.sleep(2 * KIT_LATENESS_SECONDS)
         clients.router_killed(R)
         taken.reset()
         await clients.quiet()
