--- a/ironrail/rehearsal/faults/carry.py
+++ b/ironrail/rehearsal/faults/injector.py
@@ -7,8 +7,8 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
+from ironrail.rehearsal.faults.outages import Spells
 from ironrail.rehearsal.faults.plan import Planned, Step
-from ironrail.rehearsal.faults.spells import Spells
 from ironrail.rehearsal.ground import Router
 from ironrail.rehearsal.load.schedule import hot_router_share
 from ironrail.rehearsal.scenario.faults import Fault, FaultKind
--- a/ironrail/rehearsal/processes.py
+++ b/ironrail/rehearsal/processes.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 from ironrail.rehearsal.account.record import Record
-from ironrail.rehearsal.faults.carry import Carrier
+from ironrail.rehearsal.faults.injector import Carrier
 from ironrail.rehearsal.ground import Ground, Router, ready, says_yes, takes_signals
 from ironrail.rehearsal.routers import Exit
 from ironrail.rehearsal.scenario.model import Scenario
--- a/ironrail/rehearsal/run.py
+++ b/ironrail/rehearsal/run.py
@@ -11,7 +11,7 @@
 from ironrail.rehearsal.account.rules import find_violations
 from ironrail.rehearsal.account.service import measure_service
 from ironrail.rehearsal.faults import plan as faults
-from ironrail.rehearsal.faults.carry import Carrier
+from ironrail.rehearsal.faults.injector import Carrier
 from ironrail.rehearsal.ground import Ground, RealGround, Router, ready
 from ironrail.rehearsal.lateness import Lateness
 from ironrail.rehearsal.load.schedule import Planned, digest, make_schedule
--- a/tests/rehearsal/test_new_days.py
+++ b/tests/rehearsal/test_new_days.py
@@ -7,7 +7,7 @@
 import pytest
 
 from ironrail.rehearsal.account.record import Ended
-from ironrail.rehearsal.faults.carry import Carrier
+from ironrail.rehearsal.faults.injector import Carrier
 from ironrail.rehearsal.scenario.faults import FaultKind
 from ironrail.rehearsal.scenario.model import Network as Conditions
 from ironrail.rehearsal.scenario.model import Scenario
--- a/tests/rehearsal/test_ports.py
+++ b/tests/rehearsal/test_ports.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from ironrail.rehearsal.faults.carry import Carrier
+from ironrail.rehearsal.faults.injector import Carrier
 from ironrail.rehearsal.faults.plan import Step
 from ironrail.rehearsal.ground import FIRST_ROUTER_NETWORK, RealGround
 from ironrail.rehearsal.scenario.model import Scenario
