--- a/ironrail/recorded/schedule.py
+++ b/ironrail/recorded/schedule.py
@@ -15,7 +15,7 @@
     draw_size,
     draw_work,
 )
-from ironrail.rehearsal.scenario.model import MOST_LENGTH, MOST_RATE, Repeats, Scenario, Title
+from ironrail.rehearsal.scenario.model import MAX_LENGTH_SECONDS, MAX_SOCKET_RATE, Repeats, Scenario, Title
 
 LEAST_LENGTH = 1.0  # seconds of load that counts: less tells nothing
 
@@ -38,15 +38,15 @@
         raise ReplayError(
             f"{whole:.1f} s of trace at this speed, {scenario.warm_up:g} s of them the warm-up: too short"
         )
-    if length > MOST_LENGTH:
+    if length > MAX_LENGTH_SECONDS:
         raise ReplayError(
-            f"{length:.0f} s of trace; a run lasts {MOST_LENGTH:.0f} s at the most: cut it first"
+            f"{length:.0f} s of trace; a run lasts {MAX_LENGTH_SECONDS:.0f} s at the most: cut it first"
         )
     seconds = Counter(int(entry.at - begin) for entry in entries)
     second, most = max(seconds.items(), key=lambda item: item[1])
-    if most > MOST_RATE:
+    if most > MAX_SOCKET_RATE:
         raise ReplayError(
-            f"{most} requests in second {second}; the kit drives {MOST_RATE:.0f} at the most: "
+            f"{most} requests in second {second}; the kit drives {MAX_SOCKET_RATE:.0f} at the most: "
             "play it slower, or with a smaller --rate"
         )
     known = {c.name for c in scenario.classes}
--- a/ironrail/rehearsal/command.py
+++ b/ironrail/rehearsal/command.py
@@ -28,7 +28,7 @@
 KEPT, FAILED, UNUSABLE, NO_VERDICT, INTERRUPTED = 0, 1, 2, 3, 130
 PLAIN_WIDTH = 132  # columns where the output is no terminal
 GC_FIRST, GC_SECOND, GC_THIRD = 20_000, 50, 100  # whole collections held up sends for 60 to 100 ms
-PROGRESS_EVERY = 5.0  # seconds of the run between two lines that say how far it is
+PROGRESS_INTERVAL_SECONDS = 5.0  # seconds of the run between two lines that say how far it is
 
 
 class Printer:
@@ -42,7 +42,7 @@
         if not text:
             if at < self._next:
                 return
-            self._next = at - at % PROGRESS_EVERY + PROGRESS_EVERY
+            self._next = at - at % PROGRESS_INTERVAL_SECONDS + PROGRESS_INTERVAL_SECONDS
             text = f"of {self._length:.0f} s"
         self._console.print(f"{at:7.1f} s  {text}", highlight=False, markup=False)
 
--- a/ironrail/rehearsal/faults/__init__.py
+++ b/ironrail/rehearsal/faults/__init__.py
@@ -1,1 +1,1 @@
-"""What goes wrong, when and to whom: planned ahead from the seed, and carried out by the stand-ins."""
+"""Plans faults and their targets from the seed and injects them into stand-ins and routers."""
--- a/ironrail/rehearsal/faults/injector.py
+++ b/ironrail/rehearsal/faults/injector.py
@@ -1,4 +1,4 @@
-"""Carries out the plan of faults on the stand-ins and the routers."""
+"""Injects planned faults into the stand-ins and the routers."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from ironrail.rehearsal.faults.outages import Spells
+from ironrail.rehearsal.faults.outages import OutageLog
 from ironrail.rehearsal.faults.plan import Planned, Step
 from ironrail.rehearsal.ground import Router
 from ironrail.rehearsal.load.schedule import hot_router_share
@@ -19,7 +19,7 @@
 from ironrail.rehearsal.standins.rows import Row
 from ironrail.rehearsal.standins.world import World
 
-REPLIES = (
+REPLY_FAULTS = (
     FaultKind.RESET,
     FaultKind.SLOW_CLOSE,
     FaultKind.SPOILT,
@@ -31,36 +31,36 @@
     FaultKind.LATE_CONNECT,
     FaultKind.LATE_RESET,
 )
-LIST_ANSWERS = {  # how hard, where the fault does not say
+DEFAULT_LIST_ANSWER_SEVERITY = {  # used where a fault leaves out `hard`
     FaultKind.LIST_CROWDED: 10.0,
     FaultKind.LIST_CUT: 0.2,
     FaultKind.LIST_SPOILT: 0.2,
     FaultKind.LIST_LATE: 3.0,
 }
-LISTS = (
+LIST_FAULTS = (
     FaultKind.LIST_SILENT,
     FaultKind.LIST_EMPTY,
     FaultKind.LIST_ABSURD,
     FaultKind.WATCH_SILENT,
     FaultKind.WATCH_RESET,
     FaultKind.LIST_MOVES,
-    *LIST_ANSWERS,
+    *DEFAULT_LIST_ANSWER_SEVERITY,
 )
-ARCHIVES = (FaultKind.ARCHIVE_SLOW, FaultKind.ARCHIVE_DOWN, FaultKind.ARCHIVE_UNSIZED)
-ROUTER_KINDS = (
+ARCHIVE_FAULTS = (FaultKind.ARCHIVE_SLOW, FaultKind.ARCHIVE_DOWN, FaultKind.ARCHIVE_UNSIZED)
+ROUTER_FAULTS = (
     FaultKind.ROUTER_TERM,
     FaultKind.ROUTER_KILL,
     FaultKind.ROUTER_STOP,
     FaultKind.ROUTER_REPLACE,
     FaultKind.ROUTER_RESTART,
 )
-TERM_TOLD = 0.3  # seconds after SIGTERM for which the front still sends new clients, where `hard` is left out
-ABSURD = 40  # servers that an absurd list invents
+TERM_NOTICE_SECONDS = 0.3  # in which the front still sends new clients after SIGTERM, unless `hard` says
+NUM_ABSURD_SERVERS = 40  # non-existent servers in an absurd list
 
 
 @dataclass(slots=True)
-class Carrier:
-    """All that faults act upon."""
+class FaultInjector:
+    """Applies each fault's begin and end to the components that it affects."""
 
     world: World
     fleet: Fleet
@@ -68,37 +68,37 @@
     registry: Registry
     front: Front
     routers: dict[str, Router]
-    start_router: Callable[[str, float], object]  # once it has ended, or is killed so many seconds later
+    start_router: Callable[[str, float], object]  # after its end, or after so many seconds and a kill
     replace_router: Callable[[str], object]
-    reconfigure: Callable[[str, str], None]  # a router, to be told of the list at another address
-    leave: Callable[[float], None]  # such a share of the clients that wait gives up
-    spells: Spells = field(default_factory=Spells)
+    reconfigure: Callable[[str, str], None]  # sets the list's address of a router
+    leave: Callable[[float], None]  # makes this share of the waiting clients disconnect
+    outages: OutageLog = field(default_factory=OutageLog)
     stalls: dict[Planned, asyncio.TimerHandle] = field(default_factory=dict)
 
     def carry_out(self, step: Step) -> None:
-        """A fault begins or ends."""
+        """Begin or end a fault."""
         kind, planned = step.planned.fault.kind, step.planned
-        if kind in REPLIES:
-            self._replies(planned, kind, step.begins)
+        if kind in REPLY_FAULTS:
+            self._inject_reply_fault(planned, kind, step.begins)
         elif kind is FaultKind.HALL_CUT:
-            self._cut(planned, step.begins)
-        elif kind in ARCHIVES:
-            self._archive(planned, kind, step.begins)
+            self._cut_zones(planned, step.begins)
+        elif kind in ARCHIVE_FAULTS:
+            self._inject_archive_fault(planned, kind, step.begins)
         elif kind is FaultKind.CLIENTS_LEAVE:
-            self._leave(planned.fault, step.begins)
-        elif kind in LISTS:
-            self._list(planned, kind, step.begins)
+            self._inject_departures(planned.fault, step.begins)
+        elif kind in LIST_FAULTS:
+            self._inject_list_fault(planned, kind, step.begins)
         elif kind is FaultKind.STALL:
-            self._stall(planned, step.begins)
+            self._inject_stall(planned, step.begins)
         elif kind is FaultKind.HOT_ROUTER:
-            self._hot_router(planned, step.begins)
-        elif kind in ROUTER_KINDS:
+            self._inject_hot_router(planned, step.begins)
+        elif kind in ROUTER_FAULTS:
             for name in planned.victims:
-                self._router(name, planned.fault, step.begins)
-        elif kind is not FaultKind.HOT_KEYS:  # those are in the schedule
-            self._caches(planned, kind, step.begins)
+                self._inject_router_fault(name, planned.fault, step.begins)
+        elif kind is not FaultKind.HOT_KEYS:  # hot keys are part of the load schedule
+            self._inject_cache_fault(planned, kind, step.begins)
 
-    def _replies(self, planned: Planned, kind: FaultKind, begins: bool) -> None:
+    def _inject_reply_fault(self, planned: Planned, kind: FaultKind, begins: bool) -> None:
         for name in planned.victims:
             victim = self.archive if name == self.archive.name else self.fleet.caches[name]
             if begins:
@@ -106,17 +106,17 @@
             else:
                 victim.end(planned)
 
-    def _archive(self, planned: Planned, kind: FaultKind, begins: bool) -> None:
+    def _inject_archive_fault(self, planned: Planned, kind: FaultKind, begins: bool) -> None:
         if begins:
             self.archive.begin(planned, kind, planned.fault.hard)
         else:
             self.archive.end(planned)
 
-    def _leave(self, fault: Fault, begins: bool) -> None:
-        if begins:  # once
+    def _inject_departures(self, fault: Fault, begins: bool) -> None:
+        if begins:  # a single event: its end changes nothing
             self.leave(1.0 if fault.hard is None else fault.hard)
 
-    def _caches(self, planned: Planned, kind: FaultKind, begins: bool) -> None:
+    def _inject_cache_fault(self, planned: Planned, kind: FaultKind, begins: bool) -> None:
         begin, end = {
             FaultKind.VANISH: (self.fleet.vanish, self.fleet.back),
             FaultKind.RESTART: (self.fleet.stop, self.fleet.back),
@@ -127,24 +127,24 @@
         for name in planned.victims:
             (begin if begins else end)(name, planned)
 
-    def _stall(self, planned: Planned, begins: bool) -> None:
+    def _inject_stall(self, planned: Planned, begins: bool) -> None:
         if begins:
-            self._pause(planned, True)
+            self._toggle_stall(planned, True)
             return
         self.stalls.pop(planned).cancel()
         for name in planned.victims:
             self.fleet.freeze(name, planned, False)
 
-    def _pause(self, planned: Planned, frozen: bool) -> None:
+    def _toggle_stall(self, planned: Planned, frozen: bool) -> None:
         for name in planned.victims:
             self.fleet.freeze(name, planned, frozen)
         fault = planned.fault
         delay = fault.pause if frozen else max(0.0, fault.every - fault.pause)
         loop = asyncio.get_running_loop()
-        self.stalls[planned] = loop.call_later(delay, self._pause, planned, not frozen)
+        self.stalls[planned] = loop.call_later(delay, self._toggle_stall, planned, not frozen)
 
-    def _cut(self, planned: Planned, begins: bool) -> None:
-        """Silence both ways between this hall and the others; the archive stands in none of them."""
+    def _cut_zones(self, planned: Planned, begins: bool) -> None:
+        """Block traffic in both directions between a zone and the others; the archive is in no zone."""
         halls = self.world.halls
         for hall in planned.victims:
             for cache in self.fleet.caches.values():
@@ -156,15 +156,15 @@
                     else:
                         door.end_silence((planned, hall))
 
-    def _list(self, planned: Planned, kind: FaultKind, begins: bool) -> None:
-        if kind in LIST_ANSWERS:
-            self._list_answers(planned, kind, begins)
+    def _inject_list_fault(self, planned: Planned, kind: FaultKind, begins: bool) -> None:
+        if kind in DEFAULT_LIST_ANSWER_SEVERITY:
+            self._inject_list_answer_fault(planned, kind, begins)
             return
         if kind is FaultKind.LIST_MOVES:
             self._move_list(begins)
             return
         if kind in (FaultKind.WATCH_SILENT, FaultKind.WATCH_RESET):
-            if begins:  # once: what is open then ends, or is never answered
+            if begins:  # a single event: open watches are closed or never answered
                 ends = kind is FaultKind.WATCH_RESET
                 self.registry.reset_watches() if ends else self.registry.silence_watches()
             return
@@ -172,43 +172,45 @@
             if kind is FaultKind.LIST_SILENT:
                 (agent.begin_silence if begins else agent.end_silence)(planned)
             elif begins:
-                agent.begin_lost(planned, [] if kind is FaultKind.LIST_EMPTY else self._absurd(agent.router))
+                agent.begin_lost(
+                    planned, [] if kind is FaultKind.LIST_EMPTY else self._absurd_rows(agent.router)
+                )
             else:
                 agent.end_lost(planned)
 
-    def _list_answers(self, planned: Planned, kind: FaultKind, begins: bool) -> None:
-        """The service that tells the list is crowded by others, late, or some of its answers are spoilt."""
+    def _inject_list_answer_fault(self, planned: Planned, kind: FaultKind, begins: bool) -> None:
+        """Overload or delay the endpoint list service, or corrupt some of its answers."""
         if begins:
             hard = planned.fault.hard
-            self.registry.trouble(planned, kind, LIST_ANSWERS[kind] if hard is None else hard)
+            self.registry.trouble(planned, kind, DEFAULT_LIST_ANSWER_SEVERITY[kind] if hard is None else hard)
         else:
             self.registry.well(planned)
 
     def _move_list(self, begins: bool) -> None:
-        """The list is told elsewhere from now on, nothing where it was, and routers are told so."""
-        if begins:  # there is no way back: it moves once more with the next such fault
+        """Serve the list at a new address, nothing at the old one, and reconfigure the routers."""
+        if begins:  # the move is permanent; the next such fault moves the list again
             for agent in self.registry.agents.values():
                 agent.move()
                 self.reconfigure(agent.router, agent.door.address)
 
-    def _absurd(self, router: str) -> list[Row]:
-        """A list of servers that never were, at addresses that are none."""
+    def _absurd_rows(self, router: str) -> list[Row]:
+        """Return a list of servers that don't exist, at unusable addresses."""
         draws = self.world.draws("absurd")
         return [
             Row(f"ghost-{n}", "nowhere", "cache", addresses={router: f"127.0.0.1:{draws.choice((0, 70000))}"})
-            for n in range(ABSURD)
+            for n in range(NUM_ABSURD_SERVERS)
         ]
 
-    def _hot_router(self, planned: Planned, begins: bool) -> None:
+    def _inject_hot_router(self, planned: Planned, begins: bool) -> None:
         for name in planned.victims:
             if begins:
                 self.front.hot[planned, name] = name, hot_router_share(planned.fault)
             else:
                 self.front.hot.pop((planned, name), None)
 
-    def _router(self, name: str, fault: Fault, begins: bool) -> None:
+    def _inject_router_fault(self, name: str, fault: Fault, begins: bool) -> None:
         router, now, kind = self.routers[name], self.world.now(), fault.kind
-        if kind is FaultKind.ROUTER_REPLACE:  # once it has begun it goes its own way
+        if kind is FaultKind.ROUTER_REPLACE:  # the replacement, once begun, needs no end
             if begins:
                 self.replace_router(name)
         elif begins:
@@ -218,10 +220,10 @@
                 FaultKind.ROUTER_KILL: signal.SIGKILL,
                 FaultKind.ROUTER_STOP: signal.SIGSTOP,
             }[kind]
-            if number is signal.SIGTERM:  # announced: the front hears of it sooner than of a death
-                self.front.ending(name, now + (TERM_TOLD if fault.hard is None else fault.hard))
+            if number is signal.SIGTERM:  # announced, so the front learns of it sooner than of a crash
+                self.front.ending(name, now + (TERM_NOTICE_SECONDS if fault.hard is None else fault.hard))
             else:
-                self.spells.begin(name, now, f"{name} was sent {number.name}")
+                self.outages.begin(name, now, f"{name} was sent {number.name}")
                 self.front.died(name, now)
             router.signal(number, asked=kind is not FaultKind.ROUTER_STOP)
             if kind is FaultKind.ROUTER_RESTART:
@@ -234,9 +236,9 @@
             self.start_router(name, 0.0)
 
     def recovered(self, router: str) -> None:
-        """It can answer again."""
-        self.spells.end(router, self.world.now())
+        """Note that a router can answer again."""
+        self.outages.end(router, self.world.now())
 
     def excuse(self, router: str, began: float, ended: float) -> str:
-        """Why a router could not answer what it was sent then, or nothing."""
-        return self.spells.why(router, began, ended)
+        """Return why a router could not answer during an interval, empty if it could."""
+        return self.outages.reason(router, began, ended)
--- a/ironrail/rehearsal/faults/outages.py
+++ b/ironrail/rehearsal/faults/outages.py
@@ -1,4 +1,4 @@
-"""Times in which a router could not answer, by the plan. Pure."""
+"""Records when a router could not answer because of a planned fault. No I/O."""
 
 from __future__ import annotations
 
@@ -6,34 +6,34 @@
 
 
 @dataclass(slots=True)
-class Spell:
-    """One such time of one router."""
+class Outage:
+    """A period in which one router could not answer."""
 
     router: str
     began: float
-    why: str
+    reason: str
     ended: float | None = None
 
 
-class Spells:
-    """All of a run."""
+class OutageLog:
+    """All outages of a run."""
 
     def __init__(self) -> None:
-        self._all: list[Spell] = []
+        self._outages: list[Outage] = []
 
-    def begin(self, router: str, now: float, why: str) -> None:
-        self._all.append(Spell(router, now, why))
+    def begin(self, router: str, now: float, reason: str) -> None:
+        self._outages.append(Outage(router, now, reason))
 
     def end(self, router: str, now: float) -> None:
-        """It can answer again."""
-        for spell in self._all:
-            if spell.router == router and spell.ended is None:
-                spell.ended = now
-
-    def why(self, router: str, began: float, ended: float) -> str:
-        """Why it could not answer what it was sent then, or nothing."""
-        for spell in self._all:
-            there = spell.ended is None or spell.ended >= began
-            if spell.router == router and spell.began <= ended and there:
-                return spell.why
+        """Close the open outages of a router, which can answer again."""
+        for outage in self._outages:
+            if outage.router == router and outage.ended is None:
+                outage.ended = now
+
+    def reason(self, router: str, began: float, ended: float) -> str:
+        """Return why a router could not answer during an interval, empty if no outage overlaps it."""
+        for outage in self._outages:
+            not_over = outage.ended is None or outage.ended >= began
+            if outage.router == router and outage.began <= ended and not_over:
+                return outage.reason
         return ""
--- a/ironrail/rehearsal/faults/plan.py
+++ b/ironrail/rehearsal/faults/plan.py
@@ -1,4 +1,4 @@
-"""The plan of faults: victims drawn from the seed, and every begin and end in order of time. Pure."""
+"""Plans faults: draws their targets from the seed and orders every begin and end by time. No I/O."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 from ironrail.rehearsal.scenario.model import Scenario
 from ironrail.rehearsal.scenario.names import cache_names, hall_of, router_names
 
-# kinds that may hit the archive
-ARCHIVE_TOO = (FaultKind.ERRORS, FaultKind.RESET, FaultKind.SPOILT, FaultKind.LATE_RESET)
+# fault kinds for caches that may target the archive as well
+ARCHIVE_TARGET_KINDS = (FaultKind.ERRORS, FaultKind.RESET, FaultKind.SPOILT, FaultKind.LATE_RESET)
 CACHES, ROUTERS, HALLS, ARCHIVE, LOAD, LIST = "caches", "routers", "halls", "archive", "load", "list"
-VICTIMS = {
+TARGET_ROLES = {
     FaultKind.VANISH: CACHES,
     FaultKind.STALL: CACHES,
     FaultKind.RESET: CACHES,
@@ -56,29 +56,29 @@
 
 
 class PlanError(ValueError):
-    """A plan that names whom there is not; the message names the fault."""
+    """A fault whose target does not exist; the message names the fault."""
 
 
 @dataclass(frozen=True, slots=True)
 class Planned:
-    """A fault with its victims."""
+    """A fault with its targets."""
 
     number: int
     fault: Fault
-    victims: tuple[str, ...]  # names of caches, routers or halls
+    victims: tuple[str, ...]  # names of caches, routers or zones
 
     @property
     def ends(self) -> float:
         return self.fault.at + self.fault.lasts
 
     def label(self) -> str:
-        """What people call it."""
+        """Return the name for progress lines and reports."""
         return " ".join([self.fault.kind, *self.victims])
 
 
 @dataclass(frozen=True, slots=True)
 class Step:
-    """A fault begins or ends."""
+    """The begin or the end of a fault."""
 
     at: float
     begins: bool
@@ -86,25 +86,25 @@
 
 
 def make_plan(scenario: Scenario, seed: int) -> list[Planned]:
-    """All faults with their victims, in the order of the scenario."""
+    """Return all faults with their targets, in the order of the scenario."""
     return [Planned(i, fault, _victims(scenario, seed, i, fault)) for i, fault in enumerate(scenario.faults)]
 
 
 def steps(plan: list[Planned]) -> list[Step]:
-    """Begins and ends in order of time; of two at one time an end comes first, then the order of the plan."""
+    """Return all begins and ends by time; at equal times ends come first, then the plan's order."""
     both = [Step(p.fault.at, True, p) for p in plan] + [Step(p.ends, False, p) for p in plan]
     return sorted(both, key=lambda s: (s.at, s.begins, s.planned.number))
 
 
 def _victims(scenario: Scenario, seed: int, number: int, fault: Fault) -> tuple[str, ...]:
-    role, whom = VICTIMS[fault.kind], fault.whom.strip()
+    role, whom = TARGET_ROLES[fault.kind], fault.whom.strip()
     if role in (ARCHIVE, LOAD, LIST):
         if whom:
             raise PlanError(f"fault {number + 1} ({fault.kind}): takes no `whom`")
         return ()
     halls = scenario.halls.names
     names = {CACHES: cache_names(scenario), ROUTERS: router_names(scenario), HALLS: halls}[role]
-    if whom in names or whom == ARCHIVE and fault.kind in ARCHIVE_TOO:
+    if whom in names or whom == ARCHIVE and fault.kind in ARCHIVE_TARGET_KINDS:
         return (whom,)
     if whom == "all":
         return tuple(names)
--- a/ironrail/rehearsal/fleet/command.py
+++ b/ironrail/rehearsal/fleet/command.py
@@ -18,7 +18,7 @@
 from ironrail.rehearsal.fleet.worlds import TROUBLES, fleet_world
 from ironrail.rehearsal.report.document import document
 from ironrail.rehearsal.report.table import print_report
-from ironrail.rehearsal.scenario.model import VIRTUAL_ROUTERS, Scenario
+from ironrail.rehearsal.scenario.model import MAX_VIRTUAL_ROUTERS, Scenario
 from ironrail.rehearsal.scenario.reader import ScenarioError, read_scenario
 from ironrail.rehearsal.virtual.play import Virtual, play_virtual
 
@@ -96,7 +96,7 @@
 )
 @click.argument("trouble")
 @click.option(
-    "--routers", type=click.IntRange(1, VIRTUAL_ROUTERS), default=40, show_default=True, help="How many."
+    "--routers", type=click.IntRange(1, MAX_VIRTUAL_ROUTERS), default=40, show_default=True, help="How many."
 )
 @click.option(
     "--caches", type=click.IntRange(3, MOST_CACHES), default=60, show_default=True, help="How many."
--- a/ironrail/rehearsal/ground.py
+++ b/ironrail/rehearsal/ground.py
@@ -1,4 +1,4 @@
-"""What a rehearsal stands on: real processes and sockets, or a world in virtual time."""
+"""The environment of a rehearsal: real processes and sockets, or a simulation in virtual time."""
 
 from __future__ import annotations
 
@@ -17,22 +17,22 @@
 from ironrail.rehearsal.routers import Exit, RouterProcess
 from ironrail.rehearsal.standins.listening import Listen, SocketListening
 
-READY_PATIENCE = 15.0  # seconds from its start until it answers `mn` with `MN`
-YES_PATIENCE = 6.0  # seconds from its start until a process that is to take over says yes
-READY_PAUSE = 0.02
-READY_CALL = b"GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n"
-# second bytes of the loopback addresses that are used: 127.63.x.y by stand-ins, from 127.64.x.y on by routers
+READY_TIMEOUT_SECONDS = 15.0  # from a start until the router answers `mn` with `MN`
+TAKEOVER_TIMEOUT_SECONDS = 6.0  # from the start of a replacement until it reports ready
+READY_POLL_SECONDS = 0.02
+READY_REQUEST = b"GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n"
+# Second byte of the loopback addresses: stand-ins use 127.63.x.y, routers 127.64.x.y and above.
 STAND_INS_NETWORK = 63
 FIRST_ROUTER_NETWORK = 64
 
 
 class Router(Protocol):
-    """A router under rehearsal, which may be started again under its name and address."""
+    """A router under test, which may be started again under its name and address."""
 
     name: str
     facts: RouterFacts
     address: tuple[str, int]
-    door: tuple[str, int]  # for operators
+    door: tuple[str, int]  # the admin endpoint
 
     @property
     def running(self) -> bool: ...
@@ -57,41 +57,41 @@
 
 
 class Ground(Protocol):
-    """All that differs between the two."""
+    """What differs between real processes and virtual time."""
 
     wall: Callable[[], float]
 
     @property
     def listen(self) -> Listen:
-        """How stand-ins listen."""
+        """Return the function by which stand-ins listen."""
 
     def address_of(self, number: int) -> str:
-        """Where a router listens."""
+        """Return the host at which a router listens, by the router's number."""
 
     def make_router(
         self, name: str, config: dict[str, Any], folder: Path, facts: RouterFacts, on_exit: OnExit
     ) -> Router:
-        """A router that is not started yet."""
+        """Create a router without starting it."""
 
     def settled(self) -> None:
-        """All is up, the load begins."""
+        """Called once everything is started and before the load begins."""
 
     def digest(self) -> str:
-        """Names the events of the run, where they can be named."""
+        """Return a digest of the run's events, empty where they are not reproducible."""
 
 
 def _own_address(network: int) -> str:
-    """A loopback address of this process alone, so that runs beside each other never share a port.
+    """Return a loopback address that only this process uses, so that parallel runs share no port.
 
-    A stand-in that is down releases its port; no other run must be given it, as routers of this one go on
-    connecting to it.
+    A stand-in that is down releases its port, while routers of this run go on connecting to it: no other run
+    may get it.
     """
     pid = os.getpid()
     return f"127.{network}.{(pid >> 8) & 255}.{pid & 255}"
 
 
 class RealGround:
-    """The machine."""
+    """Real processes and sockets on this machine."""
 
     wall = staticmethod(time.time)
 
@@ -112,44 +112,49 @@
 
     def settled(self) -> None:
         gc.collect()
-        gc.freeze()  # what is here stays: looking through it again and again would make the kit late
+        gc.freeze()  # later collections skip these long-lived objects, which would make the kit late
 
     def digest(self) -> str:
         return ""
 
 
 async def ready(router: Router) -> bool:
-    """Whether a router that was started answers in time that it serves."""
-    served = await _says(router, router.address, b"mn\r\n", b"MN\r\n", READY_PATIENCE)
+    """Wait until a started router serves clients; return whether it did so in time."""
+    served = await _answers_in_time(router, router.address, b"mn\r\n", b"MN\r\n", READY_TIMEOUT_SECONDS)
     router.facts.ready = router.facts.ready or served
     return served
 
 
-async def says_yes(router: Router) -> bool:
-    """Whether a process that is to take over says in time that it is ready."""
-    return await _says(router, router.door, READY_CALL, b"HTTP/1.1 200 ", YES_PATIENCE)
+async def is_ready_to_take_over(router: Router) -> bool:
+    """Wait until a replacement process reports ready; return whether it did so in time."""
+    return await _answers_in_time(
+        router, router.door, READY_REQUEST, b"HTTP/1.1 200 ", TAKEOVER_TIMEOUT_SECONDS
+    )
 
 
-async def takes_signals(router: Router) -> bool:
-    """Whether a process that was started says anything at its door in time, be it that it isn't ready."""
-    return await _says(router, router.door, READY_CALL, b"HTTP/1.1 ", READY_PATIENCE)
+async def handles_signals(router: Router) -> bool:
+    """Wait until a process answers at its admin endpoint, ready or not; return whether it did in time.
+
+    A process that answers has installed its signal handlers.
+    """
+    return await _answers_in_time(router, router.door, READY_REQUEST, b"HTTP/1.1 ", READY_TIMEOUT_SECONDS)
 
 
-async def _says(
+async def _answers_in_time(
     router: Router, address: tuple[str, int], question: bytes, answer: bytes, patience: float
 ) -> bool:
-    """Whether it answers so within so many seconds, asked again and again while it runs."""
+    """Poll a running router until it gives the expected answer; False after `patience` seconds."""
     with contextlib.suppress(TimeoutError):
         async with asyncio.timeout(patience):
             while router.running:
-                if await _asked(address, question, answer):
+                if await _answers_once(address, question, answer):
                     return True
-                await asyncio.sleep(READY_PAUSE)
+                await asyncio.sleep(READY_POLL_SECONDS)
     return False
 
 
-async def _asked(address: tuple[str, int], question: bytes, answer: bytes) -> bool:
-    """Whether who listens there answers with a line that begins so."""
+async def _answers_once(address: tuple[str, int], question: bytes, answer: bytes) -> bool:
+    """Send a question to an address; return whether the first line of the reply starts with `answer`."""
     try:
         reader, writer = await asyncio.open_connection(*address)
     except OSError:
--- a/ironrail/rehearsal/lateness.py
+++ b/ironrail/rehearsal/lateness.py
@@ -1,4 +1,4 @@
-"""How late the kit itself is: a run on a machine that is too busy proves nothing about the routers. Pure."""
+"""Measures how late the kit itself is: a run on an overloaded machine says nothing about the routers."""
 
 from __future__ import annotations
 
@@ -6,13 +6,13 @@
 
 from ironrail.rehearsal.account.service import quantiles
 
-MOST_P99 = 0.03  # seconds that one in a hundred sends may be late
-MOST_LATE = 0.25  # seconds that any may be
+MAX_P99_SECONDS = 0.03  # allowed 99th percentile of the delay of sends
+MAX_LATENESS_SECONDS = 0.25  # allowed delay of a single send
 
 
 @dataclass(slots=True)
 class Lateness:
-    """Of the kit's own sends, in seconds."""
+    """Delays of the kit's own sends, in seconds."""
 
     samples: list[float] = field(default_factory=list)
 
@@ -20,7 +20,7 @@
         self.samples.append(max(0.0, late))
 
     def summary(self) -> dict[str, float]:
-        """Median, 99th percentile and the most, in seconds."""
+        """Return the median, the 99th percentile and the maximum, in seconds."""
         found = quantiles(self.samples)
         return {
             "median": found.get(0.5, 0.0),
@@ -29,12 +29,13 @@
         }
 
     def too_late(self) -> str:
-        """Why no verdict is possible, or nothing."""
+        """Return why no verdict is possible, empty if the kit was on time."""
         seen = self.summary()
-        if seen["p99"] > MOST_P99:
+        if seen["p99"] > MAX_P99_SECONDS:
             return (
-                f"one in a hundred sends was {seen['p99'] * 1000:.0f} ms late ({MOST_P99 * 1000:.0f} allowed)"
+                f"one in a hundred sends was {seen['p99'] * 1000:.0f} ms late"
+                f" ({MAX_P99_SECONDS * 1000:.0f} allowed)"
             )
-        if seen["most"] > MOST_LATE:
-            return f"a send was {seen['most'] * 1000:.0f} ms late ({MOST_LATE * 1000:.0f} allowed)"
+        if seen["most"] > MAX_LATENESS_SECONDS:
+            return f"a send was {seen['most'] * 1000:.0f} ms late ({MAX_LATENESS_SECONDS * 1000:.0f} allowed)"
         return ""
--- a/ironrail/rehearsal/links/rig.py
+++ b/ironrail/rehearsal/links/rig.py
@@ -138,7 +138,7 @@
     def _step(self, step: Step) -> None:
         fault, cause = step.fault, ("link", step.number)
         if fault.kind in PROCESSES:
-            self._carrier.carry_out(faults.Step(step.at, step.begins, self._signal(step)))
+            self._fault_injector.carry_out(faults.Step(step.at, step.begins, self._signal(step)))
         elif fault.kind in SLOTS:
             self._linked.links.switches[fault.on][SLOTS[fault.kind]] = fault.hardness if step.begins else 0.0
         else:
--- a/ironrail/rehearsal/pipelines.py
+++ b/ironrail/rehearsal/pipelines.py
@@ -12,7 +12,9 @@
 from ironrail.rehearsal.account.service import quantiles
 from ironrail.rehearsal.run import Result
 
-IN_HAND = 16  # requests that all connections of one router to one cache may carry, whatever the depth
+CONCURRENT_REQUESTS = (
+    16  # requests that all connections of one router to one cache may carry, whatever the depth
+)
 
 
 @dataclass(frozen=True, slots=True)
@@ -24,7 +26,7 @@
     @property
     def connections(self) -> int:
         """To one cache, so that as many requests find room at any depth; 0 where the router decides."""
-        return max(2, -(-IN_HAND // self.requests)) if self.requests is not None else 0
+        return max(2, -(-CONCURRENT_REQUESTS // self.requests)) if self.requests is not None else 0
 
     def __str__(self) -> str:
         return "as it is" if self.requests is None else str(self.requests)
--- a/ironrail/rehearsal/processes.py
+++ b/ironrail/rehearsal/processes.py
@@ -1,4 +1,4 @@
-"""The routers of a rehearsal: how each is started, told to end, started again or replaced by another."""
+"""Starts, stops, restarts, replaces and reconfigures the routers of a rehearsal."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
 from typing import Any
 
 from ironrail.rehearsal.account.record import Record
-from ironrail.rehearsal.faults.injector import Carrier
-from ironrail.rehearsal.ground import Ground, Router, ready, says_yes, takes_signals
+from ironrail.rehearsal.faults.injector import FaultInjector
+from ironrail.rehearsal.ground import Ground, Router, handles_signals, is_ready_to_take_over, ready
 from ironrail.rehearsal.routers import Exit
 from ironrail.rehearsal.scenario.model import Scenario
 from ironrail.rehearsal.scenario.names import router_names
@@ -20,38 +20,38 @@
 from ironrail.rehearsal.standins.rows import Row
 from ironrail.rehearsal.standins.world import World
 
-DOOR = 19000  # port of the first process's door for operators; of those that replace it the next ones
-PORT = 11211  # of every router, each at a loopback address of its own
-STOP_PATIENCE = 8.0  # seconds from SIGTERM until a router is killed
+ADMIN_PORT = 19000  # admin endpoint of a router's first process; its replacements use the next ports
+CLIENT_PORT = 11211  # of every router; each has its own loopback address
+STOP_TIMEOUT_SECONDS = 8.0  # from SIGTERM until a router is killed
 
 
 class Processes:
-    """All routers of one run, by name; a subclass builds the world they stand in."""
+    """The router processes of one run, by name; a subclass creates the stand-ins around them."""
 
     _folder: Path
     _world: World
     _rows: list[Row]
     _registry: Registry
     _front: Front
-    _carrier: Carrier
+    _fault_injector: FaultInjector
 
     def __init__(self, scenario: Scenario, seed: int, ground: Ground) -> None:
         self._scenario, self._seed, self._ground = scenario, seed, ground
         self._record = Record()
         self._routers: dict[str, Router] = {}
-        self._replaced: list[Router] = []  # processes that another one has taken over from, or is to
+        self._replaced: list[Router] = []  # processes that were replaced, or that are about to replace one
         self._tasks: set[asyncio.Task[None]] = set()
         self._ending = False
 
     def _spawn(self, work: Coroutine[Any, Any, None]) -> asyncio.Task[None]:
-        """Start a task that ends with the run at the latest."""
+        """Start a task that is cancelled at the end of the run."""
         task = asyncio.get_running_loop().create_task(work)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
         return task
 
     def _make_router(self, name: str, turn: int) -> Router:
-        """A process for a router; `turn` counts those that replace one another."""
+        """Create a router's process; `turn` is the number of processes it had before."""
         number, ground = router_names(self._scenario).index(name), self._ground
         address = ground.address_of(number)
         config = config_of(
@@ -59,17 +59,17 @@
             self._seed,
             number,
             name,
-            f"{address}:{PORT}",
+            f"{address}:{CLIENT_PORT}",
             self._registry.agents[name].door.address,
             [row.told(name) for row in self._rows],
-            f"{address}:{DOOR + turn}",
+            f"{address}:{ADMIN_PORT + turn}",
         )
         return ground.make_router(name, config, self._folder, self._record.routers[name], self._on_exit)
 
-    def _told_at_start(self, name: str) -> None:
-        """It begins from nothing, with the list that its configuration has: that is what it knows."""
+    def _record_initial_list(self, name: str) -> None:
+        """Record what a new process knows: the list in its configuration and nothing else."""
         rows, now = {row.id for row in self._rows}, self._world.now()
-        for router, server in list(self._record.told):  # what was told to the process before it
+        for router, server in list(self._record.told):  # known to the previous process
             if router == name and server not in rows:
                 self._record.tell(name, server, "in_service", now)
         for row in self._rows:
@@ -83,60 +83,63 @@
         began = loop.time()
         router.signal(signal.SIGTERM)
         try:
-            async with asyncio.timeout(STOP_PATIENCE):
+            async with asyncio.timeout(STOP_TIMEOUT_SECONDS):
                 await router.ended()
         except TimeoutError:
-            return  # a verdict; it is killed with what else is left
+            return  # reported by a verdict; the process is killed at the end of the run
         router.facts.stopped_in = loop.time() - began
 
     def _reconfigure(self, name: str, discovery: str) -> None:
-        """Tell every process of this name that the list is told at another address."""
-        there = [self._routers[name], *(r for r in self._replaced if r.name == name)]
-        for router in dict.fromkeys(there):
+        """Set another address of the endpoint list for every process of a router."""
+        processes = [self._routers[name], *(r for r in self._replaced if r.name == name)]
+        for router in dict.fromkeys(processes):
             router.configure(discovery=discovery)
             if router.running:
-                self._spawn(self._hang_up(router))
+                self._spawn(self._send_sighup(router))
 
-    async def _hang_up(self, router: Router) -> None:
-        """SIGHUP once it can take one: a process that is only starting would end, and reads the file."""
-        if await takes_signals(router) and not self._ending:
+    async def _send_sighup(self, router: Router) -> None:
+        """Send SIGHUP once the process handles it.
+
+        The signal would end a process that is still starting, which reads the changed file anyway.
+        """
+        if await handles_signals(router) and not self._ending:
             router.signal(signal.SIGHUP, asked=False)
 
     async def _restart(self, name: str, patience: float) -> None:
-        """Start it again once it has ended; it is killed after so many seconds."""
+        """Start a router again after its end; kill it first if it runs for `patience` more seconds."""
         router = self._routers[name]
         if patience:
             try:
                 async with asyncio.timeout(patience):
                     await router.ended()
             except TimeoutError:
-                self._will_kill(router)
+                self._before_kill(router)
         await router.kill()
         if self._ending:
             return
-        self._told_at_start(name)
+        self._record_initial_list(name)
         await self._start_again(router)
         if await ready(router):
             self._front.ready(name)
-            self._carrier.recovered(name)
+            self._fault_injector.recovered(name)
         else:
             router.facts.ready = False
 
     async def _start_again(self, router: Router) -> None:
-        """Start a process that has ended."""
+        """Start an ended process again; a subclass may do more."""
         await router.start()
 
-    def _will_kill(self, router: Router) -> None:
-        """Record what is unanswered at a router that did not end in time, right before its SIGKILL."""
+    def _before_kill(self, router: Router) -> None:
+        """Record the unanswered tries of a router that did not end in time, right before its SIGKILL."""
 
     async def _replace(self, name: str) -> None:
-        """Start another process beside the one that serves, and end that once the new one says yes."""
+        """Start a second process and stop the serving one as soon as the new one is ready."""
         old = self._routers[name]
         turn = 1 + sum(router.name == name for router in self._replaced)
         new = self._make_router(name, turn)
-        self._replaced.append(new)  # until it serves, to be ended with the others whatever happens
+        self._replaced.append(new)  # until it serves, so that it is killed with the others in any case
         await new.start()
-        if not await says_yes(new):
+        if not await is_ready_to_take_over(new):
             if not self._ending:
                 new.facts.crashed = "the process that was to take over never said yes"
             return
--- a/ironrail/rehearsal/routers.py
+++ b/ironrail/rehearsal/routers.py
@@ -1,4 +1,4 @@
-"""The routers under rehearsal: real processes, started, watched and ended from outside."""
+"""Router processes under test: started, watched, signalled and ended from outside."""
 
 from __future__ import annotations
 
@@ -19,16 +19,16 @@
 from ironrail.net.discovery.endpoint_list import read_address
 from ironrail.rehearsal.account.record import RouterFacts
 
-KILL_PATIENCE = 5.0
-LOG_KEPT = 64 * 1024  # bytes of the end of its log
-MOST_LOG = 64 * 1024**2  # bytes after which a router is ended: it would fill the machine
+KILL_TIMEOUT_SECONDS = 5.0
+LOG_TAIL_BYTES = 64 * 1024  # the end of a log that is kept
+MAX_LOG_BYTES = 64 * 1024**2  # a router that logs more is killed before it fills the machine
 LIBC = ctypes.CDLL(None, use_errno=True)
 PR_SET_PDEATHSIG = 1  # prctl(2)
 OWN_ROUTER = (sys.executable, "-B", "-m", "ironrail")
 
 
 def end_with_parent() -> None:
-    """Guards against routers that outlive a kit which was killed: Linux ends them with it."""
+    """Make Linux kill this child process when its parent dies, so that no router outlives the kit."""
     if sys.platform == "linux":
         LIBC.prctl(PR_SET_PDEATHSIG, signal.SIGKILL)
 
@@ -38,14 +38,14 @@
     """How a process ended."""
 
     code: int
-    asked: bool  # it had been told to
+    asked: bool  # its end had been requested
 
     def __str__(self) -> str:
         return f"signal {-self.code}" if self.code < 0 else f"exit code {self.code}"
 
 
 class RouterProcess:
-    """One router, which may be started again under its name and address."""
+    """One router process, which may be started again under its name and address."""
 
     def __init__(
         self,
@@ -71,19 +71,19 @@
         return self._process is not None and self._process.returncode is None
 
     def configure(self, **fields: str) -> None:
-        """Change fields of its configuration; a running process reads them when it is told to."""
+        """Change fields of the configuration file; a running process reads them on SIGHUP."""
         self._config = self._config | fields
         self._write_config()
 
     def _write_config(self) -> Path:
         path = self._folder / f"{self.name}.json"
-        half = path.with_suffix(".half")
-        half.write_text(json.dumps(self._config))
-        half.replace(path)  # whoever reads it meanwhile has the old one, whole
+        partial = path.with_suffix(".half")
+        partial.write_text(json.dumps(self._config))
+        partial.replace(path)  # atomic: a concurrent reader gets the complete old file
         return path
 
     async def start(self) -> None:
-        """Start it; `ready` tells when it serves."""
+        """Start the process; `ground.ready` waits until it serves."""
         path = self._write_config()
         environ = {
             **os.environ,
@@ -99,7 +99,7 @@
             stdin=asyncio.subprocess.DEVNULL,
             stdout=asyncio.subprocess.PIPE,
             stderr=asyncio.subprocess.STDOUT,
-            start_new_session=True,  # a Ctrl-C is the kit's to handle
+            start_new_session=True,  # Ctrl-C must reach only the kit
             preexec_fn=end_with_parent,
         )
         with contextlib.suppress(psutil.Error):
@@ -108,37 +108,37 @@
 
     async def _watch(self, process: asyncio.subprocess.Process) -> None:
         assert process.stdout is not None
-        while data := await process.stdout.read(LOG_KEPT):
+        while data := await process.stdout.read(LOG_TAIL_BYTES):
             self.facts.log_bytes += len(data)
-            self.log = (self.log + data)[-LOG_KEPT:]
-            if self.facts.log_bytes > MOST_LOG:
+            self.log = (self.log + data)[-LOG_TAIL_BYTES:]
+            if self.facts.log_bytes > MAX_LOG_BYTES:
                 self.signal(signal.SIGKILL, asked=False)
                 break
         code = await process.wait()
         self._on_exit(self, Exit(code, self._asked))
 
     def signal(self, number: signal.Signals, asked: bool = True) -> None:
-        """Send it a signal; `asked` where its end is wanted."""
+        """Send a signal; `asked` is whether it requests the end of the process."""
         if self._process is not None and self._process.returncode is None:
             self._asked = self._asked or asked
-            # `Process.send_signal` would reap one that has just ended, whose exit code were lost to `_watch`
+            # `Process.send_signal` would reap an ended process, and `_watch` would miss its exit code
             with contextlib.suppress(ProcessLookupError):
                 os.kill(self._process.pid, number)
 
     async def ended(self) -> None:
-        """Wait for the end of the process and of its log."""
+        """Wait until the process has ended and its log is read."""
         if self._watcher is not None:
             await asyncio.shield(self._watcher)
 
     async def kill(self) -> None:
-        """End it for good, whatever it does."""
+        """Kill the process and wait for its end."""
         self.signal(signal.SIGKILL)
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(KILL_PATIENCE):
+            async with asyncio.timeout(KILL_TIMEOUT_SECONDS):
                 await self.ended()
 
     def sample(self) -> tuple[int, int] | None:
-        """Memory in bytes and open descriptors, kept as the most that were seen; None if it is not there."""
+        """Return memory in bytes and open descriptors, and record their maxima; None if not running."""
         if self._usage is None or not self.running:
             return None
         try:
--- a/ironrail/rehearsal/run.py
+++ b/ironrail/rehearsal/run.py
@@ -1,4 +1,4 @@
-"""One rehearsal from start to end: stand-ins, routers, load and faults, and what was seen of it."""
+"""Runs one rehearsal: stand-ins, routers, load and faults, and the evaluation of what was recorded."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from ironrail.rehearsal.account.rules import find_violations
 from ironrail.rehearsal.account.service import measure_service
 from ironrail.rehearsal.faults import plan as faults
-from ironrail.rehearsal.faults.injector import Carrier
+from ironrail.rehearsal.faults.injector import FaultInjector
 from ironrail.rehearsal.ground import Ground, RealGround, Router, ready
 from ironrail.rehearsal.lateness import Lateness
 from ironrail.rehearsal.load.schedule import Planned, digest, make_schedule
@@ -28,22 +28,22 @@
 from ironrail.rehearsal.standins.world import World
 from ironrail.rehearsal.verdicts import judge
 
-START = 0.2  # seconds between the last router's being ready and the first request
-SAMPLE = 0.25  # seconds between looks at the state of everything
-HEARD = 0.1  # seconds in which a router has heard of a client that closed: none may still be on its way
-END_PATIENCE = 10.0  # seconds for what is out after the last fault: every request has a deadline before that
+LOAD_DELAY_SECONDS = 0.2  # between the readiness of the last router and the first request
+SAMPLE_INTERVAL_SECONDS = 0.25  # between two samples of the state of all components
+DEPARTURE_NOTICE_SECONDS = 0.1  # after which each router has noticed every client that closed its connection
+END_TIMEOUT_SECONDS = 10.0  # for open requests after the last fault; each has an earlier deadline
 
 __all__ = ["Progress", "Rehearsal", "Result"]
 
 Progress = Callable[[float, str], None]
 
 
-async def ask_nothing() -> None:
-    """Look at nothing before the routers are stopped."""
+async def do_nothing() -> None:
+    """Do nothing before the routers are stopped."""
 
 
 class Rehearsal(Processes):
-    """One run."""
+    """One run of a scenario."""
 
     def __init__(
         self,
@@ -52,18 +52,18 @@
         *,
         ground: Ground | None = None,
         progress: Progress = lambda at, text: None,
-        at_rest: Callable[[], Awaitable[None]] = ask_nothing,
+        at_rest: Callable[[], Awaitable[None]] = do_nothing,
         schedule: list[Planned] | None = None,
     ) -> None:
         """Prepare a run.
 
         Args:
-            scenario: The world, its load and its faults.
-            seed: Of all draws.
-            ground: Real processes, or virtual ones.
-            progress: Told what happens, and when.
-            at_rest: Awaited once nothing is out any more and the routers still run.
-            schedule: What clients ask for, in place of what the scenario would have drawn.
+            scenario: The components, the load and the faults.
+            seed: Seed of all random draws.
+            ground: The environment: real processes, or virtual ones.
+            progress: Called with the time and a description of each event.
+            at_rest: Awaited when no request is open any more and the routers still run.
+            schedule: The clients' requests, in place of those drawn for the scenario.
         """
         super().__init__(scenario, seed, ground if ground is not None else RealGround(OWN_ROUTER))
         self._progress, self._at_rest = progress, at_rest
@@ -73,7 +73,7 @@
         self._samples: list[Sample] = []
 
     async def run(self) -> Result:
-        """Play it to its end. Whatever happens no process and no port is left."""
+        """Run the scenario to its end; releases all processes and ports, also on errors."""
         with tempfile.TemporaryDirectory(prefix="ironrail-") as folder:
             self._build(Path(folder))
             try:
@@ -82,7 +82,7 @@
                 await self._clear()
         return self._result(why)
 
-    # Parts
+    # Set-up
 
     def _build(self, folder: Path) -> None:
         scenario, names = self._scenario, router_names(self._scenario)
@@ -102,9 +102,9 @@
         for name in names:
             self._record.routers[name] = RouterFacts()
             self._routers[name] = self._make_router(name, 0)
-            self._told_at_start(name)
+            self._record_initial_list(name)
         self._clients = Clients(self._world, self._front, {n: r.address for n, r in self._routers.items()})
-        self._carrier = Carrier(
+        self._fault_injector = FaultInjector(
             self._world,
             self._fleet,
             self._archive,
@@ -119,33 +119,33 @@
         self._clients.excused = self._excuse
 
     def _excuse(self, one: Try) -> str:
-        return self._carrier.excuse(one.router, one.sent_at, self._world.now())
+        return self._fault_injector.excuse(one.router, one.sent_at, self._world.now())
 
-    def _will_kill(self, router: Router) -> None:
+    def _before_kill(self, router: Router) -> None:
         self._clients.router_killed(router.name)
 
     # The run
 
     async def _play(self) -> str:
-        """Start, load, end; answers with why the run tells nothing, if so."""
+        """Start the routers, play load and faults, stop; return why there is no verdict, if so."""
         self._progress(0.0, "starting routers")
         for router in self._routers.values():
             await router.start()
         are_ready = await asyncio.gather(*(ready(router) for router in self._routers.values()))
         if not all(are_ready):
-            return ""  # a verdict, and nothing to send to
+            return ""  # reported by a verdict; without routers there is no load
         self._ground.settled()
         loop = asyncio.get_running_loop()
-        self._world.start = loop.time() + START + self._scenario.warm_up
+        self._world.start = loop.time() + LOAD_DELAY_SECONDS + self._scenario.warm_up
         self._spawn(self._sample())
         faults_carried_out = self._spawn(self._carry_out())
         await self._load()
         await self._finish()
-        await faults_carried_out  # an error there means that fewer were played than planned
+        await faults_carried_out  # raises if not all planned faults were injected
         return self._lateness.too_late()
 
     async def _load(self) -> None:
-        """Send each first try when it is due, whatever became of those before."""
+        """Send each first try at its scheduled time, regardless of the results of earlier ones."""
         loop = asyncio.get_running_loop()
         for planned in self._schedule:
             delay = self._world.start + planned.at - loop.time()
@@ -161,21 +161,23 @@
             self._progress(
                 self._world.now(), f"{'begins' if step.begins else 'ends'}: {step.planned.label()}"
             )
-            self._carrier.carry_out(step)
+            self._fault_injector.carry_out(step)
 
     async def _finish(self) -> None:
-        """Wait for what is out, and for faults that outlast the load, then stop the routers."""
+        """Wait for open requests and for faults that outlast the load, then stop the routers."""
         self._progress(self._world.now(), "waiting for what is out")
         last = max((p.ends for p in self._plan), default=0.0)
         await asyncio.sleep(max(0.0, last - self._world.now()))
         try:
-            async with asyncio.timeout(END_PATIENCE):
+            async with asyncio.timeout(END_TIMEOUT_SECONDS):
                 await self._clients.quiet()
-        except TimeoutError:  # can't be: each try has a timer
+        except TimeoutError:  # not expected, as each try has a timer
             self._record.stray(self._world.now(), "clients", f"{self._clients.waiting()} never ended")
         if any(one.left_at is not None for one in self._record.tries.values()):
-            await asyncio.sleep(HEARD)
-        if not self._scenario.limits.may_cancel:  # what lost to another attempt stays out for its time
+            await asyncio.sleep(DEPARTURE_NOTICE_SECONDS)
+        if (
+            not self._scenario.limits.may_cancel
+        ):  # attempts that are no longer needed stay open until their time is up
             await asyncio.sleep(max(kind.give_up for kind in self._scenario.classes))
         await self._at_rest()
         self._progress(self._world.now(), "stopping routers")
@@ -198,7 +200,7 @@
                 )
             )
             self._progress(self._world.now(), "")
-            await asyncio.sleep(SAMPLE)
+            await asyncio.sleep(SAMPLE_INTERVAL_SECONDS)
 
     async def _clear(self) -> None:
         self._ending = True
@@ -206,8 +208,8 @@
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
         self._clients.close()
-        everybody = [*self._routers.values(), *self._replaced]
-        await asyncio.gather(*(router.kill() for router in everybody))
+        routers = [*self._routers.values(), *self._replaced]
+        await asyncio.gather(*(router.kill() for router in routers))
         self._fleet.close()
         self._archive.close()
         self._registry.close()
--- a/ironrail/rehearsal/scenario/model.py
+++ b/ironrail/rehearsal/scenario/model.py
@@ -18,11 +18,11 @@
 from ironrail.rehearsal.scenario.units import Bytes, Seconds
 
 NAME = r"^[!-+.-<>-~-]{1,64}$"  # of a class or a title: the protocol puts it into a list of names and values
-MOST_RATE = 5000.0  # first tries a second on real sockets: one core of the kit drives no more
-MOST_ROUTERS = 64  # the same, each at a loopback network of its own
-VIRTUAL_RATE = 50_000.0  # in virtual time, where a second takes as long as it has to
-VIRTUAL_ROUTERS = 1000  # the same: more than a few GB of memory hold beside 400 caches
-MOST_LENGTH = 3600.0  # seconds: every load loop is bounded
+MAX_SOCKET_RATE = 5000.0  # first tries a second on real sockets: one core of the kit drives no more
+MAX_SOCKET_ROUTERS = 64  # the same, each at a loopback network of its own
+MAX_VIRTUAL_RATE = 50_000.0  # in virtual time, where a second takes as long as it has to
+MAX_VIRTUAL_ROUTERS = 1000  # the same: more than a few GB of memory hold beside 400 caches
+MAX_LENGTH_SECONDS = 3600.0  # seconds: every load loop is bounded
 
 
 class Repeats(StrEnum):
@@ -60,7 +60,9 @@
 class Load(Table):
     """What clients ask for, whatever the routers make of it: an open loop."""
 
-    rate: Annotated[float, Field(gt=0.0, le=VIRTUAL_RATE)] = 240.0  # first tries a second, all halls together
+    rate: Annotated[float, Field(gt=0.0, le=MAX_VIRTUAL_RATE)] = (
+        240.0  # first tries a second, all halls together
+    )
     shape: Annotated[str, Field(pattern="^(steady|bursty|ramp)$")] = "steady"
     swing: Share = 0.25  # of the rate, up and down, where the shape is not steady
     keys: Annotated[int, Field(ge=1, le=1_000_000)] = 600
@@ -93,7 +95,7 @@
 class Routers(Table):
     """The routers under rehearsal: real processes."""
 
-    count: Annotated[int, Field(ge=1, le=VIRTUAL_ROUTERS)] = 3
+    count: Annotated[int, Field(ge=1, le=MAX_VIRTUAL_ROUTERS)] = 3
     descriptors: Annotated[int, Field(ge=128, le=4096)] = 384
     memory: Bytes = 96 * 1024**2
     front_notice: Seconds = 1.5  # for which the front goes on sending clients to a dead one
@@ -159,7 +161,7 @@
     destroys: Share = 0.5  # of resets take along what was not yet read
 
 
-USUAL_CLASSES = [
+DEFAULT_CLASSES = [
     RequestClass.model_validate(row)
     for row in (
         {"name": "grid-read", "share": 0.93},
@@ -187,7 +189,7 @@
         },
     )
 ]
-USUAL_TITLES = [
+DEFAULT_TITLES = [
     Title(name="daily", share=0.42),
     Title(name="weekly", share=0.3),
     Title(name="regional", share=0.18),
@@ -200,14 +202,14 @@
 
     summary: str
     about: str = ""
-    length: Annotated[Seconds, Field(gt=0.0, le=MOST_LENGTH)]  # of the load that counts
+    length: Annotated[Seconds, Field(gt=0.0, le=MAX_LENGTH_SECONDS)]  # of the load that counts
     warm_up: Annotated[Seconds, Field(ge=0.0, le=60.0)] = (
         3.0  # of load before it: the caches fill, nothing counts
     )
     tick: Seconds = 0.005
     load: Load = Load()
-    classes: Annotated[list[RequestClass], Field(alias="class", min_length=1)] = USUAL_CLASSES
-    titles: Annotated[list[Title], Field(alias="title", min_length=1)] = USUAL_TITLES
+    classes: Annotated[list[RequestClass], Field(alias="class", min_length=1)] = DEFAULT_CLASSES
+    titles: Annotated[list[Title], Field(alias="title", min_length=1)] = DEFAULT_TITLES
     clients: Clients = Clients()
     halls: Halls = Halls()
     routers: Routers = Routers()
@@ -233,13 +235,16 @@
         return self
 
     def beyond_sockets(self) -> str:
-        """What a rehearsal on real sockets can't hold of it, or nothing."""
-        if self.routers.count > MOST_ROUTERS:
+        """Return which limit of real sockets the scenario exceeds, empty if none."""
+        if self.routers.count > MAX_SOCKET_ROUTERS:
+            return (
+                f"routers.count: {self.routers.count} are more than {MAX_SOCKET_ROUTERS},"
+                " the most on real sockets"
+            )
+        if self.load.rate > MAX_SOCKET_RATE:
             return (
-                f"routers.count: {self.routers.count} are more than {MOST_ROUTERS}, the most on real sockets"
+                f"load.rate: {self.load.rate:g} are more than {MAX_SOCKET_RATE:g}, the most on real sockets"
             )
-        if self.load.rate > MOST_RATE:
-            return f"load.rate: {self.load.rate:g} are more than {MOST_RATE:g}, the most on real sockets"
         return ""
 
     def class_of(self, name: str) -> RequestClass:
--- a/ironrail/rehearsal/scenario/reader.py
+++ b/ironrail/rehearsal/scenario/reader.py
@@ -14,7 +14,7 @@
 
 HEADER = re.compile(r"\s*(\[\[?)\s*([A-Za-z0-9_.-]+)\s*\]\]?")
 KEY = re.compile(r"\s*([A-Za-z0-9_-]+)\s*=")
-MOST_FILE = 1024 * 1024  # bytes: a scenario is written by hand
+MAX_FILE_BYTES = 1024 * 1024  # bytes: a scenario is written by hand
 Form = TypeVar("Form", bound=BaseModel)
 
 
@@ -42,8 +42,8 @@
         data = path.read_bytes()
     except OSError as e:
         raise ScenarioError(f"{path}: {e.strerror or e}") from e
-    if len(data) > MOST_FILE:
-        raise ScenarioError(f"{path}: larger than {MOST_FILE} bytes")
+    if len(data) > MAX_FILE_BYTES:
+        raise ScenarioError(f"{path}: larger than {MAX_FILE_BYTES} bytes")
     try:
         return data.decode()
     except UnicodeDecodeError as e:
--- a/ironrail/rehearsal/settings.py
+++ b/ironrail/rehearsal/settings.py
@@ -9,7 +9,7 @@
 from ironrail.rehearsal.standins.fleet import KIND, ORIGIN_KIND
 
 EFFECTS = {Repeats.SAFE: "free", Repeats.KEYED: "guarded", Repeats.NEVER: "single_shot"}
-MOST_TRIES = 3
+MAX_TRIES = 3
 
 
 def _class(kind: RequestClass) -> dict[str, Any]:
@@ -34,7 +34,7 @@
         "familyInfo": {"mode": "aside", "originKind": 1},
         "skus": [KIND, ORIGIN_KIND],
         "limits": {
-            "mostTries": MOST_TRIES,
+            "mostTries": MAX_TRIES,
             "mayCancel": scenario.limits.may_cancel,
             "secondCopies": scenario.limits.second_copies,
             "dialTimeout": scenario.limits.dial,
--- a/ironrail/rehearsal/soak/rehearsal.py
+++ b/ironrail/rehearsal/soak/rehearsal.py
@@ -82,7 +82,9 @@
                 router.facts.crashed = "it did not end on a SIGTERM right after its start"
             await router.kill()
             del self._early_terms[router.name]
-            self._told_at_start(router.name)  # what counts as told does so from this process's first moment
+            self._record_initial_list(
+                router.name
+            )  # what counts as told does so from this process's first moment
         await super()._start_again(router)
 
     def _on_exit(self, router: Router, end: Exit) -> None:
--- a/ironrail/rehearsal/soak/world.py
+++ b/ironrail/rehearsal/soak/world.py
@@ -6,9 +6,9 @@
 from typing import Any
 
 from ironrail.rehearsal.draws import stream
-from ironrail.rehearsal.faults.plan import ARCHIVE, ARCHIVE_TOO, CACHES, ROUTERS, VICTIMS
+from ironrail.rehearsal.faults.plan import ARCHIVE, ARCHIVE_TARGET_KINDS, CACHES, ROUTERS, TARGET_ROLES
 from ironrail.rehearsal.scenario.faults import FaultKind
-from ironrail.rehearsal.scenario.model import USUAL_CLASSES, Scenario
+from ironrail.rehearsal.scenario.model import DEFAULT_CLASSES, Scenario
 from ironrail.rehearsal.scenario.names import cache_names, router_names
 from ironrail.rehearsal.scenario.units import write_time
 
@@ -105,7 +105,7 @@
         "window": draws.choice(WINDOW_SCALES),
     }
     rows = []
-    for kind in USUAL_CLASSES:
+    for kind in DEFAULT_CLASSES:
         row = kind.model_dump(mode="json")
         row["share"] = CLASS_SHARES[kind.name]
         row |= {field: write_time(getattr(kind, field) * scale) for field, scale in scales.items()}
@@ -146,11 +146,11 @@
     last = LENGTH_SECONDS - QUIET_END_SECONDS
     at = draws.uniform(0.2, last - 1.0)
     fault = _fault(kind, at, draws.uniform(0.3, last - at))
-    if VICTIMS[kind] is CACHES:
+    if TARGET_ROLES[kind] is CACHES:
         fault["whom"] = draws.choice(cache_names(scenario))
-        if kind in ARCHIVE_TOO and draws.random() < ARCHIVE_SHARE:
+        if kind in ARCHIVE_TARGET_KINDS and draws.random() < ARCHIVE_SHARE:
             fault["whom"] = ARCHIVE
-    elif VICTIMS[kind] is ROUTERS:
+    elif TARGET_ROLES[kind] is ROUTERS:
         fault["whom"] = draws.choice(router_names(scenario))
         if fault["whom"] in restarted:
             return []
--- a/ironrail/rehearsal/virtual/worlds.py
+++ b/ironrail/rehearsal/virtual/worlds.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 from ironrail.rehearsal.draws import stream
-from ironrail.rehearsal.faults.plan import CACHES, HALLS, ROUTERS, VICTIMS
+from ironrail.rehearsal.faults.plan import CACHES, HALLS, ROUTERS, TARGET_ROLES
 from ironrail.rehearsal.scenario.faults import CutKind, FaultKind
 from ironrail.rehearsal.scenario.model import Scenario
 from ironrail.rehearsal.scenario.names import cache_names, router_names
@@ -153,7 +153,7 @@
         CACHES: [*cache_names(scenario), "all"],
         ROUTERS: router_names(scenario),
         HALLS: scenario.halls.names,
-    }.get(VICTIMS[kind])
+    }.get(TARGET_ROLES[kind])
     if victims is not None:
         fault["whom"] = draws.choice(victims)
     if kind in (FaultKind.ERRORS, FaultKind.RESET, FaultKind.SPOILT) and draws.random() < 0.3:
@@ -170,7 +170,7 @@
     seen: set[str] = set()
     kept = []
     for fault in faults:
-        role = VICTIMS[FaultKind(fault["kind"])]
+        role = TARGET_ROLES[FaultKind(fault["kind"])]
         if role is ROUTERS and fault["kind"] != FaultKind.HOT_ROUTER:
             if fault["whom"] in seen:
                 continue
--- a/ironrail/rehearse.py
+++ b/ironrail/rehearse.py
@@ -34,7 +34,7 @@
 from ironrail.rehearsal.routers import OWN_ROUTER
 from ironrail.rehearsal.run import Result
 from ironrail.rehearsal.scenario import Scenario, ScenarioError, read_scenario, shipped
-from ironrail.rehearsal.scenario.model import VIRTUAL_ROUTERS, Repeats
+from ironrail.rehearsal.scenario.model import MAX_VIRTUAL_ROUTERS, Repeats
 from ironrail.rehearsal.virtual.play import play_virtual
 
 TRACE_LINES = 200_000  # of the events that a trace keeps
@@ -99,7 +99,7 @@
 )
 @click.option(
     "--routers",
-    type=click.IntRange(1, VIRTUAL_ROUTERS),
+    type=click.IntRange(1, MAX_VIRTUAL_ROUTERS),
     help="How many, in place of the scenario's.",
 )
 @click.option(
--- a/tests/rehearsal/links/readers_stage.py
+++ b/tests/rehearsal/links/readers_stage.py
@@ -82,7 +82,7 @@
         super()._build(folder)
         front = RegionFront(self._front.notice, self._front.routers, self._front.told, self._front.hot)
         front.regions = self
-        self._front = self._clients._front = self._carrier.front = front
+        self._front = self._clients._front = self._fault_injector.front = front
         self.at_router = {
             name: Pools(self, name, door.address) for name, door in self._linked.links.doors.items()
         }
--- a/tests/rehearsal/test_new_days.py
+++ b/tests/rehearsal/test_new_days.py
@@ -7,7 +7,7 @@
 import pytest
 
 from ironrail.rehearsal.account.record import Ended
-from ironrail.rehearsal.faults.injector import Carrier
+from ironrail.rehearsal.faults.injector import FaultInjector
 from ironrail.rehearsal.scenario.faults import FaultKind
 from ironrail.rehearsal.scenario.model import Network as Conditions
 from ironrail.rehearsal.scenario.model import Scenario
@@ -181,16 +181,16 @@
 
 def test_each_new_kind_is_carried_out(monkeypatch: pytest.MonkeyPatch) -> None:
     begun: list[str] = []
-    carry_out = Carrier.carry_out
+    carry_out = FaultInjector.carry_out
 
-    def noted(self: Carrier, step: object) -> None:
+    def noted(self: FaultInjector, step: object) -> None:
         carry_out(self, step)  # type: ignore[arg-type]
         caches = self.fleet.caches.values()
         begun.extend("hang" for c in caches if c._hangs)
         begun.extend("late" for c in caches if any(door._lates for door in c.doors.values()))
         begun.extend("second" for c in caches if c.replies._faults)
 
-    monkeypatch.setattr(Carrier, "carry_out", noted)
+    monkeypatch.setattr(FaultInjector, "carry_out", noted)
     day: Scenario = read_scenario(str(FOLDER / "days.toml"))
     play_virtual(day, 1)
     assert set(begun) == {"hang", "late", "second"}
--- a/tests/rehearsal/test_ports.py
+++ b/tests/rehearsal/test_ports.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from ironrail.rehearsal.faults.injector import Carrier
+from ironrail.rehearsal.faults.injector import FaultInjector
 from ironrail.rehearsal.faults.plan import Step
 from ironrail.rehearsal.ground import FIRST_ROUTER_NETWORK, RealGround
 from ironrail.rehearsal.scenario.model import Scenario
@@ -72,10 +72,10 @@
 def test_a_plan_of_faults_that_breaks_off_ends_the_run_in_its_error(monkeypatch: pytest.MonkeyPatch) -> None:
     """Guards against a run that plays fewer faults than planned and says nothing of it."""
 
-    def fail(self: Carrier, step: Step) -> None:
+    def fail(self: FaultInjector, step: Step) -> None:
         raise OSError("Address already in use")
 
-    monkeypatch.setattr(Carrier, "carry_out", fail)
+    monkeypatch.setattr(FaultInjector, "carry_out", fail)
     fault = {"kind": "stall", "whom": "cache-1", "at": "500 ms", "lasts": "500 ms"}
     world = {"summary": "x", "length": "2 s", "warm_up": "0 s", "load": {"rate": 20.0}, "fault": [fault]}
     with pytest.raises(OSError, match="Address already in use"):
