--- a/ironrail/rehearsal/command.py
+++ b/ironrail/rehearsal/command.py
@@ -1,4 +1,4 @@
-"""`ironrail pipeline-report`, and what all commands of the kit share: exit codes, a console, a run."""
+"""`ironrail pipeline-report`, and exit codes, console and run function shared by the kit's commands."""
 
 from __future__ import annotations
 
@@ -26,13 +26,13 @@
 from ironrail.rehearsal.virtual.play import play_virtual
 
 KEPT, FAILED, UNUSABLE, NO_VERDICT, INTERRUPTED = 0, 1, 2, 3, 130
-PLAIN_WIDTH = 132  # columns where the output is no terminal
-GC_FIRST, GC_SECOND, GC_THIRD = 20_000, 50, 100  # whole collections held up sends for 60 to 100 ms
-PROGRESS_INTERVAL_SECONDS = 5.0  # seconds of the run between two lines that say how far it is
+PLAIN_WIDTH = 132  # columns, if the output is not a terminal
+GC_FIRST, GC_SECOND, GC_THIRD = 20_000, 50, 100  # rare, as full collections delayed sends by 60 to 100 ms
+PROGRESS_INTERVAL_SECONDS = 5.0  # of the run, between two progress lines
 
 
 class Printer:
-    """Says how far a run is, and what goes wrong in it."""
+    """Prints the progress and the events of a run."""
 
     def __init__(self, console: Console, scenario: Scenario) -> None:
         self._console, self._length = console, scenario.length
@@ -54,11 +54,15 @@
     console: Console,
     schedule: list[Planned] | None = None,
 ) -> Result:
-    """One run on a loop of its own; ends cleanly on SIGINT and SIGTERM."""
+    """Play one run on its own event loop, which SIGINT and SIGTERM end cleanly.
+
+    Raises:
+        ScenarioError: The scenario exceeds a limit of real sockets.
+    """
     if beyond := scenario.beyond_sockets():
         raise ScenarioError(f"{beyond} (in virtual time more can be had)")
-    told = Printer(console, scenario)
-    rehearsal = Rehearsal(scenario, seed, ground=RealGround(command), progress=told, schedule=schedule)
+    printer = Printer(console, scenario)
+    rehearsal = Rehearsal(scenario, seed, ground=RealGround(command), progress=printer, schedule=schedule)
 
     async def run() -> Result:
         task = asyncio.ensure_future(rehearsal.run())
@@ -73,13 +77,17 @@
 
 
 def make_console(stderr: bool = False) -> Console:
-    """A terminal as wide as it is, anything else wide enough for the tables."""
+    """Return a console of the terminal's width, or wide enough for the tables if it is not one."""
     console = Console(stderr=stderr)
     return console if console.is_terminal else Console(stderr=stderr, width=PLAIN_WIDTH)
 
 
 def check_writable(*files: str | None) -> None:
-    """Guards a run against having nowhere to go once it is over."""
+    """Check before a run that its result files can be written.
+
+    Raises:
+        OSError: A file can't be opened for writing.
+    """
     for file in files:
         if file and file != "-":
             with Path(file).open("ab"):
@@ -120,8 +128,10 @@
         def play_one(operator: Path, name: str) -> Result:
             console.print(f"{name}", highlight=False)
             if virtual:
-                told = Printer(console, chosen)
-                return play_virtual(chosen, seed, operator=read_operator(str(operator)), progress=told).result
+                printer = Printer(console, chosen)
+                return play_virtual(
+                    chosen, seed, operator=read_operator(str(operator)), progress=printer
+                ).result
             return play(chosen, seed, (*OWN_ROUTER, "--operator", str(operator)), console)
 
         lines = compare(wanted, play_one)
@@ -136,7 +146,7 @@
         rows = [
             {**asdict(line), "latencies": {str(q): s for q, s in line.latencies.items()}} for line in lines
         ]
-        told = {"format": "ironrail-pipelines", "version": 1, "seed": seed, "lines": rows}
-        Path(json_file).write_bytes(orjson.dumps(told, option=orjson.OPT_INDENT_2) + b"\n")
+        report = {"format": "ironrail-pipelines", "version": 1, "seed": seed, "lines": rows}
+        Path(json_file).write_bytes(orjson.dumps(report, option=orjson.OPT_INDENT_2) + b"\n")
     busy = any(line.no_verdict for line in lines)
     sys.exit(NO_VERDICT if busy else FAILED if any(line.broken for line in lines) else KEPT)
--- a/ironrail/rehearsal/pipelines.py
+++ b/ironrail/rehearsal/pipelines.py
@@ -1,4 +1,4 @@
-"""Requests behind one another on a connection, compared: the same load and faults at several depths."""
+"""Compares pipelining depths on connections to caches: the same load and faults at each depth."""
 
 from __future__ import annotations
 
@@ -12,20 +12,21 @@
 from ironrail.rehearsal.account.service import quantiles
 from ironrail.rehearsal.run import Result
 
-CONCURRENT_REQUESTS = (
-    16  # requests that all connections of one router to one cache may carry, whatever the depth
-)
+CONCURRENT_REQUESTS = 16  # on all connections of one router to one cache, at any depth
 
 
 @dataclass(frozen=True, slots=True)
 class Depth:
-    """A depth to try, with connections opened before anything goes behind; None: the router as it is."""
+    """A pipelining depth; connections are opened up to their limit before requests are pipelined.
+
+    None leaves the depth to the router.
+    """
 
     requests: int | None
 
     @property
     def connections(self) -> int:
-        """To one cache, so that as many requests find room at any depth; 0 where the router decides."""
+        """The limit to one cache, so that any depth has the same capacity; 0 where the router decides."""
         return max(2, -(-CONCURRENT_REQUESTS // self.requests)) if self.requests is not None else 0
 
     def __str__(self) -> str:
@@ -34,7 +35,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Line:
-    """What one depth came to."""
+    """The measurements at one depth."""
 
     depth: str
     allowed: int  # connections of a router to one cache
@@ -42,23 +43,23 @@
     handshakes: int
     latencies: dict[float, float]  # of served first tries, in seconds
     attempts: int
-    lost_behind: int  # attempts that ended with a connection, behind the one that it broke at
+    lost_behind: int  # attempts lost with a connection that broke at an earlier request
     retries: int  # of clients
     service: float
-    drained: int  # sent to a draining or gone cache once the grace was over
-    broken: int  # rules, in all
+    drained: int  # attempts at a draining or terminated cache after the grace period
+    broken: int  # violations of any rule
     no_verdict: str
 
 
 def operator_file(depth: Depth) -> str:
-    """The operator's file that sets a depth."""
+    """Return the text of the operator's file that sets a depth."""
     if depth.requests is None:
         return "[connections]\n"
     return f"[connections]\nper_cache = {depth.connections}\ndepth = {depth.requests}\ncost_ms = 0\n"
 
 
 def compare(depths: list[Depth], play: Callable[[Path, str], Result]) -> list[Line]:
-    """Play each depth; `play` is given the operator's file for the routers and what to call the run."""
+    """Play each depth; `play` gets the path of the routers' operator file and the name of the run."""
     lines = []
     with tempfile.TemporaryDirectory(prefix="ironrail-") as folder:
         for number, depth in enumerate(depths):
@@ -69,7 +70,7 @@
 
 
 def line_of(depth: Depth, result: Result) -> Line:
-    """What one run says of its depth."""
+    """Return the measurements of one run at its depth."""
     counted = [s.connections for s in result.samples if s.at >= 0]
     caches = result.scenario.caches.count
     attempts = [a for t in result.record.tries.values() for a in t.attempts if not a.archive]
@@ -90,7 +91,7 @@
 
 
 def latencies(result: Result) -> dict[float, float]:
-    """Of all served first tries, their retries folded in, from when they were due."""
+    """Return latency quantiles of served first tries, including retries, from their scheduled time."""
     best: dict[int, float] = {}
     for one in result.record.tries.values():
         if one.planned.at >= 0 and one.outcome == "served" and one.answers:
@@ -100,7 +101,7 @@
 
 
 def lost_behind(record: Record) -> int:
-    """Attempts at caches that the end of a connection took along: their own reply was never due."""
+    """Count attempts at caches that ended with their connection before their own reply was due."""
     return sum(
         a.behind and a.ended in (Ended.LEFT, Ended.RESET)
         for t in record.tries.values()
--- a/ironrail/rehearsal/result.py
+++ b/ironrail/rehearsal/result.py
@@ -1,4 +1,4 @@
-"""What came of a rehearsal."""
+"""The result of a rehearsal."""
 
 from __future__ import annotations
 
@@ -17,12 +17,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Sample:
-    """The state of everything at one moment."""
+    """The state of all components at one moment."""
 
     at: float
-    waiting: int  # requests whose answer clients await
-    archive: int  # requests at the archive
-    in_caches: int  # jobs at all caches
+    waiting: int  # requests whose clients wait for an answer
+    archive: int  # requests in progress at the archive
+    in_caches: int  # requests in progress at all caches
     connections: int  # to all caches
     memory: int  # bytes of the largest router
     descriptors: int
@@ -30,7 +30,7 @@
 
 @dataclass(slots=True)
 class Result:
-    """What came of a run."""
+    """The scenario, the record and the evaluation of one run."""
 
     scenario: Scenario
     seed: int
@@ -43,11 +43,11 @@
     verdicts: list[Verdict]
     lateness: Lateness
     samples: list[Sample]
-    no_verdict: str = ""  # why the run tells nothing
-    digest: str = ""  # of all events, in virtual time
+    no_verdict: str = ""  # why the run has no verdict, empty if it has one
+    digest: str = ""  # of all events, only in virtual time
     logs: dict[str, str] = field(default_factory=dict)
-    began: float = 0.0  # the load that counts, on the clock of the loop
-    laid: Laid | None = None  # what was lost by cause, in virtual time
+    began: float = 0.0  # start of the measured load on the event loop's clock
+    laid: Laid | None = None  # lost worth by cause, only in virtual time
 
     @property
     def kept(self) -> bool:
--- a/ironrail/rehearsal/scenario/__init__.py
+++ b/ironrail/rehearsal/scenario/__init__.py
@@ -1,4 +1,4 @@
-"""What is rehearsed: a scenario's form, and how it is read from its file."""
+"""The data model of a scenario and the reader of scenario files."""
 
 from ironrail.rehearsal.scenario.model import Scenario
 from ironrail.rehearsal.scenario.reader import ScenarioError, read_scenario, shipped
--- a/ironrail/rehearsal/scenario/base.py
+++ b/ironrail/rehearsal/scenario/base.py
@@ -1,4 +1,4 @@
-"""What all tables of a scenario share."""
+"""The base class and common types of a scenario's tables."""
 
 from __future__ import annotations
 
@@ -12,6 +12,6 @@
 
 
 class Table(BaseModel):
-    """A table of the file: unknown keys are mistakes, and nothing changes once read."""
+    """A table of the file, immutable once read; unknown keys are errors."""
 
     model_config = ConfigDict(extra="forbid", frozen=True, allow_inf_nan=False)
--- a/ironrail/rehearsal/scenario/bounds.py
+++ b/ironrail/rehearsal/scenario/bounds.py
@@ -1,4 +1,4 @@
-"""The form of what a run must keep."""
+"""The bounds that a run is judged by."""
 
 from __future__ import annotations
 
@@ -7,17 +7,17 @@
 
 
 class Bounds(Table):
-    """What a run must keep. What is left out is not judged, broken rules always are."""
+    """The bounds of a run. A bound that is left out is not judged; rule violations always are."""
 
-    service: Share | None = None  # worth answered in time over worth asked for, at the least
-    worst_window: Share | None = None  # the same in the worst 5 s
-    worst_class: Share | None = None  # of those with a twentieth of it, or that may not simply be repeated
-    worst_title: Share | None = None  # of those with a twentieth of the worth asked for inside shares
-    archive_fetches: float | None = None  # for each first try, at the most
-    connections: float | None = None  # to one cache, mean over time, at the most
-    kept_back: int = 0  # answers given up and held back all the same, at the most
-    untimed: int = 0  # refusals that name no time, at the most
-    memory: Bytes | None = None  # of the largest router, at the most; its limit where left out
-    descriptors: int | None = None  # of the router with most of them; its limit where left out
-    log: Bytes = 4 * 1024**2  # of one router, at the most
-    stop: Seconds = 4.5  # from SIGTERM to its end, at the most
+    service: Share | None = None  # minimum of the worth answered in time over the worth requested
+    worst_window: Share | None = None  # minimum of the same in the worst 5 s
+    worst_class: Share | None = None  # of classes with a twentieth of it, or not simply repeatable
+    worst_title: Share | None = None  # of titles with a twentieth of the worth inside the shares
+    archive_fetches: float | None = None  # maximum per first try
+    connections: float | None = None  # maximum to one cache, mean over time
+    kept_back: int = 0  # maximum number of failure answers that were held back without reason
+    untimed: int = 0  # maximum number of refusals without a retry time
+    memory: Bytes | None = None  # maximum of any router; by default its memory limit
+    descriptors: int | None = None  # maximum of any router; by default its descriptor limit
+    log: Bytes = 4 * 1024**2  # maximum of one router
+    stop: Seconds = 4.5  # maximum from SIGTERM to the end of a router
--- a/ironrail/rehearsal/scenario/faults.py
+++ b/ironrail/rehearsal/scenario/faults.py
@@ -1,4 +1,4 @@
-"""The form of what goes wrong in a scenario, and when."""
+"""The faults of a scenario."""
 
 from __future__ import annotations
 
@@ -12,24 +12,24 @@
 
 
 class CutKind(StrEnum):
-    """How a task of a router is cut short."""
+    """The cause by which a task of a router is interrupted."""
 
-    MOVES = "moves"  # of `Discovery._run`: the list is to be asked for elsewhere
-    TIME_UP = "time-up"  # of `Pool._open`: a dial's time is over
-    TERM = "term"  # of any: the router is told to end
+    MOVES = "moves"  # for `Discovery._run`: the list moves to another address
+    TIME_UP = "time-up"  # for `Pool._open`: a connect timeout
+    TERM = "term"  # for any task: the router gets SIGTERM
 
 
 class Cut(Table):
-    """A task of a router that is cut short at one of its awaits; it counts in virtual time only."""
+    """The interruption of a router's task at one of its awaits; applies in virtual time only."""
 
-    task: str  # its name, as Python qualifies it
-    nth: Annotated[int, Field(ge=0)]  # await of all tasks of that name, from 1; 0 is none
+    task: str  # the qualified name of its coroutine function
+    nth: Annotated[int, Field(ge=0)]  # number of the await over all tasks of that name, from 1; 0 is none
     how: CutKind
-    woken: bool = False  # when what it waited for has come, rather than as it begins to wait
+    woken: bool = False  # interrupt when the awaited result has arrived, not as the wait begins
 
 
 class FaultKind(StrEnum):
-    """What can go wrong. The operator's page describes each."""
+    """The kinds of faults; the operator documentation describes each."""
 
     VANISH = "vanish"
     STALL = "stall"
@@ -72,12 +72,14 @@
 
 
 class Fault(Table):
-    """One thing that goes wrong: what, whom, when, how long, how hard."""
+    """One fault: its kind, targets, begin, duration and severity."""
 
     kind: FaultKind
-    whom: str = ""  # `cache-3`, `2 caches`, `hall-b`, `router-1`, `all`; empty where the kind has one victim
+    whom: str = ""  # `cache-3`, `2 caches`, `hall-b`, `router-1`, `all`; empty: one random target, if any
     at: Seconds
     lasts: Seconds = 3.0
-    hard: Annotated[float, Field(gt=0.0)] | None = None  # by kind: a share, a factor or a number
-    pause: Seconds = 0.35  # of a stall
-    every: Seconds = 1.5  # between two of them
+    hard: Annotated[float, Field(gt=0.0)] | None = (
+        None  # severity: a share, a factor or a number, depending on the kind
+    )
+    pause: Seconds = 0.35  # duration of each stall
+    every: Seconds = 1.5  # from the begin of one stall to the next
--- a/ironrail/rehearsal/scenario/limits.py
+++ b/ironrail/rehearsal/scenario/limits.py
@@ -1,4 +1,4 @@
-"""The form of what the settings allow a router."""
+"""What the settings of a scenario's routers allow."""
 
 from __future__ import annotations
 
@@ -7,8 +7,8 @@
 
 
 class Limits(Table):
-    """What the settings allow routers beside the rules."""
+    """Permissions and limits in the settings of routers, in addition to the rules."""
 
-    may_cancel: bool = True  # to give up one attempt and go on with others
-    second_copies: bool = True  # to send a request while an earlier attempt of it is out
-    dial: Seconds = 0.25
+    may_cancel: bool = True  # may abandon one attempt in favour of another
+    second_copies: bool = True  # may send a request again while an earlier attempt is open
+    dial: Seconds = 0.25  # connect timeout
--- a/ironrail/rehearsal/scenario/model.py
+++ b/ironrail/rehearsal/scenario/model.py
@@ -1,7 +1,7 @@
-"""The form of a scenario. What a file leaves out is as the defaults here have it: a calm, usual fleet.
+"""The data model of a scenario, whose defaults describe a typical fleet without faults.
 
-A file writes times and sizes with their units. Here times are seconds, sizes bytes, and work is seconds of
-one core of speed 1.
+Times and sizes have units in a file. Here times are in seconds, sizes in bytes, and work in seconds of one
+core of speed 1.
 """
 
 from __future__ import annotations
@@ -17,16 +17,16 @@
 from ironrail.rehearsal.scenario.limits import Limits
 from ironrail.rehearsal.scenario.units import Bytes, Seconds
 
-NAME = r"^[!-+.-<>-~-]{1,64}$"  # of a class or a title: the protocol puts it into a list of names and values
-MAX_SOCKET_RATE = 5000.0  # first tries a second on real sockets: one core of the kit drives no more
-MAX_SOCKET_ROUTERS = 64  # the same, each at a loopback network of its own
-MAX_VIRTUAL_RATE = 50_000.0  # in virtual time, where a second takes as long as it has to
-MAX_VIRTUAL_ROUTERS = 1000  # the same: more than a few GB of memory hold beside 400 caches
-MAX_LENGTH_SECONDS = 3600.0  # seconds: every load loop is bounded
+NAME = r"^[!-+.-<>-~-]{1,64}$"  # of a class or a title: the protocol sends it in a list of names and values
+MAX_SOCKET_RATE = 5000.0  # first tries per second on real sockets: the limit of one core of the kit
+MAX_SOCKET_ROUTERS = 64  # on real sockets, each on a loopback network of its own
+MAX_VIRTUAL_RATE = 50_000.0  # in virtual time, where a second may take longer to compute
+MAX_VIRTUAL_ROUTERS = 1000  # in virtual time: more, beside 400 caches, don't fit into a few GB of memory
+MAX_LENGTH_SECONDS = 3600.0  # bounds every load loop
 
 
 class Repeats(StrEnum):
-    """What repeating a request of a class may do."""
+    """Whether requests of a class may be repeated: always, with a key within a window, or never."""
 
     SAFE = "safe"
     KEYED = "keyed"
@@ -34,131 +34,135 @@
 
 
 class RequestClass(Table):
-    """A class of requests, what its clients want, and what serving it is worth."""
+    """A request class: its share of the load, its deadlines and the worth of serving it."""
 
     name: Annotated[str, Field(pattern=NAME)]
     share: Positive
-    work: Seconds = 0.11  # of one core, on average
-    spread: Annotated[float, Field(ge=0.0, le=3.0)] = 0.8  # standard deviation of the work, as a share of it
-    wanted: Seconds = 0.8  # an answer after this has lost most of its worth
-    give_up: Seconds = 1.5  # no client waits longer, its own retries included
-    worth: Positive = 3.0  # of one request of usual work
-    late_worth: Share = 0.3  # of that, for an answer between the two
+    work: Seconds = 0.11  # mean, on one core
+    spread: Annotated[float, Field(ge=0.0, le=3.0)] = (
+        0.8  # standard deviation of the work, relative to the mean
+    )
+    wanted: Seconds = 0.8  # later answers have lost most of their worth
+    give_up: Seconds = 1.5  # how long a client waits at most, including its retries
+    worth: Positive = 3.0  # of one request of mean work
+    late_worth: Share = 0.3  # fraction of the worth for an answer between `wanted` and `give_up`
     repeats: Repeats = Repeats.SAFE
-    window: Seconds = 2.5  # in which a keyed repeat is dropped
+    window: Seconds = 2.5  # in which servers drop a repeat with the same key
     write: bool = False
 
 
 class Title(Table):
-    """Whose traffic it is. Beyond its share of what the fleet can do it is worth less."""
+    """A title (tenant). Its requests beyond its share of the fleet's capacity are worth less."""
 
     name: Annotated[str, Field(pattern=NAME)]
     share: Positive
-    usage: Positive = 1.0  # of its share that it asks for
+    usage: Positive = 1.0  # load that it requests, relative to its share
 
 
 class Load(Table):
-    """What clients ask for, whatever the routers make of it: an open loop."""
+    """The load of clients, an open loop: it doesn't depend on the routers' answers."""
 
     rate: Annotated[float, Field(gt=0.0, le=MAX_VIRTUAL_RATE)] = (
-        240.0  # first tries a second, all halls together
+        240.0  # first tries per second over all zones
     )
     shape: Annotated[str, Field(pattern="^(steady|bursty|ramp)$")] = "steady"
-    swing: Share = 0.25  # of the rate, up and down, where the shape is not steady
+    swing: Share = 0.25  # relative amplitude of the rate, unless the shape is steady
     keys: Annotated[int, Field(ge=1, le=1_000_000)] = 600
     popularity: Annotated[float, Field(ge=0.0, le=3.0)] = 1.0  # the exponent of Zipf's law
-    value: Bytes = 600  # of a usual value
+    value: Bytes = 600  # typical size of a value
     over_share_worth: Share = 0.2
 
 
 class Clients(Table):
-    """How clients behave."""
+    """The behaviour of clients."""
 
     retries: Annotated[int, Field(ge=0, le=10)] = 3
-    try_share: Annotated[float, Field(gt=0.0, le=1.0)] = 0.58  # of the give-up time that one try waits
+    try_share: Annotated[float, Field(gt=0.0, le=1.0)] = (
+        0.58  # fraction of the give-up time that one try waits
+    )
     wait: Seconds = 0.1  # before a retry
-    honour: Share = 0.5  # of refusals that name a time are followed
-    new_connections: Share = 0.02  # of tries come on a connection of their own, which then stays unused
-    pipelined: Share = 0.0  # of tries are written behind one that waits, on its connection
-    stay: Share = 0.0  # of a router's clients keep to connections that stay open once it was told to end
-    leave: Share = 0.0  # of tries that are safe to repeat are left before the time told is up
+    honour: Share = 0.5  # fraction of refusals whose retry time clients respect
+    new_connections: Share = 0.02  # fraction of tries on a connection of their own, not used again
+    pipelined: Share = 0.0  # fraction of tries sent on a connection while an earlier one waits there
+    stay: Share = 0.0  # fraction of clients that keep using open connections to a router after its SIGTERM
+    leave: Share = 0.0  # fraction of safely repeatable tries that clients abandon before the announced time
 
 
 class Halls(Table):
-    """Where things stand, and how far apart."""
+    """The zones and the latency between them."""
 
     names: list[Annotated[str, Field(pattern="^[a-z0-9-]{1,32}$")]] = ["hall-a", "hall-b", "hall-c"]
     between: Seconds = 0.002  # one way
-    skew: Share = 0.15  # of the traffic that moves from the last hall to the first
+    skew: Share = 0.15  # fraction of the traffic that moves from the last zone to the first
 
 
 class Routers(Table):
-    """The routers under rehearsal: real processes."""
+    """The routers under test."""
 
     count: Annotated[int, Field(ge=1, le=MAX_VIRTUAL_ROUTERS)] = 3
     descriptors: Annotated[int, Field(ge=128, le=4096)] = 384
     memory: Bytes = 96 * 1024**2
-    front_notice: Seconds = 1.5  # for which the front goes on sending clients to a dead one
+    front_notice: Seconds = 1.5  # in which the front still sends clients to a crashed router
 
 
 class Caches(Table):
-    """The grid caches' stand-ins."""
+    """The stand-ins of cache servers."""
 
     count: Count = 8
     cores: Count = 6
     speed: Positive = 1.0
-    uneven: Share = 0.4  # the fastest is so much faster than usual, the slowest so much slower
-    slots: Count = 60  # requests in work at once
-    queue: Annotated[int, Field(ge=0, le=10_000)] = 100  # waiting beyond those
+    uneven: Share = 0.4  # relative deviation from `speed` of the fastest and the slowest cache
+    slots: Count = 60  # requests processed concurrently
+    queue: Annotated[int, Field(ge=0, le=10_000)] = 100  # requests that wait for a slot
     memory: Bytes = 400 * 1024
-    cold_share: Positive = 0.35  # of its capacity when it has just started
-    warm: Seconds = 5.0  # until it has all of it
-    fall_multiple: Positive = 2.5  # of what it can do when cold: more, for `fall_time`, and it stays down
+    cold_share: Positive = 0.35  # fraction of its capacity right after a start
+    warm: Seconds = 5.0  # from a start until full capacity
+    fall_multiple: Positive = 2.5  # of its cold capacity: more load, for `fall_time`, stops it for good
     fall_time: Seconds = 1.0
     connections: Count = 95
-    handshake: Seconds = 0.03  # of its work, for a new connection
-    idle: Seconds = 60.0  # after which it closes a connection
-    idle_told: Seconds | None = None  # what routers are told of that; the truth where left out
+    handshake: Seconds = 0.03  # of work for a new connection
+    idle: Seconds = 60.0  # after which it closes an unused connection
+    idle_told: Seconds | None = None  # the value announced to routers, by default `idle`
 
 
 class Archive(Table):
-    """The one slow source of all grids."""
+    """The origin of all values, which is slow."""
 
     concurrency: Count = 48
-    time: Seconds = 0.12  # of a usual fetch
+    time: Seconds = 0.12  # of a typical fetch
     queue: Annotated[int, Field(ge=0, le=10_000)] = 120
     fall_multiple: Annotated[float, Field(ge=0.0)] = (
-        0.0  # of its capacity, for a second: it stops; 0 is never
+        0.0  # of its capacity: more load, for a second, stops it; 0 is never
     )
     fall_for: Seconds = 3.0
 
 
 class Registry(Table):
-    """Where routers hear of the caches, seconds late."""
-
-    notice: Seconds = 1.2  # of a process that ended or drains
-    silent_notice: Seconds = 4.0  # of a machine that says nothing
-    add: Seconds = 0.6  # of one that came
-    spread: Seconds = 0.3  # between the routers, at the most
-    grace: Seconds = 1.0  # after being told, in which something new may still go out
-    asked: bool = False  # one service for all routers, which have to ask; else an agent beside each tells it
-    rate: Positive = 2.6  # calls a second that it works through, where it is asked
+    """The service discovery of caches, which notifies routers with a delay."""
+
+    notice: Seconds = 1.2  # delay for a process that ended or drains
+    silent_notice: Seconds = 4.0  # delay for a machine that stops responding
+    add: Seconds = 0.6  # delay for a new cache
+    spread: Seconds = 0.3  # maximum difference between routers
+    grace: Seconds = 1.0  # after a notice, in which new attempts may still be sent
+    asked: bool = False  # one service that all routers poll; otherwise an agent beside each notifies it
+    rate: Positive = 2.6  # calls per second that the polled service handles
     patience: Seconds = 2.0  # that a call waits there before it is refused
-    # without a call for so long, news counts as told; four times that after a failure
+    # a router that doesn't call for so long counts as notified; four times that after a failure
     must_ask: Seconds = 10.0
 
 
 class Network(Table):
-    """The network of a run in virtual time; on real sockets it is the machine's own."""
+    """The simulated network of a run in virtual time; real sockets use the machine's network."""
 
     latency: Seconds = 0.0003  # one way
-    jitter: Annotated[float, Field(ge=0.0, le=100.0)] = 0.5  # of the latency, drawn each time, on top
-    bandwidth: Positive = 1e9  # bytes a second on each connection
-    split: Share = 0.05  # of writes that come in two pieces
-    refused: Share = 0.0  # of connects that are reset, whoever listens
-    unheard: Share = 0.0  # of connects that nothing answers
-    window: Bytes = 512 * 1024  # bytes under way and unread on a connection at once
-    destroys: Share = 0.5  # of resets take along what was not yet read
+    jitter: Annotated[float, Field(ge=0.0, le=100.0)] = 0.5  # random addition to each latency, relative to it
+    bandwidth: Positive = 1e9  # bytes per second on each connection
+    split: Share = 0.05  # fraction of writes that arrive in two pieces
+    refused: Share = 0.0  # fraction of connects that are reset even though a server listens
+    unheard: Share = 0.0  # fraction of connects that get no response
+    window: Bytes = 512 * 1024  # maximum of unread bytes in transit on a connection
+    destroys: Share = 0.5  # fraction of resets that discard data not yet read
 
 
 DEFAULT_CLASSES = [
@@ -198,13 +202,13 @@
 
 
 class Scenario(Table):
-    """One rehearsal."""
+    """A complete scenario: components, load, faults and bounds."""
 
     summary: str
     about: str = ""
-    length: Annotated[Seconds, Field(gt=0.0, le=MAX_LENGTH_SECONDS)]  # of the load that counts
+    length: Annotated[Seconds, Field(gt=0.0, le=MAX_LENGTH_SECONDS)]  # of the measured load
     warm_up: Annotated[Seconds, Field(ge=0.0, le=60.0)] = (
-        3.0  # of load before it: the caches fill, nothing counts
+        3.0  # of load before it that fills the caches and is not measured
     )
     tick: Seconds = 0.005
     load: Load = Load()
--- a/ironrail/rehearsal/scenario/names.py
+++ b/ironrail/rehearsal/scenario/names.py
@@ -1,4 +1,4 @@
-"""What the parts of a scenario are called, and in which hall each stands. Pure."""
+"""The names of a scenario's caches and routers, and the zone of each."""
 
 from __future__ import annotations
 
@@ -14,5 +14,5 @@
 
 
 def hall_of(scenario: Scenario, number: int) -> str:
-    """Caches and routers are dealt out over the halls in turn."""
+    """Return the zone of a cache or router by its number; zones are assigned round-robin."""
     return scenario.halls.names[number % len(scenario.halls.names)]
--- a/ironrail/rehearsal/scenario/reader.py
+++ b/ironrail/rehearsal/scenario/reader.py
@@ -1,4 +1,4 @@
-"""Reads a scenario's file. A mistake is told once, with file, line, field and what is wrong."""
+"""Reads scenario files. An error names the file, the line, the field and the problem."""
 
 from __future__ import annotations
 
@@ -14,22 +14,26 @@
 
 HEADER = re.compile(r"\s*(\[\[?)\s*([A-Za-z0-9_.-]+)\s*\]\]?")
 KEY = re.compile(r"\s*([A-Za-z0-9_-]+)\s*=")
-MAX_FILE_BYTES = 1024 * 1024  # bytes: a scenario is written by hand
+MAX_FILE_BYTES = 1024 * 1024  # scenarios are written by hand
 Form = TypeVar("Form", bound=BaseModel)
 
 
 class ScenarioError(ValueError):
-    """A scenario that can't be used; the message names file, line and mistake."""
+    """A scenario that can't be used; the message names the file, the line and the problem."""
 
 
 def shipped() -> dict[str, Path]:
-    """The scenarios that come with the kit, by name."""
+    """Return the paths of the scenarios shipped with the kit, by name."""
     folder = Path(str(resources.files("ironrail.rehearsal"))) / "scenarios"
     return {path.stem: path for path in sorted(folder.glob("*.toml"))}
 
 
 def read_scenario(name: str) -> Scenario:
-    """A shipped scenario by its name, or any by the path of its file."""
+    """Read a shipped scenario by its name, or any scenario by the path of its file.
+
+    Raises:
+        ScenarioError: The scenario does not exist or is invalid.
+    """
     path = shipped().get(name, Path(name))
     if path.suffix != ".toml":
         raise ScenarioError(f"{name}: no scenario of that name ({', '.join(shipped())}) and no .toml file")
@@ -37,7 +41,11 @@
 
 
 def read_text(path: Path) -> str:
-    """The text of a file that is written by hand."""
+    """Read the text of a file.
+
+    Raises:
+        ScenarioError: The file is unreadable, too large or not UTF-8.
+    """
     try:
         data = path.read_bytes()
     except OSError as e:
@@ -52,12 +60,16 @@
 
 
 def parse_scenario(text: str, file: str) -> Scenario:
-    """The scenario that a file holds."""
+    """Parse the text of a scenario file; `file` is its name in errors."""
     return parse(Scenario, text, file)
 
 
 def parse(form: type[Form], text: str, file: str) -> Form:
-    """What a file holds, in its form."""
+    """Parse the text of a TOML file into a model.
+
+    Raises:
+        ScenarioError: The text is not TOML or doesn't fit the model.
+    """
     try:
         table = tomllib.loads(text)
     except tomllib.TOMLDecodeError as e:
@@ -75,7 +87,7 @@
 
 
 def line_of(text: str, where: tuple[str | int, ...]) -> int:
-    """The line that sets a field, or the nearest thing above it that is there; 1 where nothing is."""
+    """Return the line that sets a field, or that of its closest existing parent; 1 if there is none."""
     best, depth = 1, 0
     table: tuple[str | int, ...] = ()
     counts: dict[str, int] = {}
--- a/ironrail/rehearsal/scenario/units.py
+++ b/ironrail/rehearsal/scenario/units.py
@@ -1,4 +1,4 @@
-"""Times and sizes as people write them: a number and its unit."""
+"""Parses and formats times and sizes with units, like `250 ms` and `96 MB`."""
 
 from __future__ import annotations
 
@@ -13,7 +13,11 @@
 
 
 def _read(value: Any, units: dict[str, float] | dict[str, int], what: str, example: str) -> float:
-    """The value in the base unit; a ValueError tells what is wrong with it."""
+    """Return a value in the base unit.
+
+    Raises:
+        ValueError: The text is not a number with a known unit.
+    """
     if isinstance(value, (int, float)) and not isinstance(value, bool):
         raise ValueError(f"a {what} needs its unit, like {example!r}")
     found = QUANTITY.fullmatch(value.strip()) if isinstance(value, str) else None
@@ -24,22 +28,22 @@
 
 
 def read_time(value: Any) -> float:
-    """Seconds of a time like `"250 ms"`."""
+    """Return the seconds of a time like `"250 ms"`."""
     return _read(value, TIMES, "time", "250 ms")
 
 
 def read_size(value: Any) -> int:
-    """Bytes of a size like `"96 MB"`."""
+    """Return the bytes of a size like `"96 MB"`."""
     return int(_read(value, SIZES, "size", "96 MB"))
 
 
 def write_time(seconds: float) -> str:
-    """A time as a file has it, to the microsecond; reading it back gives what was written."""
+    """Format a time for a scenario file, to the microsecond; reading the text gives the same time."""
     return f"{seconds * 1000:.3f}".rstrip("0").rstrip(".") + " ms"
 
 
 def write_size(size: int) -> str:
-    """A size as a file has it."""
+    """Format a size for a scenario file."""
     return f"{size} B"
 
 
--- a/ironrail/rehearsal/settings.py
+++ b/ironrail/rehearsal/settings.py
@@ -1,4 +1,4 @@
-"""The configuration that the platform would give each router of a scenario."""
+"""Builds the configuration that the platform would give each router of a scenario."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 def settings_of(scenario: Scenario, number: int) -> dict[str, Any]:
-    """The settings object of one router."""
+    """Return the settings object of one router."""
     caches = scenario.caches
     return {
         "classes": [_class(kind) for kind in scenario.classes],
@@ -66,7 +66,7 @@
     rows: list[dict[str, Any]],
     operator: str,
 ) -> dict[str, Any]:
-    """The whole configuration of one router, as the deployment page has it."""
+    """Return the complete configuration of one router, in the documented format."""
     return {
         "name": name,
         "listen": listen,
--- a/ironrail/rehearsal/verdicts.py
+++ b/ironrail/rehearsal/verdicts.py
@@ -1,4 +1,4 @@
-"""What a run had to keep, and whether it did. Pure."""
+"""Compares the measurements of a run with the scenario's bounds. No I/O."""
 
 from __future__ import annotations
 
@@ -14,20 +14,28 @@
 
 @dataclass(frozen=True, slots=True)
 class Verdict:
-    """One bound, and what was measured."""
+    """One bound and the measured value."""
 
     name: str
     kept: bool
     bound: float
     measured: float
-    at_least: bool = False  # the bound is a least, or else a most
+    at_least: bool = False  # whether the bound is a minimum; otherwise it is a maximum
     note: str = ""
 
 
 def judge(
     scenario: Scenario, service: Service, record: Record, broken: list[Violation], connections: float
 ) -> list[Verdict]:
-    """All verdicts of a run, rules first. `connections` is the mean to one cache from all routers."""
+    """Return all verdicts of a run, rules first.
+
+    Args:
+        scenario: Holds the bounds.
+        service: The service of the run.
+        record: What the stand-ins observed.
+        broken: The violations of rules.
+        connections: Mean number of connections to one cache from all routers.
+    """
     counts = Counter(violation.rule for violation in broken)
     verdicts = [Verdict(f"rule {r}", not counts[r], 0, counts[r], note=text) for r, text in RULES.items()]
     verdicts += _routers(scenario, record.routers)
@@ -56,7 +64,7 @@
     yield Verdict(
         "answers kept back", service.kept_back <= bounds.kept_back, bounds.kept_back, service.kept_back
     )
-    # nothing in a router's settings forbids to name one
+    # a router could always give a retry time, whatever its settings
     untimed = service.answers.untimed
     yield Verdict("refusals that name no time", untimed <= bounds.untimed, bounds.untimed, untimed)
 
