--- a/benchmarks/accord_service.py
+++ b/benchmarks/accord_service.py
@@ -62,7 +62,7 @@
             self.taken += status == 202
 
     async def _call(self, router: Any, head: str, body: str = "") -> str:
-        reader, writer = await asyncio.open_connection(*router.door)
+        reader, writer = await asyncio.open_connection(*router.admin_endpoint)
         writer.write(f"{head} HTTP/1.1\r\nHost: x\r\nContent-Length: {len(body)}\r\n\r\n{body}".encode())
         answer = (await reader.read()).decode()
         writer.close()
--- a/ironrail/rehearsal/ground.py
+++ b/ironrail/rehearsal/ground.py
@@ -32,7 +32,7 @@
     name: str
     facts: RouterFacts
     address: tuple[str, int]
-    door: tuple[str, int]  # the admin endpoint
+    admin_endpoint: tuple[str, int]
 
     @property
     def running(self) -> bool: ...
@@ -128,7 +128,7 @@
 async def is_ready_to_take_over(router: Router) -> bool:
     """Wait until a replacement process reports ready; return whether it did so in time."""
     return await _answers_in_time(
-        router, router.door, READY_REQUEST, b"HTTP/1.1 200 ", TAKEOVER_TIMEOUT_SECONDS
+        router, router.admin_endpoint, READY_REQUEST, b"HTTP/1.1 200 ", TAKEOVER_TIMEOUT_SECONDS
     )
 
 
@@ -137,7 +137,9 @@
 
     A process that answers has installed its signal handlers.
     """
-    return await _answers_in_time(router, router.door, READY_REQUEST, b"HTTP/1.1 ", READY_TIMEOUT_SECONDS)
+    return await _answers_in_time(
+        router, router.admin_endpoint, READY_REQUEST, b"HTTP/1.1 ", READY_TIMEOUT_SECONDS
+    )
 
 
 async def _answers_in_time(
--- a/ironrail/rehearsal/links/accord_rig.py
+++ b/ironrail/rehearsal/links/accord_rig.py
@@ -56,7 +56,7 @@
         self._begun: dict[int, LinkFault] = {}
 
     def door_of(self, router: str) -> tuple[str, int]:
-        return self._routers[router].door
+        return self._routers[router].admin_endpoint
 
     def log_of(self, router: str) -> str:
         """What its processes said so far, the end of it if it is long."""
--- a/ironrail/rehearsal/links/observer.py
+++ b/ironrail/rehearsal/links/observer.py
@@ -48,7 +48,7 @@
         at, status, body = self._clock(), 0, None
         try:
             async with asyncio.timeout(self._every):
-                status, body = await self._call(router.door)
+                status, body = await self._call(router.admin_endpoint)
         except (OSError, TimeoutError, ValueError, asyncio.IncompleteReadError):
             status, body = 0, None
         seen = Seen(at, router.name, self._clock() - at, status, body)
--- a/ironrail/rehearsal/routers.py
+++ b/ironrail/rehearsal/routers.py
@@ -59,7 +59,7 @@
         self.name, self._command, self._config = name, command, config
         self._folder, self.facts, self._on_exit = folder, facts, on_exit
         self.address = read_address(config["listen"])
-        self.door = read_address(config["operator"])
+        self.admin_endpoint = read_address(config["operator"])
         self._process: asyncio.subprocess.Process | None = None
         self._usage: psutil.Process | None = None
         self._watcher: asyncio.Task[None] | None = None
--- a/ironrail/rehearsal/soak/command.py
+++ b/ironrail/rehearsal/soak/command.py
@@ -1,4 +1,4 @@
-"""Plays seeds of the soak test and prints what each showed."""
+"""Plays seeds of the soak test and prints the findings of each."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SoakResult:
-    """What one seed showed."""
+    """The findings of one seed."""
 
     seed: int
     broken_rules: tuple[str, ...]  # each with an example
@@ -27,23 +27,23 @@
     over_limits: tuple[str, ...]
     violations: dict[str, int]  # of invariants, by name, over all routers
     hold_ups: int
-    served: float  # share of the worth
-    no_verdict: str  # why the run tells nothing, if so
+    served: float  # fraction of the requested worth
+    no_verdict: str  # why the run has no verdict, empty if it has one
 
     @property
     def passed(self) -> bool:
-        """Whether nothing was found."""
+        """Whether the run has a verdict and no findings."""
         return not (self.findings or self.no_verdict)
 
     @property
     def findings(self) -> list[str]:
-        """All that was found, a line each."""
+        """All findings, one line each."""
         violations = [f"violations of {name}: {count}" for name, count in self.violations.items()]
         return [*self.broken_rules, *self.crashes, *self.over_limits, *violations]
 
     @property
     def verdict(self) -> str:
-        """One word for what the seed showed."""
+        """The verdict as printed."""
         if self.no_verdict:
             return "NO VERDICT"
         return "FAILED" if self.findings else "ok"
@@ -93,7 +93,7 @@
 @click.option("--routers", type=click.IntRange(1, 64), default=ROUTER_PROCESSES, show_default=True)
 @click.option("--router", default=shlex.join(OWN_ROUTER), help="The command that starts a router.")
 def main(seeds: str, routers: int, router: str) -> None:
-    """Play drawn worlds with real router processes and print what each showed."""
+    """Play random scenarios with real router processes and print the findings of each."""
     results = []
     for seed in read_seeds(seeds):
         result = asyncio.run(soak(seed, routers, tuple(shlex.split(router))))
--- a/ironrail/rehearsal/soak/troubles.py
+++ b/ironrail/rehearsal/soak/extra_faults.py
@@ -1,4 +1,4 @@
-"""What a soak adds to a scenario's faults: signals in series, and crowds of idle clients. Pure."""
+"""Draws the faults that a soak adds to a scenario's: further SIGTERMs and idle connections. No I/O."""
 
 from __future__ import annotations
 
@@ -10,27 +10,27 @@
 from ironrail.rehearsal.scenario.names import router_names
 from ironrail.rehearsal.soak.world import RESTARTS_UNTIL_SECONDS
 
-SECOND_TERM_SHARE = 0.5  # of restarts
-MAX_SECOND_TERM_SECONDS = 1.2  # after the first: later few requests are left
-EARLY_TERM_SHARE = 0.7  # of restarts that leave time for one
-EARLY_TERM_UNTIL_SECONDS = 6.0  # of restarts: a second shutdown has to fit in
-MAX_EARLY_TERM_SECONDS = 0.5  # after the process started, in which it may or may not be ready
-CROWD_SHARE = 0.5  # of worlds
-CROWDS = (1, 2)  # routers of such a world, at the fewest and at the most
-CROWD_SECONDS = (3.0, 6.0)
+SECOND_TERM_FRACTION = 0.5  # of restarts
+MAX_SECOND_TERM_SECONDS = 1.2  # after the first; later only few requests are still open
+EARLY_TERM_FRACTION = 0.7  # of restarts before `EARLY_TERM_UNTIL_SECONDS`
+EARLY_TERM_UNTIL_SECONDS = 6.0  # latest restart, so that a second shutdown fits into the run
+MAX_EARLY_TERM_SECONDS = 0.5  # after the start of the process, before or after it is ready
+IDLE_LOAD_FRACTION = 0.5  # of scenarios
+IDLE_LOAD_COUNT = (1, 2)  # minimum and maximum number of routers affected in such a scenario
+IDLE_LOAD_SECONDS = (3.0, 6.0)
 
 
 @dataclass(frozen=True, slots=True)
 class SecondTerm:
-    """A SIGTERM to a router that has been told to end already."""
+    """A further SIGTERM to a router that is already shutting down."""
 
     at: float  # seconds from the start of the load
     router: str
 
 
 @dataclass(frozen=True, slots=True)
-class Crowd:
-    """Idle clients that take all the descriptors of a router."""
+class IdleLoad:
+    """Idle clients that use up all descriptors of a router."""
 
     at: float  # seconds from the start of the load
     router: str
@@ -39,18 +39,20 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Troubles:
-    """All of one seed."""
+class ExtraFaults:
+    """All extra faults of one seed."""
 
     second_terms: tuple[SecondTerm, ...]
-    early_terms: dict[str, float]  # seconds after its restart in which a router is told to end again
-    crowds: tuple[Crowd, ...]
+    early_terms: dict[str, float]  # seconds from a router's restart to the next SIGTERM
+    idle_loads: tuple[IdleLoad, ...]
 
 
-def draw_troubles(seed: int, scenario: Scenario) -> Troubles:
-    """Draw the troubles of a seed; a second call returns equal ones."""
-    return Troubles(
-        _draw_second_terms(seed, scenario), _draw_early_terms(seed, scenario), _draw_crowds(seed, scenario)
+def draw_extra_faults(seed: int, scenario: Scenario) -> ExtraFaults:
+    """Draw the extra faults of a seed; equal arguments give equal results."""
+    return ExtraFaults(
+        _draw_second_terms(seed, scenario),
+        _draw_early_terms(seed, scenario),
+        _draw_idle_loads(seed, scenario),
     )
 
 
@@ -58,7 +60,7 @@
     draws = stream(seed, "soak.second_terms")
     found = []
     for fault in scenario.faults:
-        if fault.kind is FaultKind.ROUTER_RESTART and draws.random() < SECOND_TERM_SHARE:
+        if fault.kind is FaultKind.ROUTER_RESTART and draws.random() < SECOND_TERM_FRACTION:
             after = draws.uniform(0.0, MAX_SECOND_TERM_SECONDS)
             found.append(SecondTerm(fault.at + after, fault.whom))
     return tuple(sorted(found, key=lambda term: term.at))
@@ -71,23 +73,23 @@
         for fault in scenario.faults
         if fault.kind is FaultKind.ROUTER_RESTART
         and fault.at < EARLY_TERM_UNTIL_SECONDS
-        and draws.random() < EARLY_TERM_SHARE
+        and draws.random() < EARLY_TERM_FRACTION
     }
 
 
-def _draw_crowds(seed: int, scenario: Scenario) -> tuple[Crowd, ...]:
-    """Draw crowds, two of which may have discovery out meanwhile by a fault of their scenario."""
+def _draw_idle_loads(seed: int, scenario: Scenario) -> tuple[IdleLoad, ...]:
+    """Draw idle loads; some may coincide with an outage of discovery among the scenario's faults."""
     draws = stream(seed, "soak.crowds")
-    if draws.random() >= CROWD_SHARE:
+    if draws.random() >= IDLE_LOAD_FRACTION:
         return ()
     names = router_names(scenario)
-    chosen = draws.sample(names, min(len(names), draws.randint(*CROWDS)))
+    chosen = draws.sample(names, min(len(names), draws.randint(*IDLE_LOAD_COUNT)))
     return tuple(
-        Crowd(
+        IdleLoad(
             draws.uniform(0.5, RESTARTS_UNTIL_SECONDS),
             router,
             scenario.routers.descriptors,
-            draws.uniform(*CROWD_SECONDS),
+            draws.uniform(*IDLE_LOAD_SECONDS),
         )
         for router in chosen
     )
--- a/ironrail/rehearsal/soak/crowd.py
+++ b/ironrail/rehearsal/soak/idle_connections.py
@@ -1,4 +1,4 @@
-"""Clients that connect to a router and send nothing."""
+"""Idle clients, which connect to a router and send nothing."""
 
 from __future__ import annotations
 
@@ -6,31 +6,31 @@
 import contextlib
 from typing import cast
 
-OPENED_AT_ONCE = 8
+MAX_CONCURRENT_OPENS = 8
 OPEN_INTERVAL_SECONDS = 0.05
 CONNECT_TIMEOUT_SECONDS = 1.0
 
 
 class IdleConnection(asyncio.Protocol):
-    """One connection that is open and silent."""
+    """One open connection that sends nothing."""
 
     transport: asyncio.Transport
 
-    def __init__(self, crowd: IdleCrowd) -> None:
-        self._crowd = crowd
+    def __init__(self, pool: IdleConnectionPool) -> None:
+        self._pool = pool
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Join the crowd."""
+        """Add the connection to the pool."""
         self.transport = cast(asyncio.Transport, transport)
-        self._crowd.connections.add(self)
+        self._pool.connections.add(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Leave the crowd, which opens another one for it."""
-        self._crowd.connections.discard(self)
+        """Remove the connection from the pool, which opens a replacement."""
+        self._pool.connections.discard(self)
 
 
-class IdleCrowd:
-    """Keeps so many idle connections to one router open; opens others for those that it closes."""
+class IdleConnectionPool:
+    """Keeps `size` idle connections to one router open and replaces those that the router closes."""
 
     def __init__(self, address: tuple[str, int], size: int) -> None:
         self.connections: set[IdleConnection] = set()
@@ -38,13 +38,15 @@
         self._size = size
 
     async def stay(self, seconds: float) -> None:
-        """Crowd the router for so long, then leave."""
+        """Keep the connections open for some time, then close them."""
         try:
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(seconds):
                     while True:
                         missing = self._size - len(self.connections)
-                        await asyncio.gather(*(self._open() for _ in range(min(missing, OPENED_AT_ONCE))))
+                        await asyncio.gather(
+                            *(self._open() for _ in range(min(missing, MAX_CONCURRENT_OPENS)))
+                        )
                         await asyncio.sleep(OPEN_INTERVAL_SECONDS)
         finally:
             for connection in list(self.connections):
--- a/ironrail/rehearsal/soak/rehearsal.py
+++ b/ironrail/rehearsal/soak/rehearsal.py
@@ -1,4 +1,4 @@
-"""A rehearsal with the soak's own troubles, whose routers are asked for their counters at the end."""
+"""A rehearsal with the soak's extra faults, which reads the routers' violation counters at its end."""
 
 from __future__ import annotations
 
@@ -13,36 +13,36 @@
 from ironrail.rehearsal.run import Rehearsal
 from ironrail.rehearsal.scenario.model import Scenario
 from ironrail.rehearsal.scenario.names import router_names
-from ironrail.rehearsal.soak.crowd import IdleCrowd
-from ironrail.rehearsal.soak.troubles import Crowd, SecondTerm, draw_troubles
+from ironrail.rehearsal.soak.extra_faults import IdleLoad, SecondTerm, draw_extra_faults
+from ironrail.rehearsal.soak.idle_connections import IdleConnectionPool
 from ironrail.rehearsal.soak.world import kill_after
 
 MAX_HOLD_UP_SECONDS = 0.15
-BETWEEN_HOLD_UPS_SECONDS = 0.25  # on average, over all routers
+BETWEEN_HOLD_UPS_SECONDS = 0.25  # mean, over all routers
 ADMIN_TIMEOUT_SECONDS = 2.0
-STAYING_SHARE = 0.5  # of all tries go on on open connections to routers that were told to end
+STAYING_FRACTION = 0.5  # of all tries that keep using open connections to routers after their SIGTERM
 
 
 class SoakRehearsal(Rehearsal):
-    """A rehearsal whose routers are held up, signalled in series and crowded."""
+    """A rehearsal whose routers are suspended, signalled several times and filled with idle connections."""
 
     def __init__(self, scenario: Scenario, seed: int, command: tuple[str, ...] = OWN_ROUTER) -> None:
         super().__init__(scenario, seed, ground=RealGround(command), at_rest=self._collect)
         self._hold_up_draws = stream(seed, "soak.hold_ups")
-        self._troubles = draw_troubles(seed, scenario)
-        self._early_terms = dict(self._troubles.early_terms)
+        self._extra_faults = draw_extra_faults(seed, scenario)
+        self._early_terms = dict(self._extra_faults.early_terms)
         self._started_again: set[str] = set()
         self._hold_ups: asyncio.Task[None] | None = None
         self.hold_ups = 0
         self.violations: dict[str, int] = {}
 
     async def _load(self) -> None:
-        self._clients.staying_share = STAYING_SHARE
+        self._clients.staying_share = STAYING_FRACTION
         self._hold_ups = self._spawn(self._hold_up_routers())
-        for term in self._troubles.second_terms:
+        for term in self._extra_faults.second_terms:
             self._spawn(self._send_second_term(term))
-        for crowd in self._troubles.crowds:
-            self._spawn(self._crowd(crowd))
+        for idle_load in self._extra_faults.idle_loads:
+            self._spawn(self._hold_idle_connections(idle_load))
         await super()._load()
 
     async def _hold_up_routers(self) -> None:
@@ -55,7 +55,7 @@
                 router.signal(signal.SIGSTOP, asked=False)
                 try:
                     await asyncio.sleep(draws.uniform(0.0, MAX_HOLD_UP_SECONDS))
-                finally:  # also where the run ends meanwhile: it could answer nobody
+                finally:  # also if the run ends meanwhile: a suspended router can't answer
                     router.signal(signal.SIGCONT, asked=False)
 
     async def _send_second_term(self, term: SecondTerm) -> None:
@@ -63,12 +63,14 @@
         if term.router not in self._started_again:
             self._routers[term.router].signal(signal.SIGTERM)
 
-    async def _crowd(self, crowd: Crowd) -> None:
-        await asyncio.sleep(max(0.0, crowd.at - self._world.now()))
-        await IdleCrowd(self._routers[crowd.router].address, crowd.connections).stay(crowd.seconds)
+    async def _hold_idle_connections(self, idle_load: IdleLoad) -> None:
+        await asyncio.sleep(max(0.0, idle_load.at - self._world.now()))
+        await IdleConnectionPool(self._routers[idle_load.router].address, idle_load.connections).stay(
+            idle_load.seconds
+        )
 
     async def _start_again(self, router: Router) -> None:
-        """Start a router; some are told to end once more before they are ready, and start again."""
+        """Start a router; some get another SIGTERM before they are ready, and are started once more."""
         self._started_again.add(router.name)
         after = self._early_terms.get(router.name)
         if after is not None:
@@ -82,34 +84,32 @@
                 router.facts.crashed = "it did not end on a SIGTERM right after its start"
             await router.kill()
             del self._early_terms[router.name]
-            self._record_initial_list(
-                router.name
-            )  # what counts as told does so from this process's first moment
+            self._record_initial_list(router.name)  # notices count from the start of this process
         await super()._start_again(router)
 
     def _on_exit(self, router: Router, end: Exit) -> None:
         ended_early = router.name in self._early_terms and end.code == -signal.SIGTERM
-        if not (end.asked and ended_early):  # a process that has no handlers yet ends by the signal
+        if not (end.asked and ended_early):  # a process without signal handlers yet is ended by the signal
             super()._on_exit(router, end)
 
     async def _collect(self) -> None:
-        """Read the counters of all routers, none of which is held up any more."""
+        """Stop the suspensions and read the counters of all routers."""
         if self._hold_ups is not None:
             self._hold_ups.cancel()
             await asyncio.wait([self._hold_ups])
         for router in self._routers.values():
             if router.running:
-                for name, value in await asyncio.to_thread(read_violations, router.door):
+                for name, value in await asyncio.to_thread(read_violations, router.admin_endpoint):
                     self.violations[name] = self.violations.get(name, 0) + value
 
 
-def read_violations(door: tuple[str, int]) -> list[tuple[str, int]]:
-    """Return the counters of violations at a router's admin endpoint that are not 0.
+def read_violations(admin_endpoint: tuple[str, int]) -> list[tuple[str, int]]:
+    """Return the non-zero violation counters from a router's admin endpoint.
 
     Raises:
         OSError: The endpoint does not answer.
     """
-    url = f"http://{door[0]}:{door[1]}/-/metrics"
+    url = f"http://{admin_endpoint[0]}:{admin_endpoint[1]}/-/metrics"
     with urllib.request.urlopen(url, timeout=ADMIN_TIMEOUT_SECONDS) as answer:
         lines = answer.read().decode().splitlines()
     found = []
--- a/ironrail/rehearsal/soak/world.py
+++ b/ironrail/rehearsal/soak/world.py
@@ -1,4 +1,4 @@
-"""The drawn world of a soak: load, deadlines, and the faults that a scenario can hold. Pure."""
+"""Draws the scenario of a soak: load, deadlines and faults. No I/O."""
 
 from __future__ import annotations
 
@@ -15,24 +15,24 @@
 ROUTER_PROCESSES = 12
 CACHE_SERVERS = 10
 LENGTH_SECONDS = 14.0
-QUIET_END_SECONDS = 4.0  # without a new fault, in which service has to come back
-FAULT_COUNT = (8, 14)  # at the fewest and at the most, beside restarts
-RESTART_SHARES = (0.25, 0.5)  # of the routers, that are told to end
+QUIET_END_SECONDS = 4.0  # without a new fault, in which service has to recover
+FAULT_COUNT = (8, 14)  # minimum and maximum, in addition to restarts
+RESTART_FRACTIONS = (0.25, 0.5)  # minimum and maximum fraction of routers that are restarted
 RESTARTS_UNTIL_SECONDS = 9.0
-DEADLINE_SCALES = (1.0, 0.6, 0.3)  # of the kit's usual deadlines
-WINDOW_SCALES = (1.0, 0.4, 0.16)  # of the kit's usual windows for repeated writes
-CLASS_SHARES = {"grid-read": 0.8, "prize-entry": 0.08, "hint-spend": 0.12}  # more writes than usual
-NEW_CONNECTION_SHARES = (0.02, 0.3)  # of tries that come on a connection of their own
-ARCHIVE_SHARE = 0.25  # of the faults that may hit the archive as well as a cache
+DEADLINE_SCALES = (1.0, 0.6, 0.3)  # of the kit's default deadlines
+WINDOW_SCALES = (1.0, 0.4, 0.16)  # of the kit's default windows for repeated writes
+CLASS_SHARES = {"grid-read": 0.8, "prize-entry": 0.08, "hint-spend": 0.12}  # more writes than by default
+NEW_CONNECTION_FRACTIONS = (0.02, 0.3)  # of tries on a connection of their own
+ARCHIVE_FRACTION = 0.25  # of the faults that may hit the archive as well as a cache
 # SIGKILL comes no sooner after SIGTERM than the longest deadline, 3 s at most, and this much more
 KILL_GRACE_SECONDS = 0.7
 MAX_DEADLINE_SECONDS = 3.0
-RELOAD_SERIES_SHARE = 0.5  # of worlds in which discovery moves two or three times in a row
-RELOAD_GAPS_SECONDS = (0.01, 0.045)  # the next one finds the router about to call discovery
+RELOAD_SERIES_FRACTION = 0.5  # of scenarios in which discovery moves two or three times in a row
+RELOAD_GAPS_SECONDS = (0.01, 0.045)  # the next reload comes as the router is about to call discovery
 RELOADS_UNTIL_SECONDS = 4.0
 DRAIN_AFTER_RELOAD_SECONDS = (0.5, 1.5)
-DRAIN_SECONDS = 8.0  # what is told elsewhere counts 4 s after a move, and a drain's grace is 1 s
-RELOAD_BEFORE_TERM_SHARE = 0.3  # of restarts
+DRAIN_SECONDS = 8.0  # longer than 4 s, when notices count after a move, and 1 s of a drain's grace
+RELOAD_BEFORE_TERM_FRACTION = 0.3  # of restarts
 KINDS = (
     FaultKind.VANISH,
     FaultKind.STALL,
@@ -67,7 +67,7 @@
 
 
 def draw_world(seed: int, routers: int = ROUTER_PROCESSES) -> Scenario:
-    """Draw the world of a seed; a second call returns an equal one."""
+    """Draw the scenario of a seed; equal arguments give equal scenarios."""
     draws = stream(seed, "soak.world")
     table: Row = {
         "summary": f"soak, seed {seed}",
@@ -79,7 +79,7 @@
             "stay": 1.0,
             "leave": 0.02,
             "pipelined": 0.05,
-            "new_connections": draws.choice(NEW_CONNECTION_SHARES),
+            "new_connections": draws.choice(NEW_CONNECTION_FRACTIONS),
         },
         "routers": {"count": routers, "descriptors": 256},
         "caches": {"count": CACHE_SERVERS, "warm": "3 s"},
@@ -96,7 +96,7 @@
 
 
 def _draw_classes(draws: random.Random) -> list[Row]:
-    """Return the usual classes, with their deadlines and windows scaled."""
+    """Return the default classes with scaled deadlines and windows."""
     deadline_scale = draws.choice(DEADLINE_SCALES)
     scales = {
         "work": 1.0,
@@ -114,21 +114,21 @@
 
 
 def _draw_restarts(draws: random.Random, scenario: Scenario) -> list[Row]:
-    """Draw routers that are told to end, each once; discovery moves right before some of them are."""
+    """Draw the routers to restart, each once; discovery moves right before some of the restarts."""
     names = router_names(scenario)
-    count = max(1, round(len(names) * draws.uniform(*RESTART_SHARES)))
+    count = max(1, round(len(names) * draws.uniform(*RESTART_FRACTIONS)))
     faults = []
     for name in draws.sample(names, count):
         at = draws.uniform(0.5, RESTARTS_UNTIL_SECONDS)
         faults.append(_fault(FaultKind.ROUTER_RESTART, at, kill_after(scenario), whom=name))
-        if draws.random() < RELOAD_BEFORE_TERM_SHARE:
+        if draws.random() < RELOAD_BEFORE_TERM_FRACTION:
             faults.append(_fault(FaultKind.LIST_MOVES, at - draws.uniform(0.0, 0.1), 0.1))
     return faults
 
 
 def _draw_reload_series(draws: random.Random, scenario: Scenario) -> list[Row]:
-    """Draw two or three new configurations in quick succession, and a drain that the last one tells of."""
-    if draws.random() >= RELOAD_SERIES_SHARE:
+    """Draw two or three reloads in quick succession, and a drain announced at the last address."""
+    if draws.random() >= RELOAD_SERIES_FRACTION:
         return []
     at = draws.uniform(0.5, RELOADS_UNTIL_SECONDS)
     faults = []
@@ -141,14 +141,14 @@
 
 
 def _draw_fault(draws: random.Random, scenario: Scenario, restarted: set[str]) -> list[Row]:
-    """Draw one fault of the kit; none where its router has another plan already."""
+    """Draw one fault of the kit; none if its router is already restarted by another fault."""
     kind = draws.choice(KINDS)
     last = LENGTH_SECONDS - QUIET_END_SECONDS
     at = draws.uniform(0.2, last - 1.0)
     fault = _fault(kind, at, draws.uniform(0.3, last - at))
     if TARGET_ROLES[kind] is CACHES:
         fault["whom"] = draws.choice(cache_names(scenario))
-        if kind in ARCHIVE_TARGET_KINDS and draws.random() < ARCHIVE_SHARE:
+        if kind in ARCHIVE_TARGET_KINDS and draws.random() < ARCHIVE_FRACTION:
             fault["whom"] = ARCHIVE
     elif TARGET_ROLES[kind] is ROUTERS:
         fault["whom"] = draws.choice(router_names(scenario))
--- a/ironrail/rehearsal/virtual/ground.py
+++ b/ironrail/rehearsal/virtual/ground.py
@@ -102,7 +102,7 @@
     ) -> None:
         self._ground, self.name, self.facts, self._on_exit = ground, name, facts, on_exit
         self._table = orjson.dumps(config)
-        self.address, self.door = read_address(config["listen"]), read_address(config["operator"])
+        self.address, self.admin_endpoint = read_address(config["listen"]), read_address(config["operator"])
         self._asked = False
         self._starts = 0
         self.process: Process | None = None
--- a/tests/rehearsal/links/readers_stage.py
+++ b/tests/rehearsal/links/readers_stage.py
@@ -126,7 +126,7 @@
                 self.rows = said.body["rows"]
 
     async def _found(self) -> None:
-        reader, writer = await asyncio.open_connection(*self._routers["router-1"].door)
+        reader, writer = await asyncio.open_connection(*self._routers["router-1"].admin_endpoint)
         body = b"epoch = 1\nversion = 1\n"
         writer.write(
             b"POST /-/policy/found HTTP/1.1\r\nHost: x\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body)
--- a/tests/rehearsal/test_soak.py
+++ b/tests/rehearsal/test_soak.py
@@ -20,9 +20,9 @@
 from ironrail.rehearsal.scenario.model import Scenario
 from ironrail.rehearsal.scenario.names import router_names
 from ironrail.rehearsal.soak.command import SoakResult, read_seeds, soak
-from ironrail.rehearsal.soak.crowd import IdleCrowd
+from ironrail.rehearsal.soak.extra_faults import draw_extra_faults
+from ironrail.rehearsal.soak.idle_connections import IdleConnectionPool
 from ironrail.rehearsal.soak.rehearsal import SoakRehearsal, read_violations
-from ironrail.rehearsal.soak.troubles import draw_troubles
 from ironrail.rehearsal.soak.world import draw_world, kill_after
 from tests.machine_lock import play_until_verdict
 
@@ -35,7 +35,7 @@
     for seed in range(20):
         world = draw_world(seed)
         assert world == draw_world(seed)
-        assert draw_troubles(seed, world) == draw_troubles(seed, world)
+        assert draw_extra_faults(seed, world) == draw_extra_faults(seed, world)
         assert len(world.faults) >= 4 and len(router_names(world)) == 12
         ordered = sorted(world.faults, key=lambda fault: fault.at)
         assert any(b.at < a.at + a.lasts for a, b in zip(ordered, ordered[1:], strict=False))
@@ -61,9 +61,9 @@
 def test_all_troubles_are_drawn_within_a_few_seeds() -> None:
     """Guards against a trouble that is written and never played."""
     worlds = [draw_world(seed) for seed in range(10)]
-    troubles = [draw_troubles(seed, world) for seed, world in enumerate(worlds)]
+    troubles = [draw_extra_faults(seed, world) for seed, world in enumerate(worlds)]
     assert any(found.second_terms for found in troubles) and any(found.early_terms for found in troubles)
-    assert any(found.crowds for found in troubles) and any(not found.crowds for found in troubles)
+    assert any(found.idle_loads for found in troubles) and any(not found.idle_loads for found in troubles)
     windows = {kind.window for world in worlds for kind in world.classes}
     assert min(windows) < 0.5 and max(windows) == 2.5
     series, silences = 0, 0
@@ -74,7 +74,7 @@
             if fault.kind is FaultKind.LIST_SILENT:
                 ends = fault.at + fault.lasts
                 silences += any(
-                    crowd.at < ends and fault.at < crowd.at + crowd.seconds for crowd in found.crowds
+                    crowd.at < ends and fault.at < crowd.at + crowd.seconds for crowd in found.idle_loads
                 )
     assert series >= 2 and silences >= 1
 
@@ -83,7 +83,7 @@
     async def play() -> tuple[int, int]:
         accepted: list[asyncio.StreamWriter] = []
         server = await asyncio.start_server(lambda _, writer: accepted.append(writer), "127.0.0.1", 0)
-        crowd = IdleCrowd(server.sockets[0].getsockname()[:2], 12)
+        crowd = IdleConnectionPool(server.sockets[0].getsockname()[:2], 12)
         staying = asyncio.create_task(crowd.stay(5.0))
         while len(accepted) < 12:
             await asyncio.sleep(0.01)
@@ -143,7 +143,7 @@
                 """Nothing: it would stand between the lines of the test run."""
 
         self.server = HTTPServer(("127.0.0.1", 0), Metrics)
-        self.door = ("127.0.0.1", self.server.server_port)
+        self.admin_endpoint = ("127.0.0.1", self.server.server_port)
         threading.Thread(target=self.server.serve_forever, daemon=True).start()
 
     def signal(self, number: signal.Signals, asked: bool = True) -> None:
