--- a/ironrail/rehearsal/__init__.py
+++ b/ironrail/rehearsal/__init__.py
@@ -1,4 +1,4 @@
-"""The rehearsal kit: stand-ins on loopback, faults by plan, and service as the users count it.
+"""The rehearsal kit: stand-ins on loopback, planned faults, and service as clients experience it.
 
 The kit imports the daemon where it starts one; the daemon never imports the kit.
 """
--- a/ironrail/rehearse.py
+++ b/ironrail/rehearse.py
@@ -1,4 +1,4 @@
-"""`ironrail rehearse`: it stands above the kit, which plays, and recorded load, which it may play."""
+"""`ironrail rehearse`: plays a scenario with the kit, on drawn or recorded load."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 from ironrail.rehearsal.scenario.model import MAX_VIRTUAL_ROUTERS, Repeats
 from ironrail.rehearsal.virtual.play import play_virtual
 
-TRACE_LINES = 200_000  # of the events that a trace keeps
+TRACE_LINES = 200_000  # events that the event file holds at most
 
 
 def _play_virtual(
@@ -47,10 +47,10 @@
     events: str | None,
     schedule: list[Planned] | None,
 ) -> Result:
-    """In virtual time, with the last events in a file of their own."""
+    """Play in virtual time and write the last events to a file."""
     kept = TRACE_LINES if events else 0
-    told = Printer(console, scenario)
-    played = play_virtual(scenario, seed, progress=told, kept_lines=kept, schedule=schedule)
+    printer = Printer(console, scenario)
+    played = play_virtual(scenario, seed, progress=printer, kept_lines=kept, schedule=schedule)
     if events:
         Path(events).write_text("\n".join(played.lines) + "\n")
     return played.result
@@ -59,7 +59,7 @@
 def read_load(
     path: Path, scenario: Scenario, speed: float, rate: float, seed: int
 ) -> tuple[Scenario, list[Planned]]:
-    """What a trace asks for, and the scenario with its length, rate and titles."""
+    """Read a trace; return the scenario with the trace's length, rate and titles, and the schedule."""
     window = max((c.window for c in scenario.classes if c.repeats is Repeats.KEYED), default=0.0)
     with Trace(path) as trace:
         entries = list(scaled(trace.entries(), speed, rate, window, seed))
--- a/tests/rehearsal/test_client_days.py
+++ b/tests/rehearsal/test_client_days.py
@@ -1,4 +1,4 @@
-"""Clients that stay with a router that ends, write ahead, or leave."""
+"""Clients that keep using a router during its shutdown, pipeline requests, or disconnect early."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 
 def sent_after(played: Virtual) -> list[float]:
-    """Seconds from SIGTERM to what router-1 was sent before it was ready again."""
+    """Return the seconds from SIGTERM to each try sent to router-1 before it was ready again."""
     sent = [t.sent_at - 1.0 for t in played.result.record.tries.values() if t.router == "router-1"]
     return [at for at in sent if 0.0 < at < 0.9]
 
@@ -41,7 +41,7 @@
     return play_virtual(parse_scenario(text, "x.toml"), seed)
 
 
-def test_new_clients_come_for_as_long_after_sigterm_as_the_fault_says() -> None:
+def test_new_clients_arrive_after_sigterm_for_the_configured_time() -> None:
     gone = RESTART.replace("stay = 1.0", "stay = 0.0").replace('"4 s"', '"2 s"')
     for told, most in (("0.2", 0.2), ("0.4", 0.4)):
         last = max(sent_after(play(gone.replace("hard = 0.3", f"hard = {told}"))))
@@ -78,13 +78,15 @@
         assert [[g.request for g in t.answers] for t in tries] == [[t.request] for t in tries]
         clients.send(planned(3, s.world.now(), "entry"))
         await router.next()
-        clients.send(planned(4, s.world.now()))  # due before the entry: behind it none could come in time
+        clients.send(
+            planned(4, s.world.now())
+        )  # its deadline is before the entry's, so it can't be pipelined behind it
         await router.next()
         assert router.opened == 2
         clients.close()
 
 
-def test_clients_that_leave_early_are_owed_nothing_and_ask_again() -> None:
+def test_clients_that_leave_early_need_no_answer_and_retry() -> None:
     played = play(RESTART.replace("retries = 0", "retries = 1\nleave = 0.3").split("[[fault]]")[0])
     tries = list(played.result.record.tries.values())
     left = [t for t in tries if t.excuse == CLIENT_LEFT]
--- a/tests/rehearsal/test_clients_gone.py
+++ b/tests/rehearsal/test_clients_gone.py
@@ -1,4 +1,4 @@
-"""Clients that leave before connections to servers are up, where nothing that is sent may be cancelled."""
+"""Clients that disconnect while connections to servers are being opened and attempts can't be cancelled."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from ironrail.rehearsal.scenario.reader import parse_scenario
 from ironrail.rehearsal.virtual.play import play_virtual
 
-GRANTED = 0.1  # seconds after a client's close in which an attempt may still begin
+ATTEMPT_GRACE_SECONDS = 0.1  # after a client's close, in which an attempt may still begin
 DAY = """
 summary = "clients leave while connections to caches come up late"
 length = "3 s"
@@ -41,19 +41,21 @@
 
 
 @pytest.mark.parametrize("copies", [True, False])
-def test_nothing_begins_for_clients_that_have_left(copies: bool, monkeypatch: pytest.MonkeyPatch) -> None:
-    usual = settings.settings_of
+def test_no_attempt_begins_for_clients_that_have_disconnected(
+    copies: bool, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    original = settings.settings_of
 
     def changed(scenario: Scenario, number: int) -> dict[str, Any]:
-        told = usual(scenario, number)
-        told["limits"] |= {"mayCancel": False, "secondCopies": copies, "dialTimeout": 1.0}
-        return told
+        changed_settings = original(scenario, number)
+        changed_settings["limits"] |= {"mayCancel": False, "secondCopies": copies, "dialTimeout": 1.0}
+        return changed_settings
 
     monkeypatch.setattr(settings, "settings_of", changed)
     played = play_virtual(parse_scenario(DAY, "x.toml"), 2)
     left = [
         t for t in played.result.record.tries.values() if t.excuse == CLIENT_LEFT and t.ended_at is not None
     ]
-    late = [a for t in left for a in t.attempts if a.last_at > (t.ended_at or 0.0) + GRANTED]
+    late = [a for t in left for a in t.attempts if a.last_at > (t.ended_at or 0.0) + ATTEMPT_GRACE_SECONDS]
     assert len(left) > 100 and not late
-    assert not played.faults  # some seconds later every place is given back
+    assert not played.faults  # no capacity is still in use some seconds later
--- a/tests/rehearsal/test_command.py
+++ b/tests/rehearsal/test_command.py
@@ -69,7 +69,7 @@
     text = page.read_text()
     assert text.count("<svg") == 6 and "stall cache-1" in text
     assert "tiny &amp; &lt;small&gt;" in text
-    assert not re.search(r'(src|href)="https?:', text)  # nothing beside it is needed
+    assert not re.search(r'(src|href)="https?:', text)  # the page needs no other files
     assert "begins: stall cache-1" in done.output and "tries taken" in " ".join(done.output.split())
     assert "tries taken" in text and "<td>yes</td>" in text
 
@@ -106,14 +106,14 @@
 
 
 @pytest.mark.sockets
-def test_a_kit_that_was_late_says_so_and_gives_no_verdict(tiny: str, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_late_kit_is_reported_without_a_verdict(tiny: str, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(Lateness, "too_late", lambda self: "as a test has it")
     done = call(tiny)
     assert done.exit_code == 3 and "no verdict" in done.output
 
 
 @pytest.mark.parametrize("command", ["false", f"{sys.executable} -c pass"])
-def test_a_router_that_ends_at_once_is_a_verdict_and_no_hang(command: str, tiny: str) -> None:
+def test_a_router_that_ends_at_once_fails_a_verdict(command: str, tiny: str) -> None:
     done = call(tiny, "--router", command)
     assert done.exit_code == 1
     assert re.search(r"routers never ready +│ FAILED", done.output)
@@ -137,7 +137,7 @@
     assert message in done.output and "Traceback" not in done.output
 
 
-def test_a_plan_that_names_whom_there_is_not(tmp_path: Path) -> None:
+def test_a_fault_with_an_unknown_target_is_exit_2(tmp_path: Path) -> None:
     path = tmp_path / "x.toml"
     path.write_text(TINY + FAULT.replace("cache-1", "cache-9"))
     done = call(str(path))
@@ -149,7 +149,7 @@
     ("fields", "field"),
     [("[routers]\ncount = 65", "routers.count: 65"), ("[load]\nrate = 5001", "load.rate: 5001")],
 )
-def test_what_only_virtual_time_can_hold_is_refused_on_real_sockets(
+def test_scenarios_beyond_the_limits_of_real_sockets_are_rejected(
     fields: str, field: str, tmp_path: Path
 ) -> None:
     path = tmp_path / "large.toml"
@@ -177,7 +177,7 @@
     kit.send_signal(number)
     output, _ = kit.communicate(timeout=20)
     if number is signal.SIGKILL:
-        psutil.wait_procs(routers, timeout=10)  # the system ends them, a moment later
+        psutil.wait_procs(routers, timeout=10)  # the kernel kills them shortly after
     else:
         assert kit.returncode == 130 and "nothing is left running" in output
     assert not any(r.is_running() and r.status() != psutil.STATUS_ZOMBIE for r in routers)
@@ -192,13 +192,13 @@
     assert "Example: ironrail rehearse" in call("--help").output
 
 
-def test_the_page_for_operators_tells_of_every_fault() -> None:
+def test_the_operators_page_describes_every_fault() -> None:
     page = (ROOT / "docs" / "rehearsal" / "operators.md").read_text()
     assert [kind for kind in FaultKind if f"`{kind}`" not in page] == []
 
 
 def imported(code: str) -> set[str]:
-    """The modules that a new process has once it has run this."""
+    """Return the modules that a new process has imported after running this code."""
     code += "; import sys; print(*sys.modules)"
     done = subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, check=True)
     return set(done.stdout.split())
@@ -209,6 +209,6 @@
     assert not imported("import ironrail.__main__, ironrail.simhost") & kit
 
 
-def test_the_command_imports_late_what_takes_longer_than_all_the_rest() -> None:
+def test_the_command_imports_slow_modules_only_when_needed() -> None:
     modules = imported("from ironrail.cli import _commands; _commands()")
     assert "ironrail.rehearsal" in modules and not modules & {"scipy", "matplotlib"}
--- a/tests/rehearsal/test_list_clock.py
+++ b/tests/rehearsal/test_list_clock.py
@@ -1,4 +1,4 @@
-"""When news of the list counts as told, pushed or asked for, by the stand-in's own record."""
+"""When a router counts as notified of a list change, pushed or polled, in the stand-in's record."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 DRAINS = "terminating"
 
 
-def test_what_an_agent_has_counts_at_once_with_no_watch_open() -> None:
+def test_without_a_watch_news_at_an_agent_counts_at_once() -> None:
     async def test(s: ListStage) -> None:
         await s.at(1.0)
         s.learn(DRAINS)
@@ -22,7 +22,7 @@
     on_stage(test)
 
 
-def test_in_an_outage_an_agent_hears_nothing_and_what_it_has_counts_for_a_new_process() -> None:
+def test_in_an_outage_an_agent_gets_no_news_and_its_list_counts_for_a_new_process() -> None:
     async def test(s: ListStage) -> None:
         s.learn(DRAINS)
         await s.at(1.0)
@@ -40,7 +40,7 @@
     on_stage(test)
 
 
-def test_after_a_move_it_counts_four_seconds_later_unless_it_is_told_there_before() -> None:
+def test_after_a_move_news_counts_after_four_seconds_or_a_call_at_the_new_address() -> None:
     async def test(s: ListStage) -> None:
         _, old = await s.watch(60.0)
         await s.at(1.0)
@@ -59,7 +59,7 @@
         assert s.told()[2:] == [(7.0, DRAINS)]
         assert not old.done()
         s.agent.move()
-        s.starts()  # which reads where the list is now
+        s.starts()  # the new process reads the current address of the list
         s.learn("terminated")
         assert s.told()[-1] == (12.0, "terminated")
 
@@ -68,7 +68,9 @@
 
 @pytest.mark.parametrize("text", ["", ASKED], ids=["pushed", "asked"])
 @pytest.mark.parametrize("wait", [3.0, 20.0, 90.0])
-def test_what_a_silent_watch_misses_counts_by_one_clock(text: str, wait: float) -> None:
+def test_news_missed_by_a_silent_watch_counts_after_the_same_time_in_both_modes(
+    text: str, wait: float
+) -> None:
     async def test(s: ListStage) -> None:
         connection, answer = await s.watch(wait)
         began = s.world.now() - 0.05
@@ -81,7 +83,7 @@
         ((when, state),) = s.told()
         assert state == DRAINS and abs(when - due) < 0.11
         assert not answer.done() and not connection.reader.at_eof()
-        s.learn("in_service")  # its time is over: whoever does not ask anew is told all the same
+        s.learn("in_service")  # past the limit, news counts even without a new call
         await s.at(100.1)
         assert s.told()[1:] == [(100.0, "in_service")]
 
@@ -108,7 +110,7 @@
     on_stage(test, text)
 
 
-def test_a_silent_watch_that_is_given_up_delays_nothing_more() -> None:
+def test_a_closed_silent_watch_no_longer_delays_news() -> None:
     async def test(s: ListStage) -> None:
         connection, answer = await s.watch(60.0)
         s.registry.silence_watches()
@@ -121,7 +123,7 @@
     on_stage(test)
 
 
-def test_a_call_that_falls_silent_in_its_turn_at_the_desk_misses_what_it_was_to_tell() -> None:
+def test_a_call_silenced_while_it_is_served_misses_its_news() -> None:
     async def test(s: ListStage) -> None:
         s.learn(DRAINS)
         connection = await s.connect()
@@ -134,7 +136,7 @@
     on_stage(test, ASKED)
 
 
-def test_who_gave_up_a_silent_watch_has_asked_until_then_and_failed() -> None:
+def test_a_closed_silent_watch_counts_as_a_failed_call_until_its_close() -> None:
     async def test(s: ListStage) -> None:
         connection, answer = await s.watch(60.0)
         s.registry.silence_watches()
@@ -144,20 +146,22 @@
         await s.at(31.0)
         s.learn(DRAINS)
         await s.at(90.0)
-        assert s.told() == [(37.0, DRAINS)]  # not 40 s after: it failed, and news was there to be had
+        assert s.told() == [
+            (37.0, DRAINS)
+        ]  # 6 s after the news, not 40 s after the failure, as the news was available
 
     on_stage(test, ASKED)
 
 
 async def ended(connection: Wire, answer: asyncio.Task[dict[str, object]]) -> None:
-    """A watch was reset."""
+    """Wait until a reset watch has ended."""
     with pytest.raises((OSError, EOFError)):
         await answer
     with contextlib.suppress(OSError):
         await connection.writer.wait_closed()
 
 
-def test_after_a_watch_that_was_reset_news_counts_six_seconds_after_it_could_be_had() -> None:
+def test_after_a_reset_watch_news_counts_six_seconds_after_it_was_available() -> None:
     async def test(s: ListStage) -> None:
         connection, answer = await s.watch(60.0)
         await s.at(8.0)
@@ -167,7 +171,7 @@
         s.agent.begin_silence("outage")
         s.learn(DRAINS)
         await s.at(20.0)
-        assert s.told() == []  # out of reach
+        assert s.told() == []  # the agent is unreachable
         s.agent.end_silence("outage")
         await s.at(90.0)
         assert s.told() == [(26.0, DRAINS)]
@@ -175,7 +179,7 @@
     on_stage(test, ASKED)
 
 
-def test_who_asks_in_time_after_a_reset_is_told_by_the_answer() -> None:
+def test_a_call_in_time_after_a_reset_delivers_the_news() -> None:
     async def test(s: ListStage) -> None:
         connection, answer = await s.watch(60.0)
         s.registry.reset_watches()
@@ -192,7 +196,7 @@
     on_stage(test, ASKED)
 
 
-def test_while_the_registry_has_lost_its_list_nothing_counts_and_then_all_of_it() -> None:
+def test_no_news_counts_while_the_registry_has_lost_its_list() -> None:
     async def test(s: ListStage) -> None:
         s.agent.begin_lost("f", [])
         s.learn(DRAINS)
--- a/tests/rehearsal/test_models.py
+++ b/tests/rehearsal/test_models.py
@@ -1,4 +1,4 @@
-"""The pure models of a server: cores, warmth and store."""
+"""The models of a cache server: cores, warm-up and store."""
 
 from __future__ import annotations
 
@@ -30,16 +30,16 @@
     assert cores.advance(4.001) == [0, 1, 2, 3]
 
 
-def test_one_that_comes_later_slows_those_there() -> None:
+def test_a_later_job_slows_down_running_jobs() -> None:
     cores = Cores[str](1, 1.0, now=0.0)
     cores.add("a", 1.0)
     cores.advance(0.5)
-    cores.add("b", 0.25)  # both at half pace: b ends at 1.0, a has 0.25 left and all of the core
+    cores.add("b", 0.25)  # both at half speed: b ends at 1.0; a then has 0.25 left on a whole core
     assert cores.advance(1.0) == ["b"]
     assert cores.next_end() == pytest.approx(1.25)
 
 
-def test_frozen_cores_stand_still_and_lose_nothing() -> None:
+def test_frozen_cores_make_no_progress_and_lose_no_work() -> None:
     cores = Cores[str](1, 1.0, now=0.0)
     cores.add("a", 1.0)
     cores.advance(0.5)
@@ -54,7 +54,7 @@
 
 
 @given(JOBS, st.integers(1, 6), st.floats(0.1, 4))
-def test_every_job_ends_once_and_no_work_is_won_or_lost(
+def test_every_job_ends_once_and_work_is_conserved(
     jobs: list[tuple[float, float]], count: int, speed: float
 ) -> None:
     cores = Cores[int](count, speed, now=0.0)
@@ -80,7 +80,7 @@
     assert [round(warmth.share(at), 3) for at in (5.0, 8.0, 11.0, 12.0)] == [0.4, 0.7, 1.0, 1.0]
 
 
-def test_more_than_the_multiple_within_the_window_pushes_it_over() -> None:
+def test_more_than_the_multiple_within_the_window_stops_a_cold_server() -> None:
     warmth = Warmth(capacity=10.0, cold=0.5, ramp=1000.0, multiple=2.0, window=1.0)
     warmth.start(0.0)
     allowed = 2.0 * 10.0 * 0.5
@@ -94,19 +94,19 @@
     assert sent == pytest.approx(SLACK * allowed + 0.4, abs=0.21)
 
 
-def test_the_same_spread_out_does_not() -> None:
+def test_the_same_load_over_a_longer_time_does_not_stop_it() -> None:
     warmth = Warmth(capacity=10.0, cold=0.5, ramp=1000.0, multiple=2.0, window=1.0)
     warmth.start(0.0)
     assert all(warmth.sent(n * 0.021, 0.2) is None for n in range(1000))
 
 
-def test_a_warm_server_bears_anything() -> None:
+def test_a_warm_server_tolerates_any_load() -> None:
     warmth = Warmth(capacity=1.0, cold=0.5, ramp=5.0, multiple=2.0, window=1.0)
     warmth.start(0.0)
     assert all(warmth.sent(6.0, 100.0) is None for _ in range(10))
 
 
-def test_one_heavy_request_alone_pushes_nobody_over() -> None:
+def test_a_single_heavy_request_does_not_stop_a_cold_server() -> None:
     warmth = Warmth(capacity=1.0, cold=0.1, ramp=5.0, multiple=2.0, window=1.0)
     warmth.start(0.0)
     assert warmth.sent(0.1, 50.0) is None
--- a/tests/rehearsal/test_mutants.py
+++ b/tests/rehearsal/test_mutants.py
@@ -1,4 +1,4 @@
-"""Each deliberately broken router fails the kit for its reason, and the true router passes."""
+"""Each deliberately broken router fails the expected verdict, and the unmodified router passes."""
 
 from __future__ import annotations
 
@@ -19,8 +19,8 @@
 ROOT = Path(__file__).parent.parent.parent
 FOLDER = ROOT / "tests" / "mutants"
 MUTANTS = sorted(path.stem for path in FOLDER.glob("*.py") if not path.stem.startswith("__"))
-NO_VERDICT = 3  # the exit code of a run that tells nothing
-PATIENCE = 120.0  # seconds of one run: the kit bounds itself well within
+NO_VERDICT = 3  # the exit code of a run without a verdict
+PATIENCE = 120.0  # seconds for one run; the kit's own limits are far lower
 # pytest sets and unsets a variable for each test. A child that is given no environment and is started from a
 # thread reads this process's own as it starts and may find its memory freed: execve fails with EFAULT.
 ENVIRONMENT = dict(os.environ)
@@ -28,7 +28,7 @@
 
 @dataclass
 class Run:
-    """What the command said."""
+    """The exit code and the report of a run."""
 
     code: int
     report: dict[str, Any]
@@ -38,7 +38,7 @@
 
 
 def start(command: list[str]) -> subprocess.CompletedProcess[bytes]:
-    """Run a command to its end; from any thread, whatever happens to the environment meanwhile."""
+    """Run a command to its end, unaffected by concurrent changes of the environment."""
     return subprocess.run(
         command, cwd=ROOT, env=ENVIRONMENT, capture_output=True, timeout=PATIENCE, check=False
     )
@@ -54,7 +54,7 @@
 
 
 def why_no_verdict(done: subprocess.CompletedProcess[bytes]) -> str:
-    """The command's own words for it, or nothing."""
+    """Return the command's reason for giving no verdict, empty if it gave one."""
     if done.returncode != NO_VERDICT:
         return ""
     return (done.stdout + done.stderr).decode().strip().rpartition("\n")[2]
@@ -66,7 +66,7 @@
 
 @pytest.mark.sockets
 @pytest.mark.parametrize("scenario", ["short.toml", "errors.toml", "hang.toml"])
-def test_the_true_router_passes(scenario: str, tmp_path: Path) -> None:
+def test_the_unmodified_router_passes(scenario: str, tmp_path: Path) -> None:
     run = rehearse("true", scenario, tmp_path)
     assert (run.code, run.failed()) == (0, set())
     assert run.report["outcome"] == "kept"
@@ -88,10 +88,10 @@
     assert start([sys.executable, "-c", code]).stdout.split() == [b"False", b"False"]
 
 
-def test_a_mutant_of_a_method_that_is_gone_fails_to_start() -> None:
+def test_a_mutant_of_a_missing_method_fails_to_start() -> None:
     with pytest.raises(AttributeError):
         replace_method(Run, "is_gone", lambda self: None)
 
 
-def test_there_are_enough_of_them() -> None:
+def test_there_are_at_least_ten_mutants() -> None:
     assert len(MUTANTS) >= 10
--- a/tests/rehearsal/test_new_days.py
+++ b/tests/rehearsal/test_new_days.py
@@ -1,4 +1,4 @@
-"""Caches that hang, come up late or answer twice."""
+"""Caches that hang, accept connections late or answer twice."""
 
 from __future__ import annotations
 
@@ -54,14 +54,14 @@
 
 
 @scenario
-async def test_what_hangs_for_two_causes_goes_on_with_the_last() -> None:
+async def test_a_cache_that_hangs_for_two_causes_continues_after_the_last() -> None:
     async with stage() as s:
         s.fleet.hang("cache-1", "f")
         s.fleet.hang("cache-1", "g")
         link, story = await wire(s.caches["cache-1"].doors[R].address), s.asked()
         link.read(story)
         await until(lambda: story.one.attempts)
-        s.caches["cache-1"].draining = True  # what it goes on with it turns away at once
+        s.caches["cache-1"].draining = True  # once it continues, it refuses the request at once
         s.fleet.hung("cache-1", "f")
         assert story.one.attempts[0].ended is Ended.OPEN
         s.fleet.hung("cache-1", "g")
@@ -97,7 +97,7 @@
     played = play_virtual(parse_scenario(text + 'whom = "all"\nat = "0 s"\nhard = 0.5\n', "x.toml"), 1)
     assert not played.result.broken and not played.faults
     faults = [log.count("a reply without a request") for log in played.result.logs.values()]
-    assert sum(faults) > 3  # a fault of the connection, not of the request: the first answer was good
+    assert sum(faults) > 3  # counted against the connection, as the first answer was valid
     assert played.result.service.whole.share > 0.9
 
 
@@ -139,19 +139,19 @@
     other = SocketListening(0, lambda connection, late: connection.close())
     await asyncio.open_connection("127.0.0.1", other.port)
     assert not connect.done()
-    listening.hang()  # a silence too: it goes on hanging until both are over
+    listening.hang()  # hangs until both the delay and the silence are over
     listening.late(None)
     assert listening._fillers
     listening.answer()
     assert not listening._fillers
-    _, writer = await connect  # once the system tries again
+    _, writer = await connect  # once the system retransmits the SYN
     writer.close()
     listening.close()
     other.close()
 
 
 @scenario
-async def test_a_door_that_opens_anew_is_as_late_as_before() -> None:
+async def test_a_reopened_listener_keeps_its_connect_delay() -> None:
     told: list[object] = []
 
     class Told(SocketListening):
@@ -170,16 +170,16 @@
     door.shut()
 
 
-# All of it
+# Whole scenarios
 
 
-def test_the_true_router_keeps_all_rules_on_such_days() -> None:
+def test_the_unmodified_router_keeps_all_rules_under_these_faults() -> None:
     for seed in (1, 2):
         played = play_virtual(read_scenario(str(FOLDER / "days.toml")), seed)
         assert not [v for v in played.result.verdicts if not v.kept]
 
 
-def test_each_new_kind_is_carried_out(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_each_of_these_fault_kinds_is_injected(monkeypatch: pytest.MonkeyPatch) -> None:
     begun: list[str] = []
     carry_out = FaultInjector.carry_out
 
--- a/tests/rehearsal/test_ports.py
+++ b/tests/rehearsal/test_ports.py
@@ -1,4 +1,4 @@
-"""Runs beside each other never share a port, also while a stand-in of one of them is down."""
+"""Parallel runs never share a port, not even while a stand-in of one of them is down."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
 
 @scenario
 async def test_the_port_of_a_stand_in_that_is_down_is_not_given_to_another_one() -> None:
-    """Guards against a restart that finds its port taken, and ends the plan of faults."""
+    """Guards against a restarted stand-in that finds its port in use, which stops the plan of faults."""
     ground = RealGround(("false",))
     ports = set()
     for _ in range(2000):
@@ -49,14 +49,14 @@
 
 
 def test_runs_of_neighbouring_process_ids_have_different_addresses(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Guards against two runs that take each other's caches for their own."""
+    """Guards against two runs that connect to each other's caches."""
     hosts = set()
     for pid in range(0x2BF0, 0x2D10):
         monkeypatch.setattr("os.getpid", lambda pid=pid: pid)
         hosts.add(RealGround(("false",)).address_of(0))
     assert len(hosts) == 0x2D10 - 0x2BF0
     with socket.create_server(("127.64.44.0", 0)) as server, socket.create_connection(server.getsockname()):
-        pass  # an address that ends with 0 is one like any other
+        pass  # an address that ends with 0 is usable
 
 
 @scenario
@@ -69,8 +69,8 @@
         stand_in.close()
 
 
-def test_a_plan_of_faults_that_breaks_off_ends_the_run_in_its_error(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Guards against a run that plays fewer faults than planned and says nothing of it."""
+def test_an_error_in_a_fault_ends_the_run_with_that_error(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Guards against a run that silently plays fewer faults than planned."""
 
     def fail(self: FaultInjector, step: Step) -> None:
         raise OSError("Address already in use")
--- a/tests/rehearsal/test_refused.py
+++ b/tests/rehearsal/test_refused.py
@@ -1,4 +1,4 @@
-"""What counts as refused, as lost, as late and as worth a verdict, at each border."""
+"""What counts as refused, lost, late and large enough for a verdict, at each limit."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 def crowd(served: int, closed: int = 0) -> Record:
-    """Tries that were served, and then such whose new connection was closed at once."""
+    """Return a record of served tries, followed by tries whose new connection was closed at once."""
     record = Record()
     for n in range(served + closed):
         story = Story(record, planned(n, at=1.0 + n / 1000))
@@ -33,7 +33,7 @@
 @pytest.mark.parametrize(
     ("kind", "attempted", "refused"), [("failed", False, 1), ("failed", True, 0), ("cut-off", False, 0)]
 )
-def test_answered_as_failed_and_never_sent_on(kind: str, attempted: bool, refused: int) -> None:
+def test_failed_without_an_attempt_counts_as_refused(kind: str, attempted: bool, refused: int) -> None:
     record = Record()
     story = Story(record, planned(kind="entry"))
     if attempted:
@@ -48,14 +48,14 @@
 )
 def test_new_connections_that_were_closed(served: int, closed: int, lost: int) -> None:
     record = crowd(served, closed)
-    told = count_answer_outcomes(record)
-    assert (told.closed_new, told.refused, told.lost) == (closed - lost, closed - lost, lost)
+    counts = count_answer_outcomes(record)
+    assert (counts.closed_new, counts.refused, counts.lost) == (closed - lost, closed - lost, lost)
     latest = [("one-answer", f"id-{served + closed - 1}-0")]
-    assert broken(record) == latest * lost  # of those beyond the bound, and no other
+    assert broken(record) == latest * lost  # only those beyond the limit
 
 
 @pytest.mark.parametrize("change", ["used before", "excused", "sent on", "unconnected"])
-def test_what_is_no_new_connection_that_was_closed(change: str) -> None:
+def test_tries_that_do_not_count_as_closed_new_connections(change: str) -> None:
     record = crowd(0, 1)
     (one,) = record.tries.values()
     match change:
@@ -67,12 +67,12 @@
             one.attempts.append(Attempt("cache-1", "router-1", False, 1.1, 1.1, False))
         case "unconnected":
             one.outcome = Outcome.UNCONNECTED
-    told = count_answer_outcomes(record)
-    assert (told.refused, told.lost) == (0, change == "sent on")
-    assert len(broken(record)) == told.lost and told.taken == (change != "unconnected")
+    counts = count_answer_outcomes(record)
+    assert (counts.refused, counts.lost) == (0, change == "sent on")
+    assert len(broken(record)) == counts.lost and counts.taken == (change != "unconnected")
 
 
-def test_those_that_no_router_took_allow_no_further_closes() -> None:
+def test_unconnected_tries_do_not_raise_the_allowed_number_of_closes() -> None:
     record = crowd(198, 1)
     Story(record, planned(500)).end(Outcome.UNCONNECTED, 1.5)
     assert count_answer_outcomes(record).lost == 1
@@ -93,7 +93,7 @@
 @pytest.mark.parametrize(
     ("names", "bound", "kept"), [(0.2, 0, True), (0.0, 0, True), (None, 0, False), (None, 1, True)]
 )
-def test_refusals_that_name_no_time(names: float | None, bound: int, kept: bool) -> None:
+def test_refusals_without_a_retry_time(names: float | None, bound: int, kept: bool) -> None:
     conf, record, plan = scenario(f"[bounds]\nuntimed = {bound}\n"), Record(), [planned()]
     Story(record, plan[0]).answer(1.2, "busy").one.answers[0].retry_after = names
     verdicts = judge(conf, measure_service(record, conf, plan), record, [], 0.0)
@@ -122,12 +122,14 @@
         (20, 0.1, "safe", False),
         (60, 9.5, "safe", True),  # 9.5 of 189.5 in worth
         (60, 9.4, "safe", False),
-        (57, 9.0, "safe", True),  # a twentieth, though the sum is rounded
+        (57, 9.0, "safe", True),  # exactly a twentieth, despite rounding errors in the sum
         (60, 0.1, "never", True),
         (60, 0.1, "keyed", True),
     ],
 )
-def test_classes_of_some_size_are_judged(reads: int, worth: float, repeats: str, judged: bool) -> None:
+def test_large_or_not_repeatable_classes_are_judged(
+    reads: int, worth: float, repeats: str, judged: bool
+) -> None:
     conf = scenario(CLASSES.format(worth=worth, repeats=repeats))
     record, plan = Record(), [planned(n, work=0.1) for n in range(reads)]
     for p in plan:
@@ -142,14 +144,16 @@
 @pytest.mark.parametrize(
     ("dailies", "juniors", "judged"), [(19, 1, True), (20, 1, False), (20, 30, False), (19, 30, True)]
 )
-def test_titles_of_some_size_inside_their_shares_are_judged(dailies: int, juniors: int, judged: bool) -> None:
+def test_titles_that_are_large_inside_their_shares_are_judged(
+    dailies: int, juniors: int, judged: bool
+) -> None:
     text = "[load]\nrate = 10\n[bounds]\nworst_title = 0.5\n[[class]]\nname = 'grid-read'\nshare = 1\n"
     text += "[[title]]\nname = 'daily'\nshare = 1\n[[title]]\nname = 'junior'\nshare = 0.1\n"
     conf = scenario(text)  # of 'junior' two seconds of 0.125 s a second are inside its share: 2 requests
     record, plan = Record(), [planned(n, 1.0 + n / 5) for n in range(dailies)]
     for p in plan:
         Story(record, p).answer(p.at + 0.1)
-    # the first of them fills the share; what comes beyond it is worth less and adds nothing to it
+    # the first of them uses up the share; those beyond it are worth less and are not `within`
     plan += [planned(100 + n, 1.0, title="junior", work=0.11 if n == 0 else 0.2) for n in range(juniors)]
     service = measure_service(record, conf, plan)
     assert service.titles["junior"].within == pytest.approx(3.0)
@@ -158,14 +162,14 @@
     assert verdict.kept is not judged
 
 
-def test_the_same_facts_in_another_order_give_the_same_answers() -> None:
+def test_the_order_of_tries_does_not_change_the_counts() -> None:
     record, turned = crowd(197, 3), Record()
     turned.tries = dict(reversed(record.tries.items()))
     assert count_answer_outcomes(record) == count_answer_outcomes(turned)
     assert broken(record) == broken(turned)
 
 
-def test_the_line_of_the_report() -> None:
+def test_the_answers_line_of_the_report() -> None:
     assert answers_line(Answers(400, 7, 2, 1, 3, 4)) == (
         "of 400 tries taken: 7 refused (2 failed and never sent on, 1 new connections closed,"
         " 4 named no time), 3 lost"
--- a/tests/rehearsal/test_router_processes.py
+++ b/tests/rehearsal/test_router_processes.py
@@ -20,7 +20,7 @@
 
 
 def has_ended(pid: int) -> bool:
-    """Whether a child is a zombie: it has ended, and nobody has asked for its exit code."""
+    """Return whether a child is a zombie: it has ended and its exit code was not read yet."""
     return Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()[0] == "Z"
 
 
@@ -31,7 +31,7 @@
     waitpid = os.waitpid
 
     def wait_late(pid: int, options: int) -> Any:
-        time.sleep(WATCHER_DELAY_SECONDS)  # on a busy machine the loop's watcher comes second
+        time.sleep(WATCHER_DELAY_SECONDS)  # as on a busy machine, where the loop's watcher is late
         return waitpid(pid, options)
 
     monkeypatch.setattr(os, "waitpid", wait_late)
--- a/tests/rehearsal/test_rules.py
+++ b/tests/rehearsal/test_rules.py
@@ -1,4 +1,4 @@
-"""The four rules on records made by hand: what breaks one, and what does not."""
+"""The rules on hand-made records: what violates them, and what does not."""
 
 from __future__ import annotations
 
@@ -34,7 +34,9 @@
 
 
 @pytest.mark.parametrize(("at", "broken"), [(2.49, False), (2.51, True)])
-def test_a_late_answer(at: float, broken: bool) -> None:  # due at 1.9, with 0.5 granted and 0.1 of our own
+def test_a_late_answer(
+    at: float, broken: bool
+) -> None:  # due at 1.9; tolerances of 0.5 and, for the kit, 0.1
     record = Record()
     Story(record, planned()).answer(at)
     assert [r for r, _ in rules(record)] == ["one-answer"] * broken
@@ -48,11 +50,13 @@
         (Outcome.UNANSWERED, True, "killed", False),
         (Outcome.CLOSED, True, "", True),
         (Outcome.CLOSED, True, "killed", False),
-        (Outcome.CLOSED, False, "", False),  # on a connection used before: crossed by its close
-        (Outcome.UNCONNECTED, False, "", False),  # no router had taken it
+        (Outcome.CLOSED, False, "", False),  # on a reused connection, sent as the router closed it
+        (Outcome.UNCONNECTED, False, "", False),  # no router accepted it
     ],
 )
-def test_no_answer(outcome: Outcome, attempted: bool, excuse: str, broken: bool) -> None:
+def test_a_missing_answer_breaks_one_answer_unless_excused(
+    outcome: Outcome, attempted: bool, excuse: str, broken: bool
+) -> None:
     record = Record()
     story = Story(record, planned())
     if attempted:
@@ -68,7 +72,7 @@
     assert rules(record) == [("own-value", "given the answer of id-9-0")]
 
 
-def test_a_value_that_nobody_made() -> None:
+def test_a_value_that_no_server_produced() -> None:
     record = Record()
     Story(record, planned()).answer(1.1, value=b"other")
     assert rules(record) == [("own-value", "given a value that no server made for it")]
@@ -77,7 +81,7 @@
 @pytest.mark.parametrize(
     ("at", "late", "broken"), [(1.3, False, False), (1.4, False, True), (1.4, True, False)]
 )
-def test_sent_on_after_the_answer(at: float, late: bool, broken: bool) -> None:
+def test_an_attempt_after_the_answer(at: float, late: bool, broken: bool) -> None:
     record = Record()
     story = served(record)
     story.attempt(at, "cache-2").late = late
@@ -89,7 +93,7 @@
     [
         (Ended.BUSY, 1.1, False),
         (Ended.MISS, 1.1, False),
-        (Ended.BUSY, 1.5, True),  # known only after it was sent again
+        (Ended.BUSY, 1.5, True),  # the end is known only after the second attempt
         (Ended.ERROR, 1.1, True),
         (Ended.RESET, 1.1, True),
         (Ended.SPOILT, 1.1, True),
@@ -106,7 +110,7 @@
     assert [r for r, _ in rules(record)] == ["no-second-effect"] * broken
 
 
-def test_an_effect_that_was_had_twice() -> None:
+def test_a_write_that_took_effect_twice() -> None:
     record = Record()
     story = Story(record, planned(kind="hint"))
     for at in (1.0, 1.2):
@@ -124,7 +128,7 @@
     assert [r for r, _ in rules(record)] == ["no-second-effect"] * broken
 
 
-def test_a_read_may_go_anywhere_any_time() -> None:
+def test_a_read_may_be_repeated_at_any_server() -> None:
     record = Record()
     story = Story(record, planned())
     for at in (1.0, 1.1, 1.2):
@@ -151,7 +155,9 @@
         ("read", Ended.ERROR, 1.1, False),
     ],
 )
-def test_a_refusal_of_what_may_have_run(kind: str, ended: Ended, until: float | None, broken: bool) -> None:
+def test_a_refusal_of_a_request_that_may_have_been_executed(
+    kind: str, ended: Ended, until: float | None, broken: bool
+) -> None:
     record = Record()
     story = Story(record, planned(kind=kind))
     story.attempt(1.0, "archive", ended, until)
@@ -165,30 +171,32 @@
         ([(1.0, "terminating")], 2.1, False),
         ([(1.0, "terminating")], 2.2, True),
         ([(1.0, "terminated")], 2.2, True),
-        ([(1.0, "terminating"), (3.0, "terminated")], 3.5, True),  # one spell, not a new grace
+        ([(1.0, "terminating"), (3.0, "terminated")], 3.5, True),  # one period without a second grace
         ([(1.0, "terminating"), (3.0, "in_service")], 3.5, False),
         ([(1.0, "terminating"), (3.0, "in_service"), (4.0, "terminated")], 4.5, False),
         ([(5.0, "terminating")], 2.2, False),
         ([], 2.2, False),
     ],
 )
-def test_drains(told: list[tuple[float, str]], at: float, broken: bool) -> None:
+def test_an_attempt_at_a_draining_server_after_the_grace(
+    told: list[tuple[float, str]], at: float, broken: bool
+) -> None:
     record = Record()
     for when, state in told:
         record.tell("router-1", "cache-1", state, when)
-        record.tell("router-2", "cache-1", "terminated", 0.0)  # which is another router's news
+        record.tell("router-2", "cache-1", "terminated", 0.0)  # a notice to another router
     Story(record, planned(at=at)).attempt(at)
     assert [r for r, _ in rules(record)] == ["drains"] * broken
 
 
-def test_what_was_written_during_a_silence_says_nothing_of_drains() -> None:
+def test_an_attempt_of_unknown_sending_time_breaks_no_drain_rule() -> None:
     record = Record()
     record.tell("router-1", "cache-1", "terminated", 0.0)
     Story(record, planned(at=5.0)).attempt(5.0).late = True
     assert rules(record) == []
 
 
-def test_falls_and_strays_are_told_in_order_of_time() -> None:
+def test_collapses_and_strays_are_reported_in_order_of_time() -> None:
     record = Record()
     record.collapses.append(CacheCollapse(3.0, "cache-2", 9.0, 4.0, 8.0))
     record.stray(2.0, "cache-1", "a probe")
@@ -208,7 +216,7 @@
     assert [line.split()[0] for line in violation.history] == ["1.000", "1.000", "1.200", "1.310", "1.310"]
 
 
-def test_of_strays_without_end_few_are_kept() -> None:
+def test_the_number_of_stored_strays_is_limited() -> None:
     record = Record()
     for n in range(100_000):
         record.stray(float(n), "cache-1", "noise")
@@ -216,8 +224,8 @@
 
 
 @pytest.mark.parametrize("attempted", [False, True])
-def test_what_is_unanswered_as_a_router_is_killed_that_had_not_ended_is_lost(attempted: bool) -> None:
-    """Guards against a request that SIGKILL finds unanswered and that counts as crossed by a close."""
+def test_a_request_unanswered_when_its_router_is_killed_is_lost(attempted: bool) -> None:
+    """Guards against counting a request unanswered at SIGKILL as sent to a connection being closed."""
     record = Record()
     story = Story(record, planned())
     if attempted:
--- a/tests/rehearsal/test_scenario.py
+++ b/tests/rehearsal/test_scenario.py
@@ -1,4 +1,4 @@
-"""Scenario files: each mistake is one message with file, line, field and what is wrong."""
+"""Scenario files: each error is one message with the file, the line, the field and the problem."""
 
 from __future__ import annotations
 
@@ -49,7 +49,7 @@
     [(b"\xff", ":1: not UTF-8"), (b"a = 1\n\xc3(", ":2: not UTF-8"), (b"#" * 2_000_000, "larger than"),
      (b"", ":1: summary"), (b"\0", ":1: ")],
 )  # fmt: skip
-def test_what_is_no_text_of_a_usual_size(data: bytes, message: str, tmp_path: Path) -> None:
+def test_files_that_are_not_utf8_or_too_large(data: bytes, message: str, tmp_path: Path) -> None:
     path = tmp_path / "x.toml"
     path.write_bytes(data)
     with pytest.raises(ScenarioError) as e:
@@ -57,7 +57,7 @@
     assert message in str(e.value)
 
 
-def test_files_that_are_not_there() -> None:
+def test_missing_files() -> None:
     with pytest.raises(ScenarioError, match="no scenario of that name .*calm"):
         read_scenario("clam")
     with pytest.raises(ScenarioError, match="No such file"):
--- a/tests/rehearsal/test_schedule.py
+++ b/tests/rehearsal/test_schedule.py
@@ -1,4 +1,4 @@
-"""The load and the plan of faults: the same seed gives the same, and one draw moves no other."""
+"""The load schedule and the plan of faults: reproducible by seed, with independent draws."""
 
 from __future__ import annotations
 
@@ -31,11 +31,11 @@
 
 
 def test_the_schedule_is_the_same_on_every_machine() -> None:
-    """Written down once: what hash seeds, the clock or the order of a set moved would show here."""
+    """Guards against dependence on hash seeds, the clock or the order of a set."""
     assert digest(make_schedule(scenario(), 1)) == "c360d718a5b49dbe"
 
 
-def test_a_fault_moves_no_draw_of_the_clients() -> None:
+def test_a_fault_does_not_change_the_draws_of_clients() -> None:
     plain = make_schedule(scenario(), 3)
     hot = make_schedule(scenario(fault("hot-keys", more="hard = 0.4") + fault("vanish", "2 caches")), 3)
     moved = [(a, b) for a, b in zip(plain, hot, strict=True) if a != b]
@@ -45,7 +45,7 @@
     assert len(moved) / len(within) == pytest.approx(0.4, abs=0.06)
 
 
-def test_one_more_fault_moves_no_victims_of_the_others() -> None:
+def test_an_added_fault_does_not_change_the_targets_of_others() -> None:
     first = make_plan(scenario(fault("vanish", "2 caches")), 9)
     both = make_plan(scenario(fault("vanish", "2 caches") + fault("stall", "3 caches")), 9)
     assert both[0] == first[0]
@@ -98,7 +98,7 @@
     [("vanish", "cache-9"), ("vanish", "9 caches"), ("vanish", "0 caches"), ("archive-slow", "cache-1"),
      ("router-kill", "2 caches"), ("hall-cut", "cache-1")],
 )  # fmt: skip
-def test_whom_there_is_not(kind: str, whom: str) -> None:
+def test_unknown_targets_are_rejected(kind: str, whom: str) -> None:
     with pytest.raises(PlanError, match=f"fault 1 .{kind}."):
         make_plan(scenario(fault(kind, whom)), 1)
 
--- a/tests/rehearsal/test_service.py
+++ b/tests/rehearsal/test_service.py
@@ -1,4 +1,4 @@
-"""Service, computed by hand."""
+"""Service of hand-made records, compared with values computed by hand."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
     assert service.outcomes == {"served": 3, "refused": 1}
 
 
-def test_after_the_client_has_given_up_an_answer_is_worth_nothing() -> None:
+def test_an_answer_after_the_give_up_time_is_worth_nothing() -> None:
     record = Record()
     plan = [planned(0, 1.0)]
     Story(record, plan[0]).answer(2.51)
@@ -37,24 +37,26 @@
     assert service.whole.answered == 0.0 and service.whole.unserved == 1
 
 
-def test_retries_are_folded_into_the_first_try() -> None:
+def test_retries_are_attributed_to_the_first_try() -> None:
     record = Record()
     plan = [planned(0, 1.0)]
     Story(record, plan[0]).answer(1.1, "busy")
     Story(record, plan[0], 1, sent_at=1.2).answer(1.75)
     service = measure_service(record, S, plan)
     assert (service.whole.first_tries, service.whole.in_time, service.retries) == (1, 1, 1)
-    assert service.latencies["grid-read"][0.5] == pytest.approx(0.75)  # from the first, not from the retry
+    assert service.latencies["grid-read"][0.5] == pytest.approx(
+        0.75
+    )  # from the first try, not from the retry
 
 
-def test_time_counts_from_when_it_was_due_to_be_sent() -> None:
+def test_latency_counts_from_the_scheduled_time() -> None:
     record = Record()
     plan = [planned(0, 1.0)]
-    Story(record, plan[0], sent_at=1.5).answer(1.9)  # sent late: a stalled loop wins nothing by that
+    Story(record, plan[0], sent_at=1.5).answer(1.9)  # sent late: a stalled loop gains nothing by it
     assert measure_service(record, S, plan).whole.in_time == 0
 
 
-def test_worth_goes_by_work() -> None:
+def test_worth_is_proportional_to_work() -> None:
     record = Record()
     plan = [planned(0, 1.0, work=0.11), planned(1, 1.1, work=0.33)]
     Story(record, plan[0]).answer(1.2)
@@ -62,10 +64,10 @@
     assert measure_service(record, S, plan).whole.share == pytest.approx(1 / 4)
 
 
-def test_what_a_title_asks_for_beyond_its_share_is_worth_less() -> None:
+def test_requests_beyond_a_titles_share_are_worth_less() -> None:
     text = "[load]\nrate = 10\nover_share_worth = 0.2\n[[class]]\nname = 'grid-read'\nshare = 1\n"
     conf = scenario(text + "[[title]]\nname = 'daily'\nshare = 1\n[[title]]\nname = 'junior'\nshare = 1\n")
-    # 10/s of 0.11 s with room for a quarter more is 1.375 s a second, half of it for each; 2 s of it at once
+    # 10/s of 0.11 s and a quarter more is 1.375 s per second, half of it for each title; 2 s of it at once
     record, plan = Record(), [planned(n, 1.0) for n in range(20)]
     for p in plan:
         Story(record, p).answer(1.1)
@@ -83,7 +85,7 @@
     assert measure_service(record, S, plan).whole.first_tries == 1
 
 
-def test_a_window_cut_short_by_the_end_counts_only_if_most_of_it_is_there() -> None:
+def test_a_shortened_last_window_counts_only_above_the_minimum_length() -> None:
     record = Record()
     plan = [planned(0, 1.0), planned(1, 5.5)]
     Story(record, plan[0]).answer(1.1)
@@ -96,15 +98,22 @@
 @pytest.mark.parametrize(
     ("kind", "at", "ended", "kept_back"),
     [
-        ("busy", 1.3, Ended.BUSY, False),  # may have waited for a place until its wanted time
+        ("busy", 1.3, Ended.BUSY, False),  # may have waited in a queue until its wanted time
         ("busy", 1.8, Ended.BUSY, False),
-        ("failed", 2.0, Ended.ERROR, True),  # nothing was out for it since 1.1, and it was of no more use
+        (
+            "failed",
+            2.0,
+            Ended.ERROR,
+            True,
+        ),  # no attempt was open since 1.1, and an answer was no longer useful
         ("busy", 2.0, Ended.BUSY, True),
-        ("busy", 2.0, Ended.LEFT, False),  # when it was abandoned is not known
+        ("busy", 2.0, Ended.LEFT, False),  # the time of its abandonment is unknown
         ("VA", 2.0, Ended.SERVED, False),
     ],
 )
-def test_answers_kept_back(kind: str, at: float, ended: Ended, kept_back: bool) -> None:
+def test_failure_answers_held_back_without_reason(
+    kind: str, at: float, ended: Ended, kept_back: bool
+) -> None:
     record = Record()
     plan = [planned(0, 1.0)]
     story = Story(record, plan[0])
@@ -129,7 +138,7 @@
     assert quantiles([float(n) for n in range(1, 1001)]) == {0.5: 500, 0.9: 900, 0.99: 990, 0.999: 999}
 
 
-def test_a_kit_that_is_late_itself_gives_no_verdict() -> None:
+def test_a_late_kit_gives_no_verdict() -> None:
     late = Lateness()
     for _ in range(98):
         late.add(0.0)
--- a/tests/rehearsal/test_soak.py
+++ b/tests/rehearsal/test_soak.py
@@ -1,4 +1,4 @@
-"""The soak test: the same worlds from the same seeds, and router processes that keep rules and invariants."""
+"""The soak test: equal scenarios from equal seeds, and router processes that keep rules and invariants."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 FOLDER = Path(__file__).parents[1] / "mutants" / "soak"
 MUTANTS = sorted(path.stem for path in FOLDER.glob("*.py") if path.stem != "__init__")
-MAX_SEEDS = 5  # that it may take to find one
+MAX_SEEDS = 5  # tried until a mutant is found
 
 
 def test_a_seed_draws_the_same_overlapping_faults_each_time() -> None:
@@ -46,7 +46,7 @@
 
 
 def test_each_world_ends_routers_at_the_earliest_moment_that_its_deadlines_allow() -> None:
-    """Guards against a soak that leaves routers more time to end than the protocol does."""
+    """Guards against a soak that gives routers more time to shut down than the protocol."""
     seen = set()
     for seed in range(40):
         world = draw_world(seed)
@@ -58,8 +58,8 @@
     assert seen == {3.7, 3.1, 1.9}
 
 
-def test_all_troubles_are_drawn_within_a_few_seeds() -> None:
-    """Guards against a trouble that is written and never played."""
+def test_all_extra_faults_are_drawn_within_a_few_seeds() -> None:
+    """Guards against an extra fault that is implemented and never drawn."""
     worlds = [draw_world(seed) for seed in range(10)]
     troubles = [draw_extra_faults(seed, world) for seed, world in enumerate(worlds)]
     assert any(found.second_terms for found in troubles) and any(found.early_terms for found in troubles)
@@ -79,7 +79,7 @@
     assert series >= 2 and silences >= 1
 
 
-def test_a_crowd_takes_its_size_and_opens_others_for_those_that_are_closed() -> None:
+def test_a_pool_of_idle_connections_keeps_its_size() -> None:
     async def play() -> tuple[int, int]:
         accepted: list[asyncio.StreamWriter] = []
         server = await asyncio.start_server(lambda _, writer: accepted.append(writer), "127.0.0.1", 0)
@@ -154,8 +154,8 @@
             self._goes_on.set()
 
 
-def test_a_router_that_is_stopped_as_the_run_ends_is_asked_for_its_counters_all_the_same() -> None:
-    """Guards against a soak that waits for a router which only itself could let go on."""
+def test_counters_are_read_from_a_router_that_was_suspended_as_the_run_ended() -> None:
+    """Guards against a soak that waits for a router which it has suspended itself."""
     router = HeldUpRouter()
 
     async def play() -> dict[str, int]:
@@ -181,7 +181,9 @@
 
 
 @pytest.mark.sockets
-@pytest.mark.parametrize("seed", [1, 5])  # with a crowd, signals in series and short deadlines or windows
+@pytest.mark.parametrize(
+    "seed", [1, 5]
+)  # with idle connections, repeated signals and short deadlines or windows
 def test_a_few_processes_under_overlapping_faults_keep_rules_and_invariants(seed: int) -> None:
     result = play_few_processes(seed)
     assert result.findings == []
@@ -191,7 +193,7 @@
 @pytest.mark.sockets
 @pytest.mark.parametrize("seed", [3017, 3049])
 def test_routers_that_start_while_their_agent_is_silent_send_to_no_draining_server(seed: int) -> None:
-    """Guards against sends by the old list of a process that has started during an outage of discovery."""
+    """Guards against a process started in an outage of discovery that sends by its outdated list."""
     result = play_until_verdict(lambda: asyncio.run(soak(seed)), lambda played: played.no_verdict)
     assert result.findings == []
 
@@ -199,7 +201,7 @@
 @pytest.mark.sockets
 @pytest.mark.parametrize("name", MUTANTS)
 def test_a_soak_finds_each_broken_router(name: str) -> None:
-    """Guards against a trouble that finds nothing; the soak of before found none of these routers."""
+    """Guards against an extra fault that finds nothing; a soak without them finds none of these routers."""
     mutant = importlib.import_module(f"tests.mutants.soak.{name}")
     command = (sys.executable, "-B", "-m", "tests.mutants", f"soak.{name}")
     findings: list[str] = []
