--- a/benchmarks/accord_service.py
+++ b/benchmarks/accord_service.py
@@ -25,7 +25,7 @@
 from ironrail.rehearsal.links.tier import Known
 from ironrail.rehearsal.links.tierrouter import drawing
 from ironrail.rehearsal.scenario.model import Scenario
-from ironrail.rehearsal.scenario.names import hall_of
+from ironrail.rehearsal.scenario.names import zone_of
 from ironrail.rehearsal.virtual.play import play_virtual
 
 SIZES = (7, 9, 12)
@@ -41,10 +41,10 @@
         self._change_every = every
         self.asked = self.taken = 0
 
-    async def _carry_out(self) -> None:
+    async def _inject_faults(self) -> None:
         if self._change_every:
             self._spawn(self._change())
-        await super()._carry_out()
+        await super()._inject_faults()
 
     async def _change(self) -> None:
         routers = list(self._routers.values())
@@ -88,7 +88,7 @@
             "caches": {"count": 2 * routers, "cores": 2},
         }
     )
-    halls = tuple(hall_of(scenario, n) for n in range(routers))
+    halls = tuple(zone_of(scenario, n) for n in range(routers))
     peers = Known(key_files={1: ""}, sending_key_id=1, zones=halls, voters=(0, 1, 2), start_mode="floor")
     plan: list[LinkFault] = [link_fault("delay", "routers <> routers", 0.0, length, 0.001, 0.099)]
     rehearsals: list[Changing] = []
--- a/benchmarks/halls_figures.py
+++ b/benchmarks/halls_figures.py
@@ -6,7 +6,7 @@
 
 from ironrail.rehearsal.account.record import Ended
 from ironrail.rehearsal.run import Result
-from ironrail.rehearsal.scenario.names import hall_of
+from ironrail.rehearsal.scenario.names import zone_of
 
 
 @dataclass(frozen=True, slots=True)
@@ -32,7 +32,7 @@
         halls = result.scenario
 
         def hall(name: str) -> str:
-            return hall_of(halls, int(name.rpartition("-")[2]) - 1)
+            return zone_of(halls, int(name.rpartition("-")[2]) - 1)
 
         return cls(
             result.service.whole.share,
--- a/benchmarks/halls_worlds.py
+++ b/benchmarks/halls_worlds.py
@@ -29,7 +29,7 @@
 from ironrail.rehearsal.links.plan import LinkFault, link_fault
 from ironrail.rehearsal.links.rig import LinkedRehearsal
 from ironrail.rehearsal.scenario.model import Scenario
-from ironrail.rehearsal.scenario.names import cache_names, hall_of, router_names
+from ironrail.rehearsal.scenario.names import cache_names, router_names, zone_of
 from ironrail.rehearsal.standins.lanes import Way
 from ironrail.rehearsal.virtual.play import play_virtual
 
@@ -109,7 +109,7 @@
     def _build(self, folder: Path) -> None:
         super()._build(folder)
         names = [*router_names(self._scenario), *cache_names(self._scenario)]
-        halls = {name: hall_of(self._scenario, int(name.rpartition("-")[2]) - 1) for name in names}
+        halls = {name: zone_of(self._scenario, int(name.rpartition("-")[2]) - 1) for name in names}
         for source, target, door in self._doors():
             apart = self._matrix.get((halls.get(source, ""), halls.get(target, "")))
             if apart is not None:
@@ -119,10 +119,10 @@
             fault = link_fault("delay", f"{one} > {other}", 0.0, 1.0, apart)
             self._linked.links.exchange.begin(1000 + number, fault, path_of(fault.on, self._places))
 
-    async def _carry_out(self) -> None:
+    async def _inject_faults(self) -> None:
         if self._truth:
             self._spawn(self._tell())
-        await super()._carry_out()
+        await super()._inject_faults()
 
     async def _tell(self) -> None:
         """Each router is told how things are, as they change."""
@@ -133,7 +133,7 @@
 
     def _tell_all(self, faults: tuple[LinkFault, ...]) -> None:
         for number, name in enumerate(router_names(self._scenario)):
-            own = hall_of(self._scenario, number)
+            own = zone_of(self._scenario, number)
             links = {own: ZoneLink(LinkState.GOOD, OWN, OWN, 0.0, 0.0)}
             for other in self._scenario.halls.names:
                 if other == own:
@@ -150,7 +150,7 @@
 
     def _there(self, hall: str) -> str:
         return next(
-            n for i, n in enumerate(router_names(self._scenario)) if hall_of(self._scenario, i) == hall
+            n for i, n in enumerate(router_names(self._scenario)) if zone_of(self._scenario, i) == hall
         )
 
 
@@ -172,7 +172,7 @@
     with tempfile.TemporaryDirectory() as folder:
         key = Path(folder) / "key"
         key.write_text("a key of all the routers")
-        standing = tuple(hall_of(made, n) for n in range(made.routers.count))
+        standing = tuple(zone_of(made, n) for n in range(made.routers.count))
         peers = PeerSettings({1: str(key)}, 1, standing, zone_latency_map=True)
         operator = OperatorSettings(peers=peers if mode == "on" else None)
         rehearsal = partial(World, plan=plan, matrix=matrix, truth=mode == "truth")
--- a/ironrail/rehearsal/account/service.py
+++ b/ironrail/rehearsal/account/service.py
@@ -61,7 +61,7 @@
     whole: Tally = field(default_factory=Tally)
     classes: dict[str, Tally] = field(default_factory=dict)
     titles: dict[str, Tally] = field(default_factory=dict)
-    halls: dict[str, Tally] = field(default_factory=dict)
+    zones: dict[str, Tally] = field(default_factory=dict)
     windows: dict[int, Tally] = field(default_factory=dict)
     latencies: dict[str, dict[float, float]] = field(default_factory=dict)  # seconds, by class and quantile
     outcomes: dict[str, int] = field(default_factory=dict)  # number of tries by outcome
@@ -181,7 +181,7 @@
         service.whole,
         service.classes.setdefault(planned.kind, Tally()),
         service.titles.setdefault(planned.title, Tally()),
-        service.halls.setdefault(planned.hall, Tally()),
+        service.zones.setdefault(planned.hall, Tally()),
         service.windows.setdefault(int(planned.at // WINDOW_SECONDS), Tally()),
     )
     if gained < worth:
--- a/ironrail/rehearsal/faults/injector.py
+++ b/ironrail/rehearsal/faults/injector.py
@@ -75,7 +75,7 @@
     outages: OutageLog = field(default_factory=OutageLog)
     stalls: dict[Planned, asyncio.TimerHandle] = field(default_factory=dict)
 
-    def carry_out(self, step: Step) -> None:
+    def apply(self, step: Step) -> None:
         """Begin or end a fault."""
         kind, planned = step.planned.fault.kind, step.planned
         if kind in REPLY_FAULTS:
@@ -145,16 +145,16 @@
 
     def _cut_zones(self, planned: Planned, begins: bool) -> None:
         """Block traffic in both directions between a zone and the others; the archive is in no zone."""
-        halls = self.world.halls
-        for hall in planned.victims:
+        zones = self.world.halls
+        for zone in planned.victims:
             for cache in self.fleet.caches.values():
                 for router, door in cache.doors.items():
-                    if (cache.hall == hall) is (halls[router] == hall):
+                    if (cache.hall == zone) is (zones[router] == zone):
                         continue
                     if begins:
-                        door.begin_silence((planned, hall))
+                        door.begin_silence((planned, zone))
                     else:
-                        door.end_silence((planned, hall))
+                        door.end_silence((planned, zone))
 
     def _inject_list_fault(self, planned: Planned, kind: FaultKind, begins: bool) -> None:
         if kind in DEFAULT_LIST_ANSWER_SEVERITY:
--- a/ironrail/rehearsal/faults/plan.py
+++ b/ironrail/rehearsal/faults/plan.py
@@ -8,11 +8,11 @@
 from ironrail.rehearsal.draws import stream
 from ironrail.rehearsal.scenario.faults import Fault, FaultKind
 from ironrail.rehearsal.scenario.model import Scenario
-from ironrail.rehearsal.scenario.names import cache_names, hall_of, router_names
+from ironrail.rehearsal.scenario.names import cache_names, router_names, zone_of
 
 # fault kinds for caches that may target the archive as well
 ARCHIVE_TARGET_KINDS = (FaultKind.ERRORS, FaultKind.RESET, FaultKind.SPOILT, FaultKind.LATE_RESET)
-CACHES, ROUTERS, HALLS, ARCHIVE, LOAD, LIST = "caches", "routers", "halls", "archive", "load", "list"
+CACHES, ROUTERS, ZONES, ARCHIVE, LOAD, LIST = "caches", "routers", "halls", "archive", "load", "list"
 TARGET_ROLES = {
     FaultKind.VANISH: CACHES,
     FaultKind.STALL: CACHES,
@@ -30,7 +30,7 @@
     FaultKind.SECOND_ANSWER: CACHES,
     FaultKind.HANG: CACHES,
     FaultKind.LATE_RESET: CACHES,
-    FaultKind.HALL_CUT: HALLS,
+    FaultKind.HALL_CUT: ZONES,
     FaultKind.LIST_SILENT: LIST,
     FaultKind.LIST_EMPTY: LIST,
     FaultKind.LIST_ABSURD: LIST,
@@ -102,14 +102,14 @@
         if whom:
             raise PlanError(f"fault {number + 1} ({fault.kind}): takes no `whom`")
         return ()
-    halls = scenario.halls.names
-    names = {CACHES: cache_names(scenario), ROUTERS: router_names(scenario), HALLS: halls}[role]
+    zones = scenario.halls.names
+    names = {CACHES: cache_names(scenario), ROUTERS: router_names(scenario), ZONES: zones}[role]
     if whom in names or whom == ARCHIVE and fault.kind in ARCHIVE_TARGET_KINDS:
         return (whom,)
     if whom == "all":
         return tuple(names)
-    if whom in halls and role is not HALLS:
-        return tuple(name for i, name in enumerate(names) if hall_of(scenario, i) == whom)
+    if whom in zones and role is not ZONES:
+        return tuple(name for i, name in enumerate(names) if zone_of(scenario, i) == whom)
     count = 1 if not whom else _count(whom, role)
     if count is None or count > len(names):
         raise PlanError(f"fault {number + 1} ({fault.kind}): no {role} are called {whom!r}")
--- a/ironrail/rehearsal/links/accord_rig.py
+++ b/ironrail/rehearsal/links/accord_rig.py
@@ -9,7 +9,7 @@
 from ironrail.rehearsal.links.plan import LinkFault, Step
 from ironrail.rehearsal.links.rig import LinkedRehearsal
 from ironrail.rehearsal.scenario.model import Scenario
-from ironrail.rehearsal.scenario.names import hall_of
+from ironrail.rehearsal.scenario.names import zone_of
 
 ROUTERS = 7
 VOTERS = (0, 1, 2)  # one in each hall
@@ -34,7 +34,7 @@
 def operator_file(folder: Path, scenario: Scenario, lease: float = LEASE) -> Path:
     """The same for all routers; voters keep their records below `folder`."""
     (folder / "key").write_bytes(b"a key of all routers")
-    halls = [hall_of(scenario, n) for n in range(scenario.routers.count)]
+    halls = [zone_of(scenario, n) for n in range(scenario.routers.count)]
     for voter in VOTERS:
         (folder / f"keep-{voter}").mkdir()
     path = folder / "operator.toml"
@@ -66,9 +66,9 @@
         """Seconds since the start of the load that counts."""
         return self._world.now()
 
-    async def _carry_out(self) -> None:
+    async def _inject_faults(self) -> None:
         self.began.set()
-        await super()._carry_out()
+        await super()._inject_faults()
 
     async def _load(self) -> None:
         loading = asyncio.ensure_future(super()._load())
--- a/ironrail/rehearsal/links/paths.py
+++ b/ironrail/rehearsal/links/paths.py
@@ -12,7 +12,7 @@
 
 from ironrail.errors import InputError
 from ironrail.rehearsal.scenario.model import Scenario
-from ironrail.rehearsal.scenario.names import cache_names, hall_of, router_names
+from ironrail.rehearsal.scenario.names import cache_names, router_names, zone_of
 
 ARCHIVE, DISCOVERY, CLIENTS = "archive", "discovery", "clients"
 FORM = re.compile(r"\s*([a-z0-9-]+)\s*(<?>)\s*([a-z0-9-]+)\s*")
@@ -38,7 +38,7 @@
         groups = {name: frozenset({name}) for name in singles}
         for hall in scenario.halls.names:
             there = [
-                n for names in (routers, caches) for i, n in enumerate(names) if hall_of(scenario, i) == hall
+                n for names in (routers, caches) for i, n in enumerate(names) if zone_of(scenario, i) == hall
             ]
             groups[hall] = frozenset(there)
         groups |= {"routers": frozenset(routers), "caches": frozenset(caches), "all": frozenset(singles)}
--- a/ironrail/rehearsal/links/rig.py
+++ b/ironrail/rehearsal/links/rig.py
@@ -117,13 +117,13 @@
 
     # The plan
 
-    async def _carry_out(self) -> None:
+    async def _inject_faults(self) -> None:
         if self._page:
             observer = Observer(self._routers.values, self._page, self._every, self._world.now)
             self.seen = observer.seen
             self._spawn(observer.run())
         self._spawn(self._carry_links())
-        await super()._carry_out()
+        await super()._inject_faults()
 
     async def _carry_links(self) -> None:
         try:
@@ -138,7 +138,7 @@
     def _step(self, step: Step) -> None:
         fault, cause = step.fault, ("link", step.number)
         if fault.kind in PROCESSES:
-            self._fault_injector.carry_out(faults.Step(step.at, step.begins, self._signal(step)))
+            self._fault_injector.apply(faults.Step(step.at, step.begins, self._signal(step)))
         elif fault.kind in SLOTS:
             self._linked.links.switches[fault.on][SLOTS[fault.kind]] = fault.hardness if step.begins else 0.0
         else:
--- a/ironrail/rehearsal/links/tier.py
+++ b/ironrail/rehearsal/links/tier.py
@@ -24,7 +24,7 @@
 from ironrail.rehearsal.links.tierrouter import TierRouter
 from ironrail.rehearsal.links.tierwatch import TierWatch
 from ironrail.rehearsal.scenario.model import Scenario
-from ironrail.rehearsal.scenario.names import hall_of, router_names
+from ironrail.rehearsal.scenario.names import router_names, zone_of
 from ironrail.rehearsal.settings import config_of
 from ironrail.rehearsal.virtual.datagrams import Datagrams
 from ironrail.rehearsal.virtual.loop import START, VirtualLoop
@@ -65,7 +65,7 @@
         self.scenario = Scenario.model_validate(table)
         self.places = Places.of(self.scenario)
         self.names = router_names(self.scenario)
-        halls = tuple(hall_of(self.scenario, n) for n in range(routers))
+        halls = tuple(zone_of(self.scenario, n) for n in range(routers))
         self.operator = OperatorSettings(
             peers=Known(
                 key_files={1: ""},
--- a/ironrail/rehearsal/processes.py
+++ b/ironrail/rehearsal/processes.py
@@ -25,7 +25,7 @@
 STOP_TIMEOUT_SECONDS = 8.0  # from SIGTERM until a router is killed
 
 
-class Processes:
+class RouterManager:
     """The router processes of one run, by name; a subclass creates the stand-ins around them."""
 
     _folder: Path
--- a/ironrail/rehearsal/report/document.py
+++ b/ironrail/rehearsal/report/document.py
@@ -116,7 +116,7 @@
         "whole": _tally(service.whole),
         "classes": {n: _tally(t) | {"judged": t.judged} for n, t in sorted(service.classes.items())},
         "titles": {n: _tally(t) | {"judged": t.judged} for n, t in sorted(service.titles.items())},
-        "halls": {name: _tally(t) for name, t in sorted(service.halls.items())},
+        "halls": {name: _tally(t) for name, t in sorted(service.zones.items())},
         "windows": [{"from": n * WINDOW_SECONDS, **_tally(t)} for n, t in sorted(service.windows.items())],
         "latencies": {
             kind: {str(q): seconds for q, seconds in found.items()}
--- a/ironrail/rehearsal/report/page.py
+++ b/ironrail/rehearsal/report/page.py
@@ -32,7 +32,7 @@
 
 def _parts(result: Result) -> list[tuple[str, object]]:
     service = result.service
-    groups = (("class", service.classes), ("title", service.titles), ("hall", service.halls))
+    groups = (("class", service.classes), ("title", service.titles), ("hall", service.zones))
     parts: list[tuple[str, object]] = [("whole", service.whole)]
     return parts + [
         (f"{kind} {name}", tally) for kind, group in groups for name, tally in sorted(group.items())
--- a/ironrail/rehearsal/report/table.py
+++ b/ironrail/rehearsal/report/table.py
@@ -108,7 +108,7 @@
     for name in (*names, "median", "p99", "p99.9", "judged"):
         table.add_column(name, justify="right" if name and name != "judged" else "left")
     parts = {"whole": service.whole}
-    for kind, group in (("class", service.classes), ("title", service.titles), ("hall", service.halls)):
+    for kind, group in (("class", service.classes), ("title", service.titles), ("hall", service.zones)):
         parts |= {f"{kind} {name}": tally for name, tally in sorted(group.items())}
     for name, tally in parts.items():
         latencies = service.latencies.get(name.removeprefix("class "), {})
--- a/ironrail/rehearsal/run.py
+++ b/ironrail/rehearsal/run.py
@@ -15,11 +15,11 @@
 from ironrail.rehearsal.ground import Ground, RealGround, Router, ready
 from ironrail.rehearsal.lateness import Lateness
 from ironrail.rehearsal.load.schedule import Planned, digest, make_schedule
-from ironrail.rehearsal.processes import Processes
+from ironrail.rehearsal.processes import RouterManager
 from ironrail.rehearsal.result import Result, Sample
 from ironrail.rehearsal.routers import OWN_ROUTER
 from ironrail.rehearsal.scenario.model import Scenario
-from ironrail.rehearsal.scenario.names import cache_names, hall_of, router_names
+from ironrail.rehearsal.scenario.names import cache_names, router_names, zone_of
 from ironrail.rehearsal.standins.archive import Archive
 from ironrail.rehearsal.standins.clients import Clients
 from ironrail.rehearsal.standins.fleet import Fleet, make_caches, rows_of
@@ -42,7 +42,7 @@
     """Do nothing before the routers are stopped."""
 
 
-class Rehearsal(Processes):
+class Rehearsal(RouterManager):
     """One run of a scenario."""
 
     def __init__(
@@ -86,10 +86,10 @@
 
     def _build(self, folder: Path) -> None:
         scenario, names = self._scenario, router_names(self._scenario)
-        halls = {n: hall_of(scenario, i) for i, n in enumerate(names)}
-        halls |= {n: hall_of(scenario, i) for i, n in enumerate(cache_names(scenario))}
+        zones = {n: zone_of(scenario, i) for i, n in enumerate(names)}
+        zones |= {n: zone_of(scenario, i) for i, n in enumerate(cache_names(scenario))}
         ground = self._ground
-        self._world = World(scenario, self._seed, self._record, halls, ground.listen, ground.wall)
+        self._world = World(scenario, self._seed, self._record, zones, ground.listen, ground.wall)
         caches = make_caches(self._world, names)
         self._archive = Archive(self._world, "archive", "", names)
         addresses = {router: door.address for router, door in self._archive.doors.items()}
@@ -97,7 +97,7 @@
         self._rows = rows
         self._registry = Registry(self._world, rows, names)
         self._fleet = Fleet(self._world, caches, self._registry)
-        self._front = Front(scenario.routers.front_notice, {n: Seen(halls[n]) for n in names})
+        self._front = Front(scenario.routers.front_notice, {n: Seen(zones[n]) for n in names})
         self._folder = folder
         for name in names:
             self._record.routers[name] = RouterFacts()
@@ -138,10 +138,10 @@
         loop = asyncio.get_running_loop()
         self._world.start = loop.time() + LOAD_DELAY_SECONDS + self._scenario.warm_up
         self._spawn(self._sample())
-        faults_carried_out = self._spawn(self._carry_out())
+        faults_injected = self._spawn(self._inject_faults())
         await self._load()
         await self._finish()
-        await faults_carried_out  # raises if not all planned faults were injected
+        await faults_injected  # raises if not all planned faults were injected
         return self._lateness.too_late()
 
     async def _load(self) -> None:
@@ -155,13 +155,13 @@
             self._clients.send(planned)
         await asyncio.sleep(max(0.0, self._scenario.length - self._world.now()))
 
-    async def _carry_out(self) -> None:
+    async def _inject_faults(self) -> None:
         for step in faults.steps(self._plan):
             await asyncio.sleep(max(0.0, step.at - self._world.now()))
             self._progress(
                 self._world.now(), f"{'begins' if step.begins else 'ends'}: {step.planned.label()}"
             )
-            self._fault_injector.carry_out(step)
+            self._fault_injector.apply(step)
 
     async def _finish(self) -> None:
         """Wait for open requests and for faults that outlast the load, then stop the routers."""
--- a/ironrail/rehearsal/scenario/names.py
+++ b/ironrail/rehearsal/scenario/names.py
@@ -13,6 +13,6 @@
     return [f"router-{n + 1}" for n in range(scenario.routers.count)]
 
 
-def hall_of(scenario: Scenario, number: int) -> str:
+def zone_of(scenario: Scenario, number: int) -> str:
     """Return the zone of a cache or router by its number; zones are assigned round-robin."""
     return scenario.halls.names[number % len(scenario.halls.names)]
--- a/ironrail/rehearsal/virtual/worlds.py
+++ b/ironrail/rehearsal/virtual/worlds.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 from ironrail.rehearsal.draws import stream
-from ironrail.rehearsal.faults.plan import CACHES, HALLS, ROUTERS, TARGET_ROLES
+from ironrail.rehearsal.faults.plan import CACHES, ROUTERS, TARGET_ROLES, ZONES
 from ironrail.rehearsal.scenario.faults import CutKind, FaultKind
 from ironrail.rehearsal.scenario.model import Scenario
 from ironrail.rehearsal.scenario.names import cache_names, router_names
@@ -152,7 +152,7 @@
     victims = {
         CACHES: [*cache_names(scenario), "all"],
         ROUTERS: router_names(scenario),
-        HALLS: scenario.halls.names,
+        ZONES: scenario.halls.names,
     }.get(TARGET_ROLES[kind])
     if victims is not None:
         fault["whom"] = draws.choice(victims)
--- a/tests/rehearsal/links/readers_stage.py
+++ b/tests/rehearsal/links/readers_stage.py
@@ -14,7 +14,7 @@
 from ironrail.rehearsal.links.grounds import VirtualLinks
 from ironrail.rehearsal.links.rig import LinkedRehearsal
 from ironrail.rehearsal.scenario.model import Scenario
-from ironrail.rehearsal.scenario.names import hall_of, router_names
+from ironrail.rehearsal.scenario.names import router_names, zone_of
 from ironrail.rehearsal.standins.clientpool import ClientPool
 from ironrail.rehearsal.standins.front import Front
 from ironrail.rehearsal.virtual.play import Virtual, play_virtual
@@ -98,7 +98,7 @@
                 router = self._ground.address_of(number)
                 for client in range(CLIENTS):
                     reader = self.world.address(region, client)
-                    seconds = by_hall[hall_of(self._scenario, number)]
+                    seconds = by_hall[zone_of(self._scenario, number)]
                     ways[reader, router] = ways[router, reader] = seconds
 
     def kept(self, who: str) -> str | None:
@@ -109,10 +109,10 @@
                 return router
         return None
 
-    async def _carry_out(self) -> None:
+    async def _inject_faults(self) -> None:
         self._spawn(self._follow())
         self._spawn(self._change())
-        await super()._carry_out()
+        await super()._inject_faults()
 
     async def _follow(self) -> None:
         """Found the first policy, again while the offer is lost, and have fronts read the rows."""
--- a/tests/rehearsal/links/readers_world.py
+++ b/tests/rehearsal/links/readers_world.py
@@ -11,7 +11,7 @@
 from ironrail.rehearsal.links.plan import LinkFault
 from ironrail.rehearsal.load.schedule import Planned, make_schedule
 from ironrail.rehearsal.scenario.model import Scenario
-from ironrail.rehearsal.scenario.names import hall_of
+from ironrail.rehearsal.scenario.names import zone_of
 
 CLIENTS = 24  # of each region
 STRAYS = 6  # of these, who keep to a router of another hall whatever rows say: they are the evidence
@@ -59,7 +59,7 @@
 
     def operator(self, folder: Path, steered: bool) -> OperatorSettings:
         (folder / "key").write_bytes(b"a key of all routers")
-        halls = tuple(hall_of(self.scenario(), n) for n in range(self.routers))
+        halls = tuple(zone_of(self.scenario(), n) for n in range(self.routers))
         peers = PeerSettings(
             {1: str(folder / "key")}, 1, halls, voters=(0, 1, 2), lease_milliseconds=1000, start_mode="floor",
             steering_interval=self.steer_every if steered else 0, requests_per_weight=self.per_weight,
--- a/tests/rehearsal/links/test_halls.py
+++ b/tests/rehearsal/links/test_halls.py
@@ -13,7 +13,7 @@
 from ironrail.rehearsal.links.rig import LinkedRehearsal
 from ironrail.rehearsal.run import Result
 from ironrail.rehearsal.scenario.model import Scenario
-from ironrail.rehearsal.scenario.names import hall_of
+from ironrail.rehearsal.scenario.names import zone_of
 from ironrail.rehearsal.virtual.play import play_virtual
 
 ROUTERS, SEED = 6, 1
@@ -45,7 +45,7 @@
 
 def play(folder: Path, plan: list[LinkFault], scenario: Scenario, on: bool) -> Result:
     (folder / "key").write_bytes(b"a key of all routers")
-    standing = tuple(hall_of(scenario, n) for n in range(ROUTERS))
+    standing = tuple(zone_of(scenario, n) for n in range(ROUTERS))
     peers = PeerSettings({1: str(folder / "key")}, 1, standing, zone_latency_map=on)
 
     def rehearsal(*args: object, **others: object) -> LinkedRehearsal:
--- a/tests/rehearsal/test_new_days.py
+++ b/tests/rehearsal/test_new_days.py
@@ -181,16 +181,16 @@
 
 def test_each_of_these_fault_kinds_is_injected(monkeypatch: pytest.MonkeyPatch) -> None:
     begun: list[str] = []
-    carry_out = FaultInjector.carry_out
+    apply = FaultInjector.apply
 
     def noted(self: FaultInjector, step: object) -> None:
-        carry_out(self, step)  # type: ignore[arg-type]
+        apply(self, step)  # type: ignore[arg-type]
         caches = self.fleet.caches.values()
         begun.extend("hang" for c in caches if c._hangs)
         begun.extend("late" for c in caches if any(door._lates for door in c.doors.values()))
         begun.extend("second" for c in caches if c.replies._faults)
 
-    monkeypatch.setattr(FaultInjector, "carry_out", noted)
+    monkeypatch.setattr(FaultInjector, "apply", noted)
     day: Scenario = read_scenario(str(FOLDER / "days.toml"))
     play_virtual(day, 1)
     assert set(begun) == {"hang", "late", "second"}
--- a/tests/rehearsal/test_ports.py
+++ b/tests/rehearsal/test_ports.py
@@ -75,7 +75,7 @@
     def fail(self: FaultInjector, step: Step) -> None:
         raise OSError("Address already in use")
 
-    monkeypatch.setattr(FaultInjector, "carry_out", fail)
+    monkeypatch.setattr(FaultInjector, "apply", fail)
     fault = {"kind": "stall", "whom": "cache-1", "at": "500 ms", "lasts": "500 ms"}
     world = {"summary": "x", "length": "2 s", "warm_up": "0 s", "load": {"rate": 20.0}, "fault": [fault]}
     with pytest.raises(OSError, match="Address already in use"):
