--- a/ironrail/rehearsal/account/leaving.py
+++ b/ironrail/rehearsal/account/leaving.py
@@ -73,10 +73,10 @@
         if one.excuse not in JUDGED_EXCUSES:  # a suspended router can't know when the try was sent
             continue
         for attempt in sorted(one.attempts, key=lambda a: a.first_at)[1:]:
-            if attempt.late or attempt.told is None:
+            if attempt.late or attempt.announced_wait is None:
                 continue
             count += 1
-            beyond = attempt.told - (one.due - attempt.first_at)
+            beyond = attempt.announced_wait - (one.due - attempt.first_at)
             if beyond > WAIT_TOLERANCE_SECONDS:
                 what = f"told {attempt.server} {beyond:.2f} s more than was left to the client"
                 found.append((one, attempt.first_at, what))
--- a/ironrail/rehearsal/account/record.py
+++ b/ironrail/rehearsal/account/record.py
@@ -60,7 +60,9 @@
     ended: Ended = Ended.OPEN
     ended_at: float | None = None
     effect_at: float | None = None  # when a write was executed
-    told: float | None = None  # seconds that its client still waits, as announced in the request, if at all
+    announced_wait: float | None = (
+        None  # seconds that its client still waits, as announced in the request, if at all
+    )
 
     def end(self, ended: Ended, at: float) -> None:
         if self.ended is Ended.OPEN:
@@ -204,8 +206,8 @@
         self.strays: list[Stray] = []
         self.stray_count = 0
         self.collapses: list[CacheCollapse] = []
-        self.told: dict[tuple[str, str], list[StateNotice]] = {}
-        self.starts: dict[
+        self.state_notices: dict[tuple[str, str], list[StateNotice]] = {}
+        self.known_starts: dict[
             tuple[str, str], int
         ] = {}  # start times in ms that routers were notified of, by router and server
         self.routers: dict[str, RouterFacts] = {}
@@ -235,9 +237,9 @@
         if len(self.strays) < MAX_STRAYS:
             self.strays.append(Stray(at, where, text))
 
-    def tell(self, router: str, server: str, state: str, at: float, started_ms: int = 0) -> None:
+    def add_state_notice(self, router: str, server: str, state: str, at: float, started_ms: int = 0) -> None:
         """Record that a router was notified of a server's state; a repeated state is ignored."""
-        self.starts[router, server] = started_ms
-        known = self.told.setdefault((router, server), [])
+        self.known_starts[router, server] = started_ms
+        known = self.state_notices.setdefault((router, server), [])
         if not known or known[-1].state != state:
             known.append(StateNotice(at, state))
--- a/ironrail/rehearsal/account/rules.py
+++ b/ironrail/rehearsal/account/rules.py
@@ -61,7 +61,7 @@
         ]
         found += [
             Violation("drains", at, what, one.request, one.history())
-            for at, what in _sent_to_drained(one, record.told, scenario.registry.grace)
+            for at, what in _sent_to_drained(one, record.state_notices, scenario.registry.grace)
         ]
     for one, at, what in abandoned_request_violations(record, KIT_LATENESS_SECONDS):
         found.append(Violation("gone-clients", at, what, one.request, one.history()))
--- a/ironrail/rehearsal/processes.py
+++ b/ironrail/rehearsal/processes.py
@@ -69,11 +69,11 @@
     def _record_initial_list(self, name: str) -> None:
         """Record what a new process knows: the list in its configuration and nothing else."""
         rows, now = {row.id for row in self._rows}, self._world.now()
-        for router, server in list(self._record.told):  # known to the previous process
+        for router, server in list(self._record.state_notices):  # known to the previous process
             if router == name and server not in rows:
-                self._record.tell(name, server, "in_service", now)
+                self._record.add_state_notice(name, server, "in_service", now)
         for row in self._rows:
-            self._record.tell(name, row.id, row.state, now)
+            self._record.add_state_notice(name, row.id, row.state, now)
         self._registry.agents[name].started()
 
     async def _stop(self, router: Router) -> None:
--- a/ironrail/rehearsal/standins/archive.py
+++ b/ironrail/rehearsal/standins/archive.py
@@ -59,7 +59,7 @@
         name, key = request.headers.get("request-id", ""), unquote(request.target.removeprefix("/"))
         attempt = Attempt(self.name, connection.door.router, True, connection.first_at, now, connection.late)
         info = info_of(request.headers.get("request-info", ""))
-        attempt.told = seconds_told(info)
+        attempt.announced_wait = seconds_told(info)
         fetch = Fetch(request, connection, attempt, key, name)
         connection.fetch = fetch
         if request.target.startswith("/-/"):
--- a/ironrail/rehearsal/standins/cacheconnection.py
+++ b/ironrail/rehearsal/standins/cacheconnection.py
@@ -90,7 +90,7 @@
         first_at = self._first_at if self._first_at is not None else now
         behind = bool(self._turns)
         attempt = Attempt(self._cache.id, self.door.router, False, first_at, now, self.late, behind)
-        attempt.told = seconds_told(command.info)
+        attempt.announced_wait = seconds_told(command.info)
         self._first_at = now
         one = self._cache.world.record.attempt(command.request, attempt)
         if one is not None and (command.key != one.planned.key or command.value is not None):
--- a/ironrail/rehearsal/standins/gridcache.py
+++ b/ironrail/rehearsal/standins/gridcache.py
@@ -119,7 +119,7 @@
 
     def _informed(self, router: str) -> bool:
         """Whether a router was told that this process has started."""
-        return self.world.record.starts.get((router, self.id), 0) >= self.started_ms
+        return self.world.record.known_starts.get((router, self.id), 0) >= self.started_ms
 
     def _start(self, turn: Turn) -> None:
         delay = self.world.apart(turn.connection.door.router, self.hall)
--- a/ironrail/rehearsal/standins/telling.py
+++ b/ironrail/rehearsal/standins/telling.py
@@ -89,7 +89,7 @@
         self._broken.pop(call, None)
         if self.lost:
             return
-        now, told = self._world.now(), self._world.record.tell
+        now, told = self._world.now(), self._world.record.add_state_notice
         for row in rows:
             told(self._router, row.id, row.state, now, row.started_ms)
         if full:
@@ -159,17 +159,19 @@
         if not self.lost and self._is_news(news):
             row = self._rows.get(news[0])
             started = row.started_ms if row is not None else 0
-            self._world.record.tell(self._router, *news, self._world.now(), started)
+            self._world.record.add_state_notice(self._router, *news, self._world.now(), started)
 
     def _is_news(self, news: News) -> bool:
         """Whether it is what the agent has, and not what the router knows."""
         server, state = news
-        row, known = self._rows.get(server), self._world.record.told.get((self._router, server))
+        row, known = self._rows.get(server), self._world.record.state_notices.get((self._router, server))
         if state != (row.state if row is not None else GONE):
             return False
         if not known or known[-1].state != state:
             return True
-        return row is not None and self._world.record.starts.get((self._router, server)) != row.started_ms
+        return (
+            row is not None and self._world.record.known_starts.get((self._router, server)) != row.started_ms
+        )
 
     def _untold(self) -> Iterator[News]:
         """What the agent has and the router does not know."""
@@ -179,7 +181,7 @@
 
     def _missing(self, there: Iterable[str]) -> list[News]:
         """Servers that the router was told of, and a whole list has no longer."""
-        told = self._world.record.told
+        told = self._world.record.state_notices
         return [
             (server, GONE) for server in self._ever if server not in there and (self._router, server) in told
         ]
--- a/tests/net/discovery/test_watch_timeout_played.py
+++ b/tests/net/discovery/test_watch_timeout_played.py
@@ -69,5 +69,5 @@
     assert not played.result.broken and not played.faults
     assert played.result.service.whole.share > 0.97
     for router in played.result.record.routers:
-        states = [told.state for told in played.result.record.told[router, "cache-1"]]
+        states = [told.state for told in played.result.record.state_notices[router, "cache-1"]]
         assert "terminating" in states
--- a/tests/rehearsal/fleet/test_parts.py
+++ b/tests/rehearsal/fleet/test_parts.py
@@ -87,16 +87,16 @@
     servers = Counter(a.server for one in record.tries.values() for a in one.attempts if a.last_at > 3.0)
     assert servers["cache-2-2"] > 20 and not servers["cache-2"]
     for router in record.routers:
-        assert record.told[router, "cache-2"][-1].state == "terminated"
-        assert record.told[router, "cache-2-2"][-1].state == "in_service"
+        assert record.state_notices[router, "cache-2"][-1].state == "terminated"
+        assert record.state_notices[router, "cache-2-2"][-1].state == "in_service"
     assert 0.0 < record.cold["cache-2-2", max(s for i, s in record.cold if i == "cache-2-2")] <= 1.0
 
 
 def test_replaced_twice_it_has_a_third_id() -> None:
     again = REPLACED + '[[fault]]\nkind = "replace"\nwhom = "cache-2"\nat = "4 s"\nlasts = "500 ms"\n'
     record = play_virtual(scenario(again), 1).result.record
-    assert ("router-1", "cache-2-3") in record.told
-    assert record.told["router-1", "cache-2-2"][-1].state == "terminated"
+    assert ("router-1", "cache-2-3") in record.state_notices
+    assert record.state_notices["router-1", "cache-2-2"][-1].state == "terminated"
 
 
 ASKED = """
--- a/tests/rehearsal/list_stage.py
+++ b/tests/rehearsal/list_stage.py
@@ -37,7 +37,7 @@
     def starts(self) -> None:
         """A process of the router, which knows the list of its configuration."""
         for row in self.rows.values():
-            self.record.tell(R, row.id, row.state, self.world.now())
+            self.record.add_state_notice(R, row.id, row.state, self.world.now())
         self.agent.started()
 
     def learn(self, state: str) -> None:
@@ -62,7 +62,7 @@
 
     def told(self) -> list[tuple[float, str]]:
         """When the router was told of the cache, or counts as told: in tenths of a second."""
-        return [(round(told.at, 1), told.state) for told in self.record.told[R, CACHE]][1:]
+        return [(round(told.at, 1), told.state) for told in self.record.state_notices[R, CACHE]][1:]
 
 
 def on_stage(test: Callable[[ListStage], Coroutine[Any, Any, None]], text: str = "") -> None:
--- a/tests/rehearsal/test_leaving.py
+++ b/tests/rehearsal/test_leaving.py
@@ -70,8 +70,8 @@
 def add_overstated_wait(record: Record, number: int, beyond: float) -> None:
     """Add a miss and a further attempt that overstated the remaining time by `beyond` seconds."""
     story = Story(record, planned(number))
-    story.attempt(1.0, ended=Ended.MISS).told = 5.0  # the first attempt is not judged
-    story.attempt(1.5, "archive", Ended.SERVED).told = story.one.due - 1.5 + beyond
+    story.attempt(1.0, ended=Ended.MISS).announced_wait = 5.0  # the first attempt is not judged
+    story.attempt(1.5, "archive", Ended.SERVED).announced_wait = story.one.due - 1.5 + beyond
     story.answer(1.6)
 
 
--- a/tests/rehearsal/test_rules.py
+++ b/tests/rehearsal/test_rules.py
@@ -183,15 +183,15 @@
 ) -> None:
     record = Record()
     for when, state in told:
-        record.tell("router-1", "cache-1", state, when)
-        record.tell("router-2", "cache-1", "terminated", 0.0)  # a notice to another router
+        record.add_state_notice("router-1", "cache-1", state, when)
+        record.add_state_notice("router-2", "cache-1", "terminated", 0.0)  # a notice to another router
     Story(record, planned(at=at)).attempt(at)
     assert [r for r, _ in rules(record)] == ["drains"] * broken
 
 
 def test_an_attempt_of_unknown_sending_time_breaks_no_drain_rule() -> None:
     record = Record()
-    record.tell("router-1", "cache-1", "terminated", 0.0)
+    record.add_state_notice("router-1", "cache-1", "terminated", 0.0)
     Story(record, planned(at=5.0)).attempt(5.0).late = True
     assert rules(record) == []
 
--- a/tests/rehearsal/test_standins_list.py
+++ b/tests/rehearsal/test_standins_list.py
@@ -21,7 +21,7 @@
         news = await watch
         (row,) = cast(list[dict[str, str]], news["servers"])
         assert (row["id"], row["state"], news["full"]) == ("cache-1", "terminating", False)
-        assert [t.state for t in s.record.told[R, "cache-1"]] == ["in_service", "terminating"]
+        assert [t.state for t in s.record.state_notices[R, "cache-1"]] == ["in_service", "terminating"]
 
 
 @scenario
@@ -35,7 +35,7 @@
         agent.end_lost("f")
         back = await ask(connection, f"/api/targets?index={lost['version']}&wait=5000")
         assert back["full"] and len(back["servers"]) == 3  # type: ignore[arg-type]
-        assert [t.state for t in s.record.told[R, "cache-1"]] == ["in_service"]
+        assert [t.state for t in s.record.state_notices[R, "cache-1"]] == ["in_service"]
 
 
 @scenario
--- a/tests/rehearsal/virtual/test_list_clock_played.py
+++ b/tests/rehearsal/virtual/test_list_clock_played.py
@@ -47,7 +47,9 @@
     assert not played.result.broken and not played.faults
     assert played.result.service.whole.share > 0.98
     for router in played.result.record.routers:
-        told = [t.at for t in played.result.record.told[router, "cache-1"] if t.state == "terminating"]
+        told = [
+            t.at for t in played.result.record.state_notices[router, "cache-1"] if t.state == "terminating"
+        ]
         assert told and told[0] < length - 2
 
 
