--- a/benchmarks/accord_service.py
+++ b/benchmarks/accord_service.py
@@ -27,7 +27,7 @@
 from ironrail.rehearsal.links.tier import Known
 from ironrail.rehearsal.links.tierrouter import drawing
 from ironrail.rehearsal.scenario.model import Scenario
-from ironrail.rehearsal.scenario.names import hall_of
+from ironrail.rehearsal.scenario.names import zone_of
 from ironrail.rehearsal.virtual.runner import run_virtual
 
 ROUTER_COUNTS = (7, 9, 12)
@@ -44,10 +44,10 @@
         self._change_every = every
         self.asked = self.taken = 0
 
-    async def _carry_out(self) -> None:
+    async def _inject_faults(self) -> None:
         if self._change_every:
             self._spawn(self._change())
-        await super()._carry_out()
+        await super()._inject_faults()
 
     async def _change(self) -> None:
         routers = list(self._routers.values())
@@ -65,7 +65,7 @@
             self.taken += status == 202
 
     async def _call(self, router: Any, head: str, body: str = "") -> str:
-        reader, writer = await asyncio.open_connection(*router.door)
+        reader, writer = await asyncio.open_connection(*router.admin_endpoint)
         writer.write(f"{head} HTTP/1.1\r\nHost: x\r\nContent-Length: {len(body)}\r\n\r\n{body}".encode())
         answer = (await reader.read()).decode()
         writer.close()
@@ -91,7 +91,7 @@
             "caches": {"count": 2 * routers, "cores": 2},
         }
     )
-    zones = tuple(hall_of(scenario, n) for n in range(routers))
+    zones = tuple(zone_of(scenario, n) for n in range(routers))
     peers = Known(key_files={1: ""}, sending_key_id=1, zones=zones, voters=(0, 1, 2), start_mode="floor")
     plan: list[LinkFault] = [link_fault("delay", "routers <> routers", 0.0, length, 0.001, 0.099)]
     rehearsals: list[ChangingRehearsal] = []
--- a/benchmarks/zone_figures.py
+++ b/benchmarks/zone_figures.py
@@ -6,7 +6,6 @@
 
 from ironrail.rehearsal.account.record import Ended
 from ironrail.rehearsal.run import Result
-from ironrail.rehearsal.scenario.names import hall_of
 
 
 @dataclass(frozen=True, slots=True)
@@ -40,15 +39,15 @@
         hits, misses = (sum(a.ended is e for a in attempts) for e in (Ended.SERVED, Ended.MISS))
         scenario = result.scenario
 
-        def zone_of(name: str) -> str:
-            return hall_of(scenario, int(name.rpartition("-")[2]) - 1)
+        def zone_of_node(name: str) -> str:
+            return zone_of(scenario, int(name.rpartition("-")[2]) - 1)
 
         return cls(
             result.service.whole.share,
             max(result.service.latencies[kind][0.99] for kind in ("grid-read", "quick-read")),
             hits / max(1, hits + misses),
             sum(at >= 0 for at in result.record.archive_fetches),
-            sum(zone_of(a.router) != zone_of(a.server) for a in attempts),
+            sum(zone_of_node(a.router) != zone_of_node(a.server) for a in attempts),
         )
 
 
--- a/benchmarks/zone_scenarios.py
+++ b/benchmarks/zone_scenarios.py
@@ -31,7 +31,7 @@
 from ironrail.rehearsal.links.plan import LinkFault, link_fault
 from ironrail.rehearsal.links.rig import LinkedRehearsal
 from ironrail.rehearsal.scenario.model import Scenario
-from ironrail.rehearsal.scenario.names import cache_names, hall_of, router_names
+from ironrail.rehearsal.scenario.names import cache_names, router_names, zone_of
 from ironrail.rehearsal.standins.delay_line import Direction
 from ironrail.rehearsal.virtual.runner import run_virtual
 
@@ -120,7 +120,7 @@
     def _build(self, folder: Path) -> None:
         super()._build(folder)
         names = [*router_names(self._scenario), *cache_names(self._scenario)]
-        zones = {name: hall_of(self._scenario, int(name.rpartition("-")[2]) - 1) for name in names}
+        zones = {name: zone_of(self._scenario, int(name.rpartition("-")[2]) - 1) for name in names}
         for source, target, door in self._doors():
             latency = self._matrix.get((zones.get(source, ""), zones.get(target, "")))
             if latency is not None:
@@ -130,10 +130,10 @@
             fault = link_fault("delay", f"{one} > {other}", 0.0, 1.0, latency)
             self._linked.links.exchange.begin(1000 + number, fault, path_of(fault.on, self._places))
 
-    async def _carry_out(self) -> None:
+    async def _inject_faults(self) -> None:
         if self._truth:
             self._spawn(self._publish_truth())
-        await super()._carry_out()
+        await super()._inject_faults()
 
     async def _publish_truth(self) -> None:
         """Give each router the true state of its links, as faults begin and end."""
@@ -144,7 +144,7 @@
 
     def _publish_links(self, faults: tuple[LinkFault, ...]) -> None:
         for number, name in enumerate(router_names(self._scenario)):
-            own_zone = hall_of(self._scenario, number)
+            own_zone = zone_of(self._scenario, number)
             links = {
                 own_zone: ZoneLink(
                     LinkState.GOOD, LOCAL_ROUND_TRIP_SECONDS, LOCAL_ROUND_TRIP_SECONDS, 0.0, 0.0
@@ -168,7 +168,7 @@
 
     def _router_in(self, zone: str) -> str:
         return next(
-            n for i, n in enumerate(router_names(self._scenario)) if hall_of(self._scenario, i) == zone
+            n for i, n in enumerate(router_names(self._scenario)) if zone_of(self._scenario, i) == zone
         )
 
 
@@ -201,7 +201,7 @@
     with tempfile.TemporaryDirectory() as folder:
         key = Path(folder) / "key"
         key.write_text("a key of all the routers")
-        router_zones = tuple(hall_of(played_scenario, n) for n in range(played_scenario.routers.count))
+        router_zones = tuple(zone_of(played_scenario, n) for n in range(played_scenario.routers.count))
         peers = PeerSettings({1: str(key)}, 1, router_zones, zone_latency_map=True)
         operator = OperatorSettings(peers=peers if mode == "on" else None)
         rehearsal = partial(ZonesRehearsal, plan=plan, matrix=matrix, truth=mode == "truth")
--- a/ironrail/rehearsal/fleet/counts.py
+++ b/ironrail/rehearsal/fleet/counts.py
@@ -7,7 +7,7 @@
 from collections.abc import Mapping
 from dataclasses import dataclass, field
 
-from ironrail.rehearsal.account.record import Call, Outcome, Record
+from ironrail.rehearsal.account.record import ListCallOutcome, Outcome, Record
 from ironrail.rehearsal.losses.tap import Decided
 from ironrail.rehearsal.scenario.model import Scenario
 from ironrail.rehearsal.verdicts import Verdict
@@ -66,7 +66,7 @@
                 str(mine.why) if mine is not None and mine.why is not None else UNKNOWN_CAUSE
             ] += 1
     _count_list(counts, record)
-    counts.cold_starts, counts.caches_overloaded = len(record.cold), len(record.fallen)
+    counts.cold_starts, counts.caches_overloaded = len(record.cold), len(record.collapses)
     if record.cold:
         (counts.max_cold_load_cache, _), counts.max_cold_load = max(
             record.cold.items(), key=lambda item: item[1]
@@ -84,7 +84,9 @@
         counts.peak_list_calls = max(counts.peak_list_calls, last - first + 1)
     each = Counter(call.router for call in calls)
     counts.max_list_calls_per_router = max(each.values(), default=0)
-    counts.routers_listed = len({call.router for call in record.list_calls if call.ended is Call.TOLD})
+    counts.routers_listed = len(
+        {call.router for call in record.list_calls if call.ended is ListCallOutcome.TOLD}
+    )
 
 
 def judge_fleet(counts: Counts, scenario: Scenario) -> list[Verdict]:
--- a/ironrail/rehearsal/scenario/names.py
+++ b/ironrail/rehearsal/scenario/names.py
@@ -1,4 +1,4 @@
-"""What the parts of a scenario are called, and in which hall each stands. Pure."""
+"""The names of a scenario's caches and routers, and the zone of each."""
 
 from __future__ import annotations
 
@@ -13,6 +13,6 @@
     return [f"router-{n + 1}" for n in range(scenario.routers.count)]
 
 
-def hall_of(scenario: Scenario, number: int) -> str:
-    """Caches and routers are dealt out over the halls in turn."""
+def zone_of(scenario: Scenario, number: int) -> str:
+    """Return the zone of a cache or router by its number; zones are assigned round-robin."""
     return scenario.halls.names[number % len(scenario.halls.names)]
--- a/ironrail/rehearsal/settings.py
+++ b/ironrail/rehearsal/settings.py
@@ -1,4 +1,4 @@
-"""The configuration that the platform would give each router of a scenario."""
+"""Builds the configuration that the platform would give each router of a scenario."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from ironrail.rehearsal.standins.fleet import CACHE_KIND, ORIGIN_KIND
 
 EFFECTS = {Repeats.SAFE: "free", Repeats.KEYED: "guarded", Repeats.NEVER: "single_shot"}
-MOST_TRIES = 3
+MAX_TRIES = 3
 
 
 def _class(kind: RequestClass) -> dict[str, Any]:
@@ -26,7 +26,7 @@
 
 
 def settings_of(scenario: Scenario, number: int) -> dict[str, Any]:
-    """The settings object of one router."""
+    """Return the settings object of one router."""
     caches = scenario.caches
     return {
         "classes": [_class(kind) for kind in scenario.classes],
@@ -34,7 +34,7 @@
         "familyInfo": {"mode": "aside", "originKind": 1},
         "skus": [CACHE_KIND, ORIGIN_KIND],
         "limits": {
-            "mostTries": MOST_TRIES,
+            "mostTries": MAX_TRIES,
             "mayCancel": scenario.limits.may_cancel,
             "secondCopies": scenario.limits.second_copies,
             "dialTimeout": scenario.limits.dial,
@@ -66,7 +66,7 @@
     rows: list[dict[str, Any]],
     operator: str,
 ) -> dict[str, Any]:
-    """The whole configuration of one router, as the deployment page has it."""
+    """Return the complete configuration of one router, in the documented format."""
     return {
         "name": name,
         "listen": listen,
--- a/ironrail/rehearsal/standins/agent.py
+++ b/ironrail/rehearsal/standins/agent.py
@@ -11,7 +11,7 @@
 import asyncio
 from collections.abc import Iterable
 
-from ironrail.rehearsal.account.record import Call, ListCall
+from ironrail.rehearsal.account.record import ListCall, ListCallOutcome
 from ironrail.rehearsal.scenario.faults import FaultKind
 from ironrail.rehearsal.standins.agent_connection import JSON, AgentConnection, parse_target
 from ironrail.rehearsal.standins.call_queue import CallQueue
@@ -193,10 +193,10 @@
         if is_answered:
             self._serve(connection, index, wait)
             return
-        self._record_call(connection, Call.REFUSED)
+        self._record_call(connection, ListCallOutcome.REFUSED)
         connection.respond(503, b"")
 
-    def _record_call(self, connection: AgentConnection, ended: Call) -> None:
+    def _record_call(self, connection: AgentConnection, ended: ListCallOutcome) -> None:
         if self._queue is not None:
             call = ListCall(self.world.now(), self.router, connection.queued, ended)
             self.world.record.list_calls.append(call)
@@ -263,7 +263,7 @@
         hit = [kind for kind, share in self._answer_faults.values() if self._draws.random() < share]
         if not hit:
             connection.respond(200, data, JSON)
-            self._record_call(connection, Call.TOLD)
+            self._record_call(connection, ListCallOutcome.TOLD)
             self._delivery.answered(connection, rows, full)
             return False
         stops_short = False
@@ -271,6 +271,6 @@
             stops_short = not connection.respond_half(data, closes=self._draws.random() < 0.5)
         else:  # LIST_SPOILT
             connection.respond(200, data[: len(data) // 2], JSON)
-        self._record_call(connection, Call.SPOILT)
+        self._record_call(connection, ListCallOutcome.SPOILT)
         self._delivery.answer_corrupted(connection, rows, full, stops_short)
         return True
--- a/ironrail/rehearsal/standins/cache_connection.py
+++ b/ironrail/rehearsal/standins/cache_connection.py
@@ -98,7 +98,7 @@
         first_at = self._first_at if self._first_at is not None else now
         behind = bool(self._pending)
         attempt = Attempt(self._cache.id, self.endpoint.router, False, first_at, now, self.late, behind)
-        attempt.told = client_timeout_seconds(command.info)
+        attempt.announced_wait = client_timeout_seconds(command.info)
         self._first_at = now
         one = self._cache.world.record.attempt(command.request, attempt)
         if one is not None and (command.key != one.planned.key or command.value is not None):
--- a/ironrail/rehearsal/standins/cache_server.py
+++ b/ironrail/rehearsal/standins/cache_server.py
@@ -5,7 +5,7 @@
 import asyncio
 from functools import partial
 
-from ironrail.rehearsal.account.record import Ended, Fallen
+from ironrail.rehearsal.account.record import CacheCollapse, Ended
 from ironrail.rehearsal.scenario.faults import FaultKind
 from ironrail.rehearsal.standins.cache_connection import CacheConnection, PendingCommand
 from ironrail.rehearsal.standins.faulty_endpoint import FaultyEndpoint
@@ -115,8 +115,8 @@
             self.world.record.cold[self.id, self.started_ms] = self._warm_up.max_load_ratio
         if overload is not None and not self.has_collapsed:
             self.has_collapsed = True
-            self.world.record.fallen.append(
-                Fallen(now, self.id, overload.sent, overload.allowed, overload.informed)
+            self.world.record.collapses.append(
+                CacheCollapse(now, self.id, overload.sent, overload.allowed, overload.informed)
             )
             for endpoint in self.endpoints.values():
                 endpoint.begin_silence("fallen")
@@ -124,7 +124,7 @@
 
     def _is_informed(self, router: str) -> bool:
         """Whether a router was told that this process has started."""
-        return self.world.record.starts.get((router, self.id), 0) >= self.started_ms
+        return self.world.record.known_starts.get((router, self.id), 0) >= self.started_ms
 
     def _start(self, pending: PendingCommand) -> None:
         delay = self.world.round_trip_seconds(pending.connection.endpoint.router, self.zone)
--- a/ironrail/rehearsal/standins/client_pool.py
+++ b/ironrail/rehearsal/standins/client_pool.py
@@ -6,7 +6,7 @@
 from collections import deque
 from typing import Any, Protocol, cast
 
-from ironrail.rehearsal.account.record import Given, Outcome, Try, value_digest
+from ironrail.rehearsal.account.record import Outcome, ReceivedAnswer, Try, value_digest
 from ironrail.rehearsal.standins.meta_protocol import Answer, AnswerReader, InvalidMetaError
 from ironrail.rehearsal.standins.world import World
 
@@ -76,7 +76,7 @@
         if one is None:
             return  # unsolicited, on an unused connection: such as a refusal of the connection
         value = value_digest(answer.body) if answer.kind in ("VA", "HD") else None
-        one.answers.append(Given(now, answer.kind, answer.request, value, answer.retry_after))
+        one.answers.append(ReceivedAnswer(now, answer.kind, answer.request, value, answer.retry_after))
         if not is_expected:
             return
         self._latest = one
@@ -100,7 +100,7 @@
         for one in in_flight:
             if partial_answer:
                 now = self._pool.clients.world.now()
-                one.answers.append(Given(now, partial_answer, "", None, None))
+                one.answers.append(ReceivedAnswer(now, partial_answer, "", None, None))
                 one.end(Outcome.FAILED, now)
                 self._pool.clients.try_ended(one, None)
             else:
--- a/ironrail/rehearsal/standins/clients.py
+++ b/ironrail/rehearsal/standins/clients.py
@@ -10,8 +10,8 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from ironrail.rehearsal.account.record import LEFT, Outcome, Try
-from ironrail.rehearsal.account.rules import LATE_GRANTED, OWN_SLACK
+from ironrail.rehearsal.account.record import CLIENT_LEFT, Outcome, Try
+from ironrail.rehearsal.account.rules import KIT_LATENESS_SECONDS, LATE_ANSWER_TOLERANCE_SECONDS
 from ironrail.rehearsal.draws import stream, token
 from ironrail.rehearsal.load.schedule import Planned
 from ironrail.rehearsal.scenario.model import Repeats, RequestClass
@@ -79,7 +79,7 @@
         self.world.record.begin(one)
         data = self._encode(planned, name, timeout, number)
         early = self._early_leave_after(kind, timeout)
-        limit = timeout + LATE_GRANTED + OWN_SLACK if early is None else early
+        limit = timeout + LATE_ANSWER_TOLERANCE_SECONDS + KIT_LATENESS_SECONDS if early is None else early
         timer = self._loop.call_later(limit, self._time_out, name, early is not None)
         self._open_tries[name] = OpenTry(one, timer, data)
         if kept is not None:
@@ -133,7 +133,7 @@
             return
         one = open_try.one
         if early:
-            one.excuse = self.excuse_of(one) or LEFT
+            one.excuse = self.excuse_of(one) or CLIENT_LEFT
         for connection in list(self.pools[one.router].all):
             if one in connection.in_flight:
                 connection.give_up(one)
@@ -153,7 +153,7 @@
         now = self.world.now()
         for connection in self.pools[router].all:
             for one in connection.in_flight:
-                if one.request in self._open_tries and one.sent_at < now - OWN_SLACK:
+                if one.request in self._open_tries and one.sent_at < now - KIT_LATENESS_SECONDS:
                     one.killed_at = now
 
     def connect_failed(self, one: Try) -> None:
--- a/ironrail/rehearsal/standins/delivery.py
+++ b/ironrail/rehearsal/standins/delivery.py
@@ -106,7 +106,7 @@
         self._failed_calls.pop(call, None)
         if self.list_is_false:
             return
-        now, record_delivery = self._world.now(), self._world.record.tell
+        now, record_delivery = self._world.now(), self._world.record.add_state_notice
         for row in rows:
             record_delivery(self._router, row.id, row.state, now, row.started_ms)
         if full:
@@ -183,17 +183,19 @@
         if not self.list_is_false and self._is_undelivered(change):
             row = self._rows.get(change[0])
             started = row.started_ms if row is not None else 0
-            self._world.record.tell(self._router, *change, self._world.now(), started)
+            self._world.record.add_state_notice(self._router, *change, self._world.now(), started)
 
     def _is_undelivered(self, change: StateChange) -> bool:
         """Whether the agent's list agrees with the change, and the router doesn't know it yet."""
         server, state = change
-        row, known = self._rows.get(server), self._world.record.told.get((self._router, server))
+        row, known = self._rows.get(server), self._world.record.state_notices.get((self._router, server))
         if state != (row.state if row is not None else TERMINATED):
             return False
         if not known or known[-1].state != state:
             return True
-        return row is not None and self._world.record.starts.get((self._router, server)) != row.started_ms
+        return (
+            row is not None and self._world.record.known_starts.get((self._router, server)) != row.started_ms
+        )
 
     def _undelivered(self) -> Iterator[StateChange]:
         """What the agent's list holds and the router doesn't know."""
@@ -203,7 +205,7 @@
 
     def _removed(self, listed: Iterable[str]) -> list[StateChange]:
         """Servers that the router was told of, and that the whole list no longer has."""
-        told = self._world.record.told
+        told = self._world.record.state_notices
         return [
             (server, TERMINATED)
             for server in self._known_servers
--- a/ironrail/rehearsal/standins/origin_server.py
+++ b/ironrail/rehearsal/standins/origin_server.py
@@ -62,7 +62,7 @@
             self.name, connection.endpoint.router, True, connection.first_at, now, connection.late
         )
         info = parse_info(request.headers.get("request-info", ""))
-        attempt.told = client_timeout_seconds(info)
+        attempt.announced_wait = client_timeout_seconds(info)
         origin_request = OriginRequest(request, connection, attempt, key, name)
         connection.latest = origin_request
         if request.target.startswith("/-/"):
--- a/ironrail/rehearsal/virtual/environment.py
+++ b/ironrail/rehearsal/virtual/environment.py
@@ -109,7 +109,7 @@
     ) -> None:
         self._environment, self.name, self.facts, self._on_exit = environment, name, facts, on_exit
         self._table = orjson.dumps(config)
-        self.address, self.door = read_address(config["listen"]), read_address(config["operator"])
+        self.address, self.admin_endpoint = read_address(config["listen"]), read_address(config["operator"])
         self._is_stop_requested = False
         self._incarnations = 0
         self.process: Process | None = None
--- a/ironrail/rehearsal/virtual/explore.py
+++ b/ironrail/rehearsal/virtual/explore.py
@@ -10,7 +10,7 @@
 
 import tomli_w
 
-from ironrail.rehearsal.account.leaving import begun_after
+from ironrail.rehearsal.account.leaving import attempts_after_departure
 from ironrail.rehearsal.account.record import Outcome
 from ironrail.rehearsal.scenario.model import Scenario
 from ironrail.rehearsal.virtual.loop import SimulationStalledError
@@ -66,7 +66,7 @@
         yield fault.kind, fault.what
     for broken in played.result.broken:
         yield f"rule {broken.rule}", f"{broken.what}: {broken.request}"
-    for one, attempt in begun_after(
+    for one, attempt in attempts_after_departure(
         played.result.record, 0.0
     ):  # tolerated up to two times in a rehearsal, never here
         after = attempt.first_at - (one.left_at or 0.0)
@@ -88,7 +88,7 @@
         last + RECOVERY_SECONDS - RECOVERED_WINDOW_SECONDS, scenario.length - RECOVERED_WINDOW_SECONDS
     )
     fallen = (
-        played.result.record.fallen
+        played.result.record.collapses
     )  # never recover: overloaded by routers that could not know, or by a broken rule
     if not scenario.faults or fallen or since > scenario.length - 0.5:
         return
--- a/tests/rehearsal/links/readers_stage.py
+++ b/tests/rehearsal/links/readers_stage.py
@@ -14,7 +14,7 @@
 from ironrail.rehearsal.links.grounds import VirtualLinks
 from ironrail.rehearsal.links.rig import LinkedRehearsal
 from ironrail.rehearsal.scenario.model import Scenario
-from ironrail.rehearsal.scenario.names import hall_of, router_names
+from ironrail.rehearsal.scenario.names import router_names, zone_of
 from ironrail.rehearsal.standins.client_pool import ClientPool
 from ironrail.rehearsal.standins.load_balancer import LoadBalancer
 from ironrail.rehearsal.virtual.runner import VirtualRun, run_virtual
@@ -82,7 +82,7 @@
         super()._build(folder)
         front = RegionFront(self._front.notice, self._front.routers, self._front.terminating, self._front.hot)
         front.regions = self
-        self._front = self._clients._load_balancer = self._carrier.front = front
+        self._front = self._clients._load_balancer = self._fault_injector.front = front
         self.at_router = {
             name: Pools(self, name, door.address) for name, door in self._linked.links.doors.items()
         }
@@ -98,7 +98,7 @@
                 router = self._ground.address_of(number)
                 for client in range(CLIENTS):
                     reader = self.world.address(region, client)
-                    seconds = by_hall[hall_of(self._scenario, number)]
+                    seconds = by_hall[zone_of(self._scenario, number)]
                     ways[reader, router] = ways[router, reader] = seconds
 
     def kept(self, who: str) -> str | None:
@@ -109,10 +109,10 @@
                 return router
         return None
 
-    async def _carry_out(self) -> None:
+    async def _inject_faults(self) -> None:
         self._spawn(self._follow())
         self._spawn(self._change())
-        await super()._carry_out()
+        await super()._inject_faults()
 
     async def _follow(self) -> None:
         """Found the first policy, again while the offer is lost, and have fronts read the rows."""
@@ -126,7 +126,7 @@
                 self.rows = said.body["rows"]
 
     async def _found(self) -> None:
-        reader, writer = await asyncio.open_connection(*self._routers["router-1"].door)
+        reader, writer = await asyncio.open_connection(*self._routers["router-1"].admin_endpoint)
         body = b"epoch = 1\nversion = 1\n"
         writer.write(
             b"POST /-/policy/found HTTP/1.1\r\nHost: x\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body)
--- a/tests/rehearsal/test_new_days.py
+++ b/tests/rehearsal/test_new_days.py
@@ -1,4 +1,4 @@
-"""Caches that hang, come up late or answer twice."""
+"""Caches that hang, accept connections late or answer twice."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 import pytest
 
 from ironrail.rehearsal.account.record import Ended
-from ironrail.rehearsal.faults.carry import Carrier
+from ironrail.rehearsal.faults.injector import FaultInjector
 from ironrail.rehearsal.scenario.faults import FaultKind
 from ironrail.rehearsal.scenario.model import Network as Conditions
 from ironrail.rehearsal.scenario.model import Scenario
@@ -54,14 +54,14 @@
 
 
 @scenario
-async def test_what_hangs_for_two_causes_goes_on_with_the_last() -> None:
+async def test_a_cache_that_hangs_for_two_causes_continues_after_the_last() -> None:
     async with stage() as s:
         s.fleet.begin_hang("cache-1", "f")
         s.fleet.begin_hang("cache-1", "g")
         link, story = await wire(s.caches["cache-1"].endpoints[R].address), s.asked()
         link.read(story)
         await until(lambda: story.one.attempts)
-        s.caches["cache-1"].draining = True  # what it goes on with it turns away at once
+        s.caches["cache-1"].draining = True  # once it continues, it refuses the request at once
         s.fleet.end_hang("cache-1", "f")
         assert story.one.attempts[0].ended is Ended.OPEN
         s.fleet.end_hang("cache-1", "g")
@@ -97,7 +97,7 @@
     played = run_virtual(parse_scenario(text + 'whom = "all"\nat = "0 s"\nhard = 0.5\n', "x.toml"), 1)
     assert not played.result.broken and not played.violations
     faults = [log.count("a reply without a request") for log in played.result.logs.values()]
-    assert sum(faults) > 3  # a fault of the connection, not of the request: the first answer was good
+    assert sum(faults) > 3  # counted against the connection, as the first answer was valid
     assert played.result.service.whole.share > 0.9
 
 
@@ -139,19 +139,19 @@
     other = SocketListeningPort(0, lambda connection, late: connection.close())
     await asyncio.open_connection("127.0.0.1", other.port)
     assert not connect.done()
-    listening.hang()  # a silence too: it goes on hanging until both are over
+    listening.hang()  # hangs until both the delay and the silence are over
     listening.set_connect_delay(None)
     assert listening._fillers
     listening.resume()
     assert not listening._fillers
-    _, writer = await connect  # once the system tries again
+    _, writer = await connect  # once the system retransmits the SYN
     writer.close()
     listening.close()
     other.close()
 
 
 @scenario
-async def test_a_door_that_opens_anew_is_as_late_as_before() -> None:
+async def test_a_reopened_listener_keeps_its_connect_delay() -> None:
     told: list[object] = []
 
     class Told(SocketListeningPort):
@@ -170,27 +170,27 @@
     door.close()
 
 
-# All of it
+# Whole scenarios
 
 
-def test_the_true_router_keeps_all_rules_on_such_days() -> None:
+def test_the_unmodified_router_keeps_all_rules_under_these_faults() -> None:
     for seed in (1, 2):
         played = run_virtual(read_scenario(str(FOLDER / "days.toml")), seed)
         assert not [v for v in played.result.verdicts if not v.kept]
 
 
-def test_each_new_kind_is_carried_out(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_each_of_these_fault_kinds_is_injected(monkeypatch: pytest.MonkeyPatch) -> None:
     begun: list[str] = []
-    carry_out = Carrier.carry_out
+    apply = FaultInjector.apply
 
-    def noted(self: Carrier, step: object) -> None:
-        carry_out(self, step)  # type: ignore[arg-type]
+    def noted(self: FaultInjector, step: object) -> None:
+        apply(self, step)  # type: ignore[arg-type]
         caches = self.fleet.caches.values()
         begun.extend("hang" for c in caches if c._hangs)
         begun.extend("late" for c in caches if any(door._connect_delays for door in c.endpoints.values()))
         begun.extend("second" for c in caches if c.replies._faults)
 
-    monkeypatch.setattr(Carrier, "carry_out", noted)
+    monkeypatch.setattr(FaultInjector, "apply", noted)
     day: Scenario = read_scenario(str(FOLDER / "days.toml"))
     run_virtual(day, 1)
     assert set(begun) == {"hang", "late", "second"}
--- a/tests/rehearsal/test_standins_list.py
+++ b/tests/rehearsal/test_standins_list.py
@@ -21,7 +21,7 @@
         answer = await watch
         (row,) = cast(list[dict[str, str]], answer["servers"])
         assert (row["id"], row["state"], answer["full"]) == ("cache-1", "terminating", False)
-        assert [t.state for t in s.record.told[R, "cache-1"]] == ["in_service", "terminating"]
+        assert [t.state for t in s.record.state_notices[R, "cache-1"]] == ["in_service", "terminating"]
 
 
 @scenario
@@ -35,7 +35,7 @@
         agent.end_false_list("f")
         back = await ask(connection, f"/api/targets?index={false_list['version']}&wait=5000")
         assert back["full"] and len(back["servers"]) == 3  # type: ignore[arg-type]
-        assert [t.state for t in s.record.told[R, "cache-1"]] == ["in_service"]
+        assert [t.state for t in s.record.state_notices[R, "cache-1"]] == ["in_service"]
 
 
 @scenario
