--- a/benchmarks/zone_figures.py
+++ b/benchmarks/zone_figures.py
@@ -6,6 +6,7 @@
 
 from ironrail.rehearsal.account.record import Ended
 from ironrail.rehearsal.run import Result
+from ironrail.rehearsal.scenario.names import zone_of
 
 
 @dataclass(frozen=True, slots=True)
