--- a/benchmarks/accord_fleet.py
+++ b/benchmarks/accord_fleet.py
@@ -29,10 +29,10 @@
 from typing import Any
 
 from ironrail.rehearsal.links.paths import Path
+from ironrail.rehearsal.links.peer_group import Tier
+from ironrail.rehearsal.links.peer_group_cost import CountingDatagrams, CountingLoop, held
+from ironrail.rehearsal.links.peer_group_router import TierRouter
 from ironrail.rehearsal.links.plan import Kind, LinkFault, link_fault
-from ironrail.rehearsal.links.tier import Tier
-from ironrail.rehearsal.links.tiercost import CountingDatagrams, CountingLoop, held
-from ironrail.rehearsal.links.tierrouter import TierRouter
 
 DOWN_FRACTIONS = (0.0, 0.1, 0.4)
 FAULT_KINDS = (Kind.KILL, Kind.STOP, Kind.CUT)
--- a/benchmarks/accord_plans.py
+++ b/benchmarks/accord_plans.py
@@ -26,9 +26,9 @@
 from statistics import median
 from typing import Any
 
-from ironrail.rehearsal.links.accord_draws import Asked, draw_changes, draw_faults
-from ironrail.rehearsal.links.accord_rig import VOTERS, world
-from ironrail.rehearsal.links.accords import Stage, play
+from ironrail.rehearsal.links.consensus_plan_generator import Asked, draw_changes, draw_faults
+from ironrail.rehearsal.links.consensus_rehearsal import VOTERS, world
+from ironrail.rehearsal.links.consensus_stage import Stage, play
 from ironrail.rehearsal.routers import end_with_parent
 from ironrail.rehearsal.run import Result
 
--- a/benchmarks/accord_service.py
+++ b/benchmarks/accord_service.py
@@ -21,11 +21,11 @@
 from typing import Any
 
 from ironrail.operator_file import OperatorSettings
-from ironrail.rehearsal.links.grounds import VirtualLinks
+from ironrail.rehearsal.links.environments import VirtualLinks
+from ironrail.rehearsal.links.linked_rehearsal import LinkedRehearsal
+from ironrail.rehearsal.links.peer_group import Known
+from ironrail.rehearsal.links.peer_group_router import drawing
 from ironrail.rehearsal.links.plan import LinkFault, link_fault
-from ironrail.rehearsal.links.rig import LinkedRehearsal
-from ironrail.rehearsal.links.tier import Known
-from ironrail.rehearsal.links.tierrouter import drawing
 from ironrail.rehearsal.scenario.model import Scenario
 from ironrail.rehearsal.scenario.names import hall_of
 from ironrail.rehearsal.virtual.play import play_virtual
--- a/benchmarks/accord_storms.py
+++ b/benchmarks/accord_storms.py
@@ -19,9 +19,9 @@
 from functools import partial
 from typing import Any
 
-from ironrail.rehearsal.links.drawn import draw_plan
+from ironrail.rehearsal.links.peer_group import Tier
 from ironrail.rehearsal.links.plan import Kind, link_fault
-from ironrail.rehearsal.links.tier import Tier
+from ironrail.rehearsal.links.plan_generator import draw_plan
 
 # duration of a plan, time between two changes, faults of a plan
 PLAN_SECONDS, CHANGE_INTERVAL_SECONDS, NUM_FAULTS = 20.0, 4.0, 16
--- a/benchmarks/zone_scenarios.py
+++ b/benchmarks/zone_scenarios.py
@@ -26,10 +26,10 @@
 
 from ironrail.operator_file import OperatorSettings, PeerSettings
 from ironrail.policy.events import LinkState, ZoneLink, ZoneLinksChanged
-from ironrail.rehearsal.links.grounds import VirtualLinks
+from ironrail.rehearsal.links.environments import VirtualLinks
+from ironrail.rehearsal.links.linked_rehearsal import LinkedRehearsal
 from ironrail.rehearsal.links.paths import path_of
 from ironrail.rehearsal.links.plan import LinkFault, link_fault
-from ironrail.rehearsal.links.rig import LinkedRehearsal
 from ironrail.rehearsal.scenario.model import Scenario
 from ironrail.rehearsal.scenario.names import cache_names, hall_of, router_names
 from ironrail.rehearsal.standins.lanes import Way
--- a/ironrail/rehearsal/links/accord_rig.py
+++ b/ironrail/rehearsal/links/consensus_rehearsal.py
@@ -6,8 +6,8 @@
 from pathlib import Path
 from typing import Any
 
+from ironrail.rehearsal.links.linked_rehearsal import LinkedRehearsal
 from ironrail.rehearsal.links.plan import LinkFault, Step
-from ironrail.rehearsal.links.rig import LinkedRehearsal
 from ironrail.rehearsal.scenario.model import Scenario
 from ironrail.rehearsal.scenario.names import hall_of
 
--- a/ironrail/rehearsal/links/accords.py
+++ b/ironrail/rehearsal/links/consensus_stage.py
@@ -19,12 +19,12 @@
 import uvloop
 
 from ironrail.errors import IronrailError
-from ironrail.rehearsal.links.accord_rig import LEASE, LONGEST, Staged, operator_file, world
-from ironrail.rehearsal.links.accord_watch import Decides, apart, mixed
-from ironrail.rehearsal.links.grounds import RealLinks
+from ironrail.rehearsal.links.consensus_checks import Decides, apart, mixed
+from ironrail.rehearsal.links.consensus_rehearsal import LEASE, LONGEST, Staged, operator_file, world
+from ironrail.rehearsal.links.environments import RealLinks
+from ironrail.rehearsal.links.linked_rehearsal import judged
 from ironrail.rehearsal.links.paths import Places
 from ironrail.rehearsal.links.plan import LinkFault, check, steps
-from ironrail.rehearsal.links.rig import judged
 from ironrail.rehearsal.run import Result
 from ironrail.rehearsal.scenario.model import Scenario
 from ironrail.rehearsal.scenario.names import router_names
--- a/ironrail/rehearsal/links/rig.py
+++ b/ironrail/rehearsal/links/linked_rehearsal.py
@@ -13,7 +13,7 @@
 from ironrail.rehearsal.account.record import Try
 from ironrail.rehearsal.draws import stream
 from ironrail.rehearsal.faults import plan as faults
-from ironrail.rehearsal.links.grounds import LinkedGround, VirtualLinks
+from ironrail.rehearsal.links.environments import LinkedGround, VirtualLinks
 from ironrail.rehearsal.links.observer import Observer, Seen
 from ironrail.rehearsal.links.paths import ARCHIVE, CLIENTS, DISCOVERY, Path, Places, on_connections, path_of
 from ironrail.rehearsal.links.plan import (
--- a/ironrail/rehearsal/links/tier.py
+++ b/ironrail/rehearsal/links/peer_group.py
@@ -18,11 +18,11 @@
 from ironrail.operator_file import OperatorSettings, PeerSettings
 from ironrail.rehearsal.draws import stream
 from ironrail.rehearsal.links.exchange import Exchange
+from ironrail.rehearsal.links.linked_rehearsal import SLOTS
 from ironrail.rehearsal.links.paths import Path, Places, path_of
+from ironrail.rehearsal.links.peer_group_monitor import TierWatch
+from ironrail.rehearsal.links.peer_group_router import TierRouter
 from ironrail.rehearsal.links.plan import LINKS, Kind, LinkFault, steps
-from ironrail.rehearsal.links.rig import SLOTS
-from ironrail.rehearsal.links.tierrouter import TierRouter
-from ironrail.rehearsal.links.tierwatch import TierWatch
 from ironrail.rehearsal.scenario.model import Scenario
 from ironrail.rehearsal.scenario.names import hall_of, router_names
 from ironrail.rehearsal.settings import config_of
--- a/ironrail/rehearsal/links/tierrouter.py
+++ b/ironrail/rehearsal/links/peer_group_router.py
@@ -19,9 +19,9 @@
 from ironrail.operator_file import OperatorSettings
 from ironrail.peers.consensus.messages import STEPS_PER_EPOCH, Scope
 from ironrail.rehearsal.draws import stream
+from ironrail.rehearsal.links.peer_group_monitor import TierWatch
 from ironrail.rehearsal.links.switch import Drifting, Slot, Switch
-from ironrail.rehearsal.links.tierdisk import MemoryDisk, VirtualKeeper, faulty
-from ironrail.rehearsal.links.tierwatch import TierWatch
+from ironrail.rehearsal.links.virtual_disk import MemoryDisk, VirtualKeeper, faulty
 from ironrail.rehearsal.virtual.ground import EPOCH
 from ironrail.rehearsal.virtual.loop import START, VirtualLoop
 from ironrail.rehearsal.virtual.process import Process
--- a/tests/rehearsal/links/readers_stage.py
+++ b/tests/rehearsal/links/readers_stage.py
@@ -11,8 +11,8 @@
 
 from ironrail.peers.steering.migration import assign_zone
 from ironrail.rehearsal.account.record import Outcome, Try
-from ironrail.rehearsal.links.grounds import VirtualLinks
-from ironrail.rehearsal.links.rig import LinkedRehearsal
+from ironrail.rehearsal.links.environments import VirtualLinks
+from ironrail.rehearsal.links.linked_rehearsal import LinkedRehearsal
 from ironrail.rehearsal.scenario.model import Scenario
 from ironrail.rehearsal.scenario.names import hall_of, router_names
 from ironrail.rehearsal.standins.clientpool import ClientPool
--- a/tests/rehearsal/links/test_accord.py
+++ b/tests/rehearsal/links/test_consensus.py
@@ -6,8 +6,8 @@
 
 import pytest
 
-from ironrail.rehearsal.links.accord_rig import ROUTERS, VOTERS
-from ironrail.rehearsal.links.accords import Stage, play
+from ironrail.rehearsal.links.consensus_rehearsal import ROUTERS, VOTERS
+from ironrail.rehearsal.links.consensus_stage import Stage, play
 from ironrail.rehearsal.links.plan import LinkFault, link_fault
 
 ALL = [f"router-{n + 1}" for n in range(ROUTERS)]
--- a/tests/rehearsal/links/test_accord_watch.py
+++ b/tests/rehearsal/links/test_consensus_checks.py
@@ -2,9 +2,9 @@
 
 from __future__ import annotations
 
-from ironrail.rehearsal.links.accord_draws import draw_changes, draw_faults
-from ironrail.rehearsal.links.accord_rig import VOTERS, world
-from ironrail.rehearsal.links.accord_watch import Decides, apart, mixed
+from ironrail.rehearsal.links.consensus_checks import Decides, apart, mixed
+from ironrail.rehearsal.links.consensus_plan_generator import draw_changes, draw_faults
+from ironrail.rehearsal.links.consensus_rehearsal import VOTERS, world
 from ironrail.rehearsal.links.paths import Places
 from ironrail.rehearsal.links.plan import DISKS, Kind, check
 
--- a/tests/rehearsal/links/test_accord_faults.py
+++ b/tests/rehearsal/links/test_consensus_faults.py
@@ -9,9 +9,9 @@
 import pytest
 
 from ironrail.peers.consensus import messages as m
-from ironrail.rehearsal.links.accord_rig import world
-from ironrail.rehearsal.links.accord_watch import spoken
-from ironrail.rehearsal.links.accords import Stage, play
+from ironrail.rehearsal.links.consensus_checks import spoken
+from ironrail.rehearsal.links.consensus_rehearsal import world
+from ironrail.rehearsal.links.consensus_stage import Stage, play
 from ironrail.rehearsal.links.plan import link_fault
 from ironrail.rehearsal.run import Result
 
--- a/tests/rehearsal/links/test_halls.py
+++ b/tests/rehearsal/links/test_halls.py
@@ -8,9 +8,9 @@
 import pytest
 
 from ironrail.operator_file import OperatorSettings, PeerSettings
-from ironrail.rehearsal.links.grounds import VirtualLinks
+from ironrail.rehearsal.links.environments import VirtualLinks
+from ironrail.rehearsal.links.linked_rehearsal import LinkedRehearsal
 from ironrail.rehearsal.links.plan import LinkFault, link_fault
-from ironrail.rehearsal.links.rig import LinkedRehearsal
 from ironrail.rehearsal.run import Result
 from ironrail.rehearsal.scenario.model import Scenario
 from ironrail.rehearsal.scenario.names import hall_of
--- a/tests/rehearsal/links/test_rig.py
+++ b/tests/rehearsal/links/test_linked_rehearsal.py
@@ -15,10 +15,10 @@
 from ironrail.rehearsal.account.record import Outcome
 from ironrail.rehearsal.account.rules import LATE_GRANTED, OWN_SLACK
 from ironrail.rehearsal.ground import Router
-from ironrail.rehearsal.links.drawn import draw_plan
-from ironrail.rehearsal.links.grounds import RealLinks, VirtualLinks
+from ironrail.rehearsal.links.environments import RealLinks, VirtualLinks
+from ironrail.rehearsal.links.linked_rehearsal import LinkedRehearsal, RigError, play_linked
 from ironrail.rehearsal.links.plan import Kind, LinkFault, PlanError, link_fault, steps
-from ironrail.rehearsal.links.rig import LinkedRehearsal, RigError, play_linked
+from ironrail.rehearsal.links.plan_generator import draw_plan
 from ironrail.rehearsal.run import Result
 from ironrail.rehearsal.scenario.model import Scenario
 from ironrail.rehearsal.virtual.play import play_virtual
--- a/tests/rehearsal/links/test_tier.py
+++ b/tests/rehearsal/links/test_peer_group.py
@@ -7,10 +7,10 @@
 import pytest
 
 from ironrail.peers.consensus.lease_table import LeaseTable
-from ironrail.rehearsal.links.drawn import draw_plan
 from ironrail.rehearsal.links.paths import Path
+from ironrail.rehearsal.links.peer_group import Tier
 from ironrail.rehearsal.links.plan import Kind, link_fault
-from ironrail.rehearsal.links.tier import Tier
+from ironrail.rehearsal.links.plan_generator import draw_plan
 
 ROUTERS = 20
 LONG = 600.0  # seconds of a fault that nobody ends
--- a/tests/rehearsal/links/test_plan.py
+++ b/tests/rehearsal/links/test_plan.py
@@ -6,9 +6,9 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from ironrail.rehearsal.links.drawn import QUIET_END, draw_plan
 from ironrail.rehearsal.links.paths import PathError, Places, path_of
 from ironrail.rehearsal.links.plan import Kind, PlanError, check, link_fault, read_plan, steps
+from ironrail.rehearsal.links.plan_generator import QUIET_END, draw_plan
 from ironrail.rehearsal.scenario.model import Scenario
 from ironrail.rehearsal.scenario.reader import ScenarioError
 
