--- a/benchmarks/accord_fleet.py
+++ b/benchmarks/accord_fleet.py
@@ -29,9 +29,9 @@
 from typing import Any
 
 from ironrail.rehearsal.links.paths import Path
-from ironrail.rehearsal.links.peer_group import Tier
-from ironrail.rehearsal.links.peer_group_cost import CountingDatagrams, CountingLoop, held
-from ironrail.rehearsal.links.peer_group_router import TierRouter
+from ironrail.rehearsal.links.peer_group import VirtualPeerGroup
+from ironrail.rehearsal.links.peer_group_cost import CountingDatagrams, CountingLoop, retained_bytes
+from ironrail.rehearsal.links.peer_group_router import PeerGroupRouter
 from ironrail.rehearsal.links.plan import Kind, LinkFault, link_fault
 
 DOWN_FRACTIONS = (0.0, 0.1, 0.4)
@@ -41,33 +41,37 @@
 TIMEOUT_SECONDS = 60.0  # for a change, and for the recovery of routers after their faults
 
 
-def router_role(tier: Tier, router: TierRouter) -> str:
+def router_role(tier: VirtualPeerGroup, router: PeerGroupRouter) -> str:
     if router.number in tier.voters:
         return "voter"
     path = router.policies.protocol.lease_routing
     return "head" if path.head_candidates and router.system.now() < path.head_role_until else "plain"
 
 
-def counters(tier: Tier) -> dict[str, tuple[int, int, float]]:
+def counters(tier: VirtualPeerGroup) -> dict[str, tuple[int, int, float]]:
     loop = tier.loop
     assert isinstance(loop, CountingLoop)
     return {
-        r.name: (r.sent, tier.exchange.counts[r.name].price, loop.spent.get(r.name, 0.0))
+        r.name: (r.sent_bytes, tier.exchange.counts[r.name].price, loop.spent.get(r.name, 0.0))
         for r in tier.routers
     }
 
 
-def costs_by_role(tier: Tier, before: dict[str, Any], seconds: float) -> dict[str, list[list[float]]]:
+def costs_by_role(
+    tier: VirtualPeerGroup, before: dict[str, Any], seconds: float
+) -> dict[str, list[list[float]]]:
     """Return bytes/s, datagrams/s and CPU cores of the routers of each role."""
     result: dict[str, list[list[float]]] = {}
     for router, (name, now) in zip(tier.routers, counters(tier).items(), strict=True):
-        if router.up:
+        if router.is_up:
             row = [(a - b) / seconds for a, b in zip(now, before[name], strict=True)]
             result.setdefault(router_role(tier, router), []).append(row)
     return result
 
 
-def take_down(tier: Tier, share: float) -> tuple[list[TierRouter], list[tuple[int, LinkFault]]]:
+def take_down(
+    tier: VirtualPeerGroup, share: float
+) -> tuple[list[PeerGroupRouter], list[tuple[int, LinkFault]]]:
     """Take this fraction of the routers down in random ways; a majority of the voters stays up."""
     count = round(share * len(tier.routers))
     kept_up = tier.draws.sample(list(tier.voters), len(tier.voters) // 2 + 1)
@@ -87,7 +91,7 @@
     return down, faults
 
 
-def run_change(tier: Tier, share: float, version: int) -> dict[str, Any]:
+def run_change(tier: VirtualPeerGroup, share: float, version: int) -> dict[str, Any]:
     """Run one change while this fraction of the routers is down."""
     down, faults = take_down(tier, share)
     if down:
@@ -99,14 +103,16 @@
     assert answer.status == 202, answer
     scope = 2**32 + version
     started = tier.loop.time()
-    took = tier.until(lambda: all(r.versions() == (version,) for r in up), TIMEOUT_SECONDS)
+    took = tier.wait_until(lambda: all(r.versions() == (version,) for r in up), TIMEOUT_SECONDS)
     result: dict[str, Any] = {
         "share": share,
         "down": len(down),
         "voters_down": sum(r.number in tier.voters for r in down),
     }
-    result["took"] = None if took is None else max(tier.watch.began[r.number, (scope,)] for r in up) - started
-    joint = [at for (_, s), at in tier.watch.began.items() if s == (scope - 1, scope)]
+    result["took"] = (
+        None if took is None else max(tier.monitor.adopted_at[r.number, (scope,)] for r in up) - started
+    )
+    joint = [at for (_, s), at in tier.monitor.adopted_at.items() if s == (scope - 1, scope)]
     result["joint"] = max(joint) - started if joint else None
     handle = one.policies.latest_proposal
     result["state"] = handle is not None and handle.in_force
@@ -121,39 +127,43 @@
                 recovery_times[router.number] = tier.loop.time() - ended_at
         return len(recovery_times) == len(down)
 
-    have_all_recovered() or tier.until(have_all_recovered, TIMEOUT_SECONDS)
+    have_all_recovered() or tier.wait_until(have_all_recovered, TIMEOUT_SECONDS)
     result["back"], result["not_back"] = sorted(recovery_times.values()), len(down) - len(recovery_times)
-    tier.until(lambda: all(r.versions() == (version,) for r in tier.routers), TIMEOUT_SECONDS)
+    tier.wait_until(lambda: all(r.versions() == (version,) for r in tier.routers), TIMEOUT_SECONDS)
     return result
 
 
 def run_world(routers: int, loss: float, voters: int, delay: float, seed: int) -> dict[str, Any]:
     """Run all changes in one world."""
     started = time.time()
-    with Tier(routers, seed, range(voters), loop=CountingLoop, posts=CountingDatagrams) as tier:
+    with VirtualPeerGroup(
+        routers, seed, range(voters), loop_factory=CountingLoop, datagrams_class=CountingDatagrams
+    ) as tier:
         tier.begin(link_fault(Kind.DELAY, "routers <> routers", 0.0, FAULT_SECONDS, 0.001, delay - 0.001))
         if loss:
             tier.begin(link_fault(Kind.LOSS, "routers <> routers", 0.0, FAULT_SECONDS, loss))
-        result: dict[str, Any] = {"founded": tier.founded()}
+        result: dict[str, Any] = {"founded": tier.bootstrap_all()}
         tier.run(12.0)  # routers have become heads
         before = counters(tier)
         tier.run(CALM_SECONDS)
         result["calm"] = costs_by_role(tier, before, CALM_SECONDS)
-        excluded = {id(x) for x in (tier, *tier.routers, tier.watch, tier.exchange, tier.loop, tier.operator)}
+        excluded = {
+            id(x) for x in (tier, *tier.routers, tier.monitor, tier.exchange, tier.loop, tier.operator)
+        }
         result["memory"] = {
-            router_role(tier, r): held(r.together, excluded)
+            router_role(tier, r): retained_bytes(r.peer_runtime, excluded)
             for r in (*tier.routers[:1], *tier.routers[voters:])
         }
         result["changes"] = []
         for number, share in enumerate(DOWN_FRACTIONS):
             result["changes"].append(run_change(tier, share, 2 + number))
             tier.run(2.0 + tier.draws.random())
-        watch = tier.watch
+        watch = tier.monitor
         result |= {
             "mixed": watch.mixed,
             "conflicts": watch.conflicts,
-            "words": watch.words[:3],
-            "looks": watch.looks,
+            "words": watch.violations[:3],
+            "looks": watch.num_checks,
         }
         result |= {"seed": seed, "real": time.time() - started, "virtual": tier.now()}
     return result
--- a/benchmarks/accord_service.py
+++ b/benchmarks/accord_service.py
@@ -23,8 +23,8 @@
 from ironrail.operator_file import OperatorSettings
 from ironrail.rehearsal.links.environments import VirtualLinks
 from ironrail.rehearsal.links.linked_rehearsal import LinkedRehearsal
-from ironrail.rehearsal.links.peer_group import Known
-from ironrail.rehearsal.links.peer_group_router import drawing
+from ironrail.rehearsal.links.peer_group import InlineKeyPeerSettings
+from ironrail.rehearsal.links.peer_group_router import seeded_urandom
 from ironrail.rehearsal.links.plan import LinkFault, link_fault
 from ironrail.rehearsal.scenario.model import Scenario
 from ironrail.rehearsal.scenario.names import hall_of
@@ -92,7 +92,9 @@
         }
     )
     zones = tuple(hall_of(scenario, n) for n in range(routers))
-    peers = Known(key_files={1: ""}, sending_key_id=1, zones=zones, voters=(0, 1, 2), start_mode="floor")
+    peers = InlineKeyPeerSettings(
+        key_files={1: ""}, sending_key_id=1, zones=zones, voters=(0, 1, 2), start_mode="floor"
+    )
     plan: list[LinkFault] = [link_fault("delay", "routers <> routers", 0.0, length, 0.001, 0.099)]
     rehearsals: list[ChangingRehearsal] = []
 
@@ -102,7 +104,7 @@
         return rehearsals[0]
 
     operator = OperatorSettings() if mode == "alone" else OperatorSettings(peers=peers)
-    with drawing(random.Random(seed)):
+    with seeded_urandom(random.Random(seed)):
         run = play_virtual(
             scenario, seed, operator=operator, ground_of=VirtualLinks, rehearsal_of=make_rehearsal
         )
--- a/benchmarks/accord_storms.py
+++ b/benchmarks/accord_storms.py
@@ -19,7 +19,7 @@
 from functools import partial
 from typing import Any
 
-from ironrail.rehearsal.links.peer_group import Tier
+from ironrail.rehearsal.links.peer_group import VirtualPeerGroup
 from ironrail.rehearsal.links.plan import Kind, link_fault
 from ironrail.rehearsal.links.plan_generator import draw_plan
 
@@ -34,10 +34,10 @@
     """Run one plan."""
     logging.disable()  # a voter whose disk fails logs that each second
     ended: Counter[str] = Counter()
-    with Tier(routers, seed, range(voters)) as tier:
+    with VirtualPeerGroup(routers, seed, range(voters)) as tier:
         tier.begin(link_fault(Kind.DELAY, "routers <> routers", 0.0, FAULT_SECONDS, 0.001, 0.099))
         tier.begin(link_fault(Kind.LOSS, "routers <> routers", 0.0, FAULT_SECONDS, 0.05))
-        founded = tier.founded(120.0)
+        founded = tier.bootstrap_all(120.0)
         scenario = tier.scenario.model_copy(update={"length": PLAN_SECONDS})
         plan = draw_plan(scenario, seed, NUM_FAULTS, KINDS)
         tier.play(plan)
@@ -50,7 +50,7 @@
             else:
                 ended["not taken up"] += 1
             tier.run(CHANGE_INTERVAL_SECONDS)
-        agreed_after = tier.until(
+        agreed_after = tier.wait_until(
             lambda: (
                 all(len(r.versions()) == 1 for r in tier.routers)
                 and len({r.versions() for r in tier.routers}) == 1
@@ -63,11 +63,11 @@
             assert handle is not None
             error = "open: its process ended" if handle.is_open else type(handle.error).__name__
             ended["in force" if handle.in_force else error] += 1
-        watch = tier.watch
+        watch = tier.monitor
         return {
             "seed": seed, "founded": founded is not None, "back": agreed_after, "ended": ended,
-            "looks": watch.looks, "mixed": watch.mixed, "conflicts": watch.conflicts,
-            "words": watch.words[:3],
+            "looks": watch.num_checks, "mixed": watch.mixed, "conflicts": watch.conflicts,
+            "words": watch.violations[:3],
             "kinds": Counter(str(fault.kind) for fault in plan),
         }  # fmt: skip
 
--- a/ironrail/rehearsal/links/__init__.py
+++ b/ironrail/rehearsal/links/__init__.py
@@ -1,1 +1,1 @@
-"""Faults on each path between any two ends of a run, on processes, clocks and disks, from one plan."""
+"""Fault injection on the links between routers, servers and clients, and on processes, clocks and disks."""
--- a/ironrail/rehearsal/links/peer_group_cost.py
+++ b/ironrail/rehearsal/links/peer_group_cost.py
@@ -1,7 +1,7 @@
-"""What a router of a tier costs: CPU of its own callbacks, bytes and datagrams that it sends, memory.
+"""Measures the cost of a router in a virtual peer group: CPU time of its callbacks and memory.
 
-What the kit itself does in a callback when a datagram is sent is taken off; what the system needs to read and
-write a real socket is not there to be counted.
+The kit's own work for sending a datagram is subtracted. The operating system's cost of reading and writing a
+real socket is not included.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 from ironrail.rehearsal.virtual.loop import PROCESS, VirtualLoop
 from ironrail.rehearsal.virtual.process import Process
 
-CODE = (
+CODE_TYPES = (
     type,
     types.ModuleType,
     types.FunctionType,
@@ -26,16 +26,16 @@
     types.CodeType,
     types.MethodType,
 )
-LOOP = (contextvars.Context, asyncio.AbstractEventLoop, asyncio.BaseTransport, asyncio.Handle, Process)
+LOOP_TYPES = (contextvars.Context, asyncio.AbstractEventLoop, asyncio.BaseTransport, asyncio.Handle, Process)
 
 
 class CountingLoop(VirtualLoop):
-    """Adds up the CPU of each process."""
+    """Adds up the CPU time of each process."""
 
     def __init__(self, seed: int) -> None:
         super().__init__(seed)
-        self.spent: dict[str, float] = {}  # seconds by name
-        self.kit = 0.0  # of the callback that runs now, seconds that are the kit's
+        self.spent: dict[str, float] = {}  # CPU seconds by process name
+        self.kit = 0.0  # CPU seconds of the kit in the current callback
 
     def _run(self, handle: Any) -> None:
         process = handle._context.get(PROCESS)
@@ -49,7 +49,7 @@
 
 
 class CountingDatagrams(Datagrams):
-    """Knows what sending costs the kit."""
+    """Measures the kit's CPU time for sending."""
 
     def send(self, source: Any, to: Any, data: bytes) -> None:
         began = time.thread_time()
@@ -58,12 +58,15 @@
         self.loop.kit += time.thread_time() - began
 
 
-def held(thing: object, without: set[int]) -> int:
-    """Bytes of memory of an object and of all that hangs on it alone; `without`: ids that count elsewhere."""
+def retained_bytes(thing: object, without: set[int]) -> int:
+    """Returns the bytes of an object and of everything reachable from it.
+
+    Code, loops and processes are left out, and objects whose id is in `without`.
+    """
     seen, todo, total = set(without), [thing], 0
     while todo:
         one = todo.pop()
-        if id(one) in seen or isinstance(one, (*CODE, *LOOP)):
+        if id(one) in seen or isinstance(one, (*CODE_TYPES, *LOOP_TYPES)):
             continue
         seen.add(id(one))
         total += sys.getsizeof(one)
--- a/ironrail/rehearsal/links/peer_group_monitor.py
+++ b/ironrail/rehearsal/links/peer_group_monitor.py
@@ -1,8 +1,8 @@
-"""Looks from outside at what every router of a tier decides by, at every change of it.
+"""Checks from outside that no two routers of a peer group decide by incompatible policies.
 
-The promise: of any two routers that decide, one obeys all that the other does. A router may begin to decide
-by something only in an event of its own; so that is where all others are looked at, those that stand still or
-are cut off too: at that instant, by their own clocks.
+The invariant: of any two routers that decide, one obeys every policy that the other obeys. A router can adopt
+a scope only in an event of its own, so each adoption is compared then with all other routers, stopped and
+cut-off ones included, at that instant by their own clocks.
 """
 
 from __future__ import annotations
@@ -15,11 +15,11 @@
 from ironrail.peers.consensus.lease import are_incompatible
 from ironrail.peers.consensus.messages import STEPS_PER_EPOCH, RegisterState, Scope
 
-MOST_KEPT = 100  # mixed instants of which the words are kept
+MAX_VIOLATIONS_KEPT = 100
 
 
-class Watched(Protocol):
-    """A router's place."""
+class MonitoredRouter(Protocol):
+    """What the monitor reads of a router."""
 
     number: int
     name: str
@@ -27,46 +27,51 @@
 
     @property
     def policies(self) -> Policies:
-        """Of the process that is here now."""
+        """The policies of the current process."""
 
     def scope(self) -> Scope:
-        """What a decision at this instant would obey."""
+        """Returns the policy steps that a decision now would obey."""
 
 
-class TierWatch:
-    """Counts what must not be, and what was looked at."""
+class PeerGroupMonitor:
+    """Counts checks and violations.
+
+    `mixed` counts pairs of routers that decide by incompatible scopes, `conflicts` steps or versions that
+    were decided in two ways.
+    """
 
     def __init__(self, clock: Callable[[], float]) -> None:
-        """`clock`: of the world; no router has it."""
+        """Creates the monitor; `clock` is the loop's clock, which no router has."""
         self._clock = clock
-        self.began: dict[tuple[int, Scope], float] = {}  # when a router last began to decide by this
-        self.looks = self.mixed = self.conflicts = 0
-        self.words: list[str] = []
-        self._by: dict[Scope, dict[int, Watched]] = {}  # who decided by this when last looked at
-        self._last: dict[int, tuple[Scope, float]] = {}  # and until when by its own clock
-        self._steps: dict[int, RegisterState] = {}  # each is decided once
-        self._documents: dict[int, bytes] = {}  # each version, with its epoch, means one document
-
-    def looked(self, router: Watched, settled: Callable[[], None]) -> None:
-        """After each event of a router; `settled`: what the daemon does then."""
-        settled()
-        self.looks += 1
+        self.adopted_at: dict[tuple[int, Scope], float] = {}  # when a router last adopted a scope
+        self.num_checks = self.mixed = self.conflicts = 0
+        self.violations: list[str] = []
+        # Routers by their scope at the last check of each.
+        self._routers_by_scope: dict[Scope, dict[int, MonitoredRouter]] = {}
+        self._last: dict[int, tuple[Scope, float]] = {}  # scope and end of its validity by the router's clock
+        self._steps: dict[int, RegisterState] = {}  # by step, each of which may be decided only once
+        self._documents: dict[int, bytes] = {}  # digest by epoch and version, which must name one document
+
+    def check_after(self, router: MonitoredRouter, after_event: Callable[[], None]) -> None:
+        """Runs `after_event`, the daemon's own hook, and checks the router after it."""
+        after_event()
+        self.num_checks += 1
         now, policies = router.system.now(), router.policies
         scope = router.scope()
         before, until = self._last.get(router.number, ((), 0.0))
         self._last[router.number] = scope, policies._valid_until
         if scope != before or now >= until:
             if scope != before:
-                self._by.get(before, {}).pop(router.number, None)
+                self._routers_by_scope.get(before, {}).pop(router.number, None)
             if scope:
-                self._by.setdefault(scope, {})[router.number] = router
-                self.began[router.number, scope] = self._clock()
+                self._routers_by_scope.setdefault(scope, {})[router.number] = router
+                self.adopted_at[router.number, scope] = self._clock()
                 self._compare(router, scope)
         if policies.protocol.latest_decided is not None:
             self._register(router, policies.protocol.latest_decided)
 
-    def _compare(self, router: Watched, scope: Scope) -> None:
-        for other, them in self._by.items():
+    def _compare(self, router: MonitoredRouter, scope: Scope) -> None:
+        for other, them in self._routers_by_scope.items():
             if not are_incompatible(scope, other):
                 continue
             for one in list(them.values()):
@@ -74,7 +79,7 @@
                     self._note(f"{router.name} decides by {scope}, {one.name} by {other}")
                     self.mixed += 1
 
-    def _register(self, router: Watched, known: RegisterState) -> None:
+    def _register(self, router: MonitoredRouter, known: RegisterState) -> None:
         if (held := self._steps.get(known.step)) is known:
             return
         if self._steps.setdefault(known.step, known) != known:
@@ -86,6 +91,6 @@
                 self.conflicts += 1
                 self._note(f"{router.name}: version {ref.version} has two documents")
 
-    def _note(self, words: str) -> None:
-        if len(self.words) < MOST_KEPT:
-            self.words.append(words)
+    def _note(self, text: str) -> None:
+        if len(self.violations) < MAX_VIOLATIONS_KEPT:
+            self.violations.append(text)
--- a/ironrail/rehearsal/links/peer_group_router.py
+++ b/ironrail/rehearsal/links/peer_group_router.py
@@ -1,4 +1,4 @@
-"""One router of a tier: its place, clock and disk, and the process that stands there now."""
+"""One router of a virtual peer group: its index, clock and disk, and its current process."""
 
 from __future__ import annotations
 
@@ -19,22 +19,22 @@
 from ironrail.operator_file import OperatorSettings
 from ironrail.peers.consensus.messages import STEPS_PER_EPOCH, Scope
 from ironrail.rehearsal.draws import stream
-from ironrail.rehearsal.links.peer_group_monitor import TierWatch
+from ironrail.rehearsal.links.peer_group_monitor import PeerGroupMonitor
 from ironrail.rehearsal.links.switch import Drifting, Slot, Switch
-from ironrail.rehearsal.links.virtual_disk import MemoryDisk, VirtualKeeper, faulty
+from ironrail.rehearsal.links.virtual_disk import MemoryDisk, VirtualRecordWriter, make_faulty_store
 from ironrail.rehearsal.virtual.ground import EPOCH
 from ironrail.rehearsal.virtual.loop import START, VirtualLoop
 from ironrail.rehearsal.virtual.process import Process
 
-USUAL_DRIFT = 0.0005  # of a clock that is being slewed; more is a fault, up to what is stated
-MOST_AHEAD = 1e4  # seconds that a router's clocks are ahead: no two agree
+MAX_NORMAL_DRIFT_RATIO = 0.0005  # drift of a clock that is being slewed; a larger one is injected as a fault
+MAX_CLOCK_OFFSET_SECONDS = 1e4  # so that the clocks of no two routers agree
 
 
-class TierSystem:
-    """The seam of `net/system.py`, of which only the clocks are asked for."""
+class VirtualClockSystem:
+    """Implements `net.system.System` with virtual clocks; peers use nothing else of it."""
 
     def __init__(self, loop: VirtualLoop, offset: float) -> None:
-        """`offset`: seconds that this router's clocks are ahead."""
+        """Creates the clocks, `offset` seconds ahead of the loop's."""
         self.now: Callable[[], float] = lambda: loop.time() + offset
         self.wall: Callable[[], float] = lambda: EPOCH + loop.time() - START + offset
 
@@ -54,12 +54,12 @@
         raise NotImplementedError
 
     def startup_complete(self) -> None:
-        """Nothing is to be freed here."""
+        """Does nothing: a virtual process has no startup memory to free."""
 
 
 @contextmanager
-def drawing(draws: random.Random) -> Iterator[None]:
-    """What the system would draw for a process comes from here, so that a world can be played again."""
+def seeded_urandom(draws: random.Random) -> Iterator[None]:
+    """Replaces `os.urandom` of the peer transport by a seeded stream, so that a run can be repeated."""
     vars(transport_module)["os"] = SimpleNamespace(urandom=draws.randbytes)
     try:
         yield
@@ -67,83 +67,89 @@
         vars(transport_module)["os"] = os
 
 
-class World(Protocol):
-    """What a router has of the tier that it stands in."""
+class PeerGroup(Protocol):
+    """What a router uses of its peer group."""
 
     seed: int
     names: list[str]
     loop: VirtualLoop
-    watch: TierWatch
+    monitor: PeerGroupMonitor
     operator: OperatorSettings
-    disks: bool  # voters keep their record
+    disks: bool  # whether voters store their record
 
-    def table(self, router: TierRouter) -> dict[str, Any]:
-        """What the platform tells a router."""
+    def router_config(self, router: PeerGroupRouter) -> dict[str, Any]:
+        """Returns the configuration that the platform gives to a router."""
 
-    def guided(self, guidance: object) -> None:
-        """Takes what is decided by."""
+    def on_guidance(self, guidance: object) -> None:
+        """Receives the guidance that requests would be routed by."""
 
 
-class TierRouter:
-    """A router's place: its number, clock and disk, and the process that stands there now."""
+class PeerGroupRouter:
+    """A router: its index, clock and disk, which outlive a process, and the current process."""
 
-    def __init__(self, tier: World, number: int) -> None:
-        draws = stream(tier.seed, f"tier.router.{number}")
-        self.tier, self.number, self.name = tier, number, tier.names[number]
+    def __init__(self, group: PeerGroup, number: int) -> None:
+        draws = stream(group.seed, f"tier.router.{number}")
+        self.group, self.number, self.name = group, number, group.names[number]
         self.switch = Switch()
-        self.rate = self.switch[Slot.CLOCK] = draws.uniform(-USUAL_DRIFT, USUAL_DRIFT)
-        self.system: System = Drifting(TierSystem(tier.loop, draws.uniform(0.0, MOST_AHEAD)), self.switch)
+        self.rate = self.switch[Slot.CLOCK] = draws.uniform(-MAX_NORMAL_DRIFT_RATIO, MAX_NORMAL_DRIFT_RATIO)
+        self.system: System = Drifting(
+            VirtualClockSystem(group.loop, draws.uniform(0.0, MAX_CLOCK_OFFSET_SECONDS)), self.switch
+        )
         self.disk = MemoryDisk()
         self.draws = draws
-        self.starts = 0
+        self.incarnation = 0
         self.process: Process | None = None
-        self.together: PeerRuntime | None = None
-        self.sent_before = 0  # bytes of processes that are gone
+        self.peer_runtime: PeerRuntime | None = None
+        self.past_incarnations_sent_bytes = 0
 
     @property
-    def up(self) -> bool:
+    def is_up(self) -> bool:
         return self.process is not None and self.process.alive and not self.process.frozen
 
     @property
-    def sent(self) -> int:
-        """Bytes of datagrams since the beginning."""
-        now = self.together.transport.counters()["sent_bytes"] if self.together is not None else 0
-        return self.sent_before + now
+    def sent_bytes(self) -> int:
+        """Bytes of datagrams sent by all processes of this router."""
+        now = self.peer_runtime.transport.counters()["sent_bytes"] if self.peer_runtime is not None else 0
+        return self.past_incarnations_sent_bytes + now
 
     def start(self) -> None:
-        """Have a process here, which remembers what its disk does."""
+        """Starts a new process, which knows only what the disk holds."""
         assert self.process is None or not self.process.alive
-        if self.together is not None:
-            self.sent_before, self.together = self.sent, None
-        self.starts += 1
-        self.process = Process(self.name, self.tier.loop, lambda code: None)
-        self.tier.loop.start(self._run(self.process), self.process)
+        if self.peer_runtime is not None:
+            self.past_incarnations_sent_bytes, self.peer_runtime = self.sent_bytes, None
+        self.incarnation += 1
+        self.process = Process(self.name, self.group.loop, lambda code: None)
+        self.group.loop.start(self._run(self.process), self.process)
 
     async def _run(self, process: Process) -> None:
-        tier, store = self.tier, faulty(self.disk, self.switch, self.draws)
-        config = config_of_table(tier.table(self), {})
-        with drawing(self.draws):
-            made = PeerRuntime(config, tier.operator, self.system, tier.guided, store if tier.disks else None)
-        policies = made.policies
+        group, store = self.group, make_faulty_store(self.disk, self.switch, self.draws)
+        config = config_of_table(group.router_config(self), {})
+        with seeded_urandom(self.draws):
+            runtime = PeerRuntime(
+                config, group.operator, self.system, group.on_guidance, store if group.disks else None
+            )
+        policies = runtime.policies
         assert policies is not None
         if policies._record_writer is not None:
-            policies._record_writer = VirtualKeeper(store, self.switch, policies._on_record_written)  # type: ignore[assignment]
-        made.transport._after_event = partial(tier.watch.looked, self, made.transport._after_event)
-        self.together = made
-        await made.open()
+            policies._record_writer = VirtualRecordWriter(store, self.switch, policies._on_record_written)  # type: ignore[assignment]
+        runtime.transport._after_event = partial(
+            group.monitor.check_after, self, runtime.transport._after_event
+        )
+        self.peer_runtime = runtime
+        await runtime.open()
 
     @property
     def policies(self) -> Policies:
-        """Of the process that is here now."""
-        assert self.together is not None and self.together.policies is not None
-        return self.together.policies
+        """The policies of the current process."""
+        assert self.peer_runtime is not None and self.peer_runtime.policies is not None
+        return self.peer_runtime.policies
 
     def propose(self, version: int) -> Response:
-        """Ask it for a change, as an operator would."""
+        """Proposes a policy change, as an operator would."""
         return self._called(self.policies.propose, f"version = {version}\nrates = {{ daily = {version} }}\n")
 
-    def found(self, epoch: int = 1, version: int = 1) -> Response:
-        """The first policy, by hand."""
+    def bootstrap(self, epoch: int = 1, version: int = 1) -> Response:
+        """Submits the first policy, as an operator would."""
         return self._called(self.policies.bootstrap, f"epoch = {epoch}\nversion = {version}\n")
 
     def _called(self, call: Callable[[bytes], Response], text: str) -> Response:
@@ -151,9 +157,12 @@
         return self.process.context.run(call, text.encode())
 
     def scope(self) -> Scope:
-        """What a decision at this instant would obey: as the driver finds it, not the room alone."""
-        process, together = self.process, self.together
-        if process is None or not process.alive or together is None or together.policies is None:
+        """Returns the policy steps that a decision now would obey.
+
+        Goes by what `Policies` has published, and asks the protocol only once that is no longer valid.
+        """
+        process, peer_runtime = self.process, self.peer_runtime
+        if process is None or not process.alive or peer_runtime is None or peer_runtime.policies is None:
             return ()
         policies, now = self.policies, self.system.now()
         if policies._published is not None and now < policies._valid_until:
@@ -161,5 +170,5 @@
         return policies.protocol.effective_policy(now).scope
 
     def versions(self) -> tuple[int, ...]:
-        """The versions of it, nothing where no process goes on."""
-        return tuple(version % STEPS_PER_EPOCH for version in self.scope()) if self.up else ()
+        """Returns the policy versions of `scope()`, empty while no process runs."""
+        return tuple(version % STEPS_PER_EPOCH for version in self.scope()) if self.is_up else ()
--- a/ironrail/rehearsal/links/virtual_disk.py
+++ b/ironrail/rehearsal/links/virtual_disk.py
@@ -1,4 +1,4 @@
-"""A voter's disk in virtual time: what is kept outlives the process, and takes a while or fails."""
+"""A voter's disk in virtual time: data outlives the process; writes take time and may fail."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 from ironrail.rehearsal.links.disk import FaultyStore
 from ironrail.rehearsal.links.switch import Slot, Switch
 
-SYNC = 0.005  # seconds of a write that is synced
+SYNC_SECONDS = 0.005  # duration of a synced write
 
 
 class MemoryDisk:
-    """A store without files."""
+    """A record store in memory."""
 
     def __init__(self) -> None:
         self._kept: dict[str, bytes] = {}
@@ -27,18 +27,18 @@
         return self._kept.get(name)
 
 
-class _Faulty(FaultyStore):
+class _FaultyMemoryStore(FaultyStore):
     def _write_half(self, name: str, data: bytes) -> None:
-        """The store on a disk that is full leaves the record as it was."""
+        """Writes nothing: on a full disk the real store leaves the previous record in place."""
 
 
-def faulty(disk: MemoryDisk, switch: Switch, draws: random.Random) -> FaultyStore:
-    """The disk as the switch has it; how slow it is, the keeper sees to."""
-    return _Faulty(disk, switch, draws, lambda seconds: None)
+def make_faulty_store(disk: MemoryDisk, switch: Switch, draws: random.Random) -> FaultyStore:
+    """Returns a store that fails as the switch says; `VirtualRecordWriter` adds the delay of a slow disk."""
+    return _FaultyMemoryStore(disk, switch, draws, lambda seconds: None)
 
 
-class VirtualKeeper:
-    """In place of `net.peers.record_store.RecordWriter`, which has a thread: one record after another."""
+class VirtualRecordWriter:
+    """Replaces `net.peers.record_store.RecordWriter` without a thread: writes one record after another."""
 
     def __init__(
         self, store: RecordStore, switch: Switch, done: Callable[[int, OSError | None], None]
@@ -48,9 +48,9 @@
         self._free_at = 0.0
 
     def enqueue(self, token: int, record: bytes) -> None:
-        """In order, one at a time."""
+        """Schedules the write of a record after all earlier ones."""
         now = self._loop.time()
-        self._free_at = max(now, self._free_at) + SYNC + self._switch[Slot.DISK_SLOW]
+        self._free_at = max(now, self._free_at) + SYNC_SECONDS + self._switch[Slot.DISK_SLOW]
         self._loop.call_later(self._free_at - now, self._write, token, record)
 
     def _write(self, token: int, record: bytes) -> None:
@@ -62,4 +62,4 @@
         self._done(token, failed)
 
     def stop(self) -> None:
-        """Nothing is held."""
+        """Does nothing: there is no thread to stop."""
