--- a/benchmarks/accord_plans.py
+++ b/benchmarks/accord_plans.py
@@ -26,8 +26,8 @@
 from statistics import median
 from typing import Any
 
-from ironrail.rehearsal.links.consensus_plan_generator import Asked, draw_changes, draw_faults
-from ironrail.rehearsal.links.consensus_rehearsal import VOTERS, world
+from ironrail.rehearsal.links.consensus_plan_generator import ProposedChange, draw_changes, draw_faults
+from ironrail.rehearsal.links.consensus_rehearsal import VOTERS, consensus_scenario
 from ironrail.rehearsal.links.consensus_stage import Stage, play
 from ironrail.rehearsal.routers import end_with_parent
 from ironrail.rehearsal.run import Result
@@ -48,7 +48,7 @@
     """Runs the proposals of a plan beside the load."""
 
     def __init__(self, seed: int) -> None:
-        self.scenario = world()
+        self.scenario = consensus_scenario()
         self.faults = draw_faults(self.scenario, seed, FAULT_PHASE_SECONDS, VOTERS)
         self.asked = draw_changes(self.scenario, seed, CHANGE_PHASE_SECONDS)
         self.changes: list[dict[str, Any]] = []
@@ -57,22 +57,24 @@
     async def run(self, stage: Stage) -> None:
         clock = stage.rehearsal.now
         before = clock()
-        await stage.found(stage.routers[0])
+        await stage.bootstrap(stage.routers[0])
         self.row["founded_in"] = round(clock() - before, 2)
         began = clock()
         changes = [asyncio.ensure_future(self._change(stage, began, one)) for one in self.asked]
-        await stage.carry(self.faults)
+        await stage.play_plan(self.faults)
         await asyncio.sleep(max(0.0, began + CHANGE_PHASE_SECONDS - clock()))
         ended = clock()
         try:
             async with asyncio.timeout(AGREEMENT_TIMEOUT_SECONDS):
                 await asyncio.gather(*changes)
-                self.row["agreed"] = await stage.same(*stage.routers, within=AGREEMENT_TIMEOUT_SECONDS)
+                self.row["agreed"] = await stage.wait_until_same(
+                    *stage.routers, within=AGREEMENT_TIMEOUT_SECONDS
+                )
         except TimeoutError:
             self.row["pages"] = {name: await stage.policy(name) for name in stage.routers}
         self.row["agreed_in"] = round(clock() - ended, 2)
 
-    async def _change(self, stage: Stage, began: float, asked: Asked) -> None:
+    async def _change(self, stage: Stage, began: float, asked: ProposedChange) -> None:
         clock = stage.rehearsal.now
         await asyncio.sleep(max(0.0, began + asked.at - clock()))
         row: dict[str, Any] = {"at": asked.at, "router": asked.router, "version": asked.version}
@@ -85,7 +87,7 @@
             row |= await self._ended(stage, asked)
         row["took"] = round(clock() - at, 2)
 
-    async def _ended(self, stage: Stage, asked: Asked) -> dict[str, Any]:
+    async def _ended(self, stage: Stage, asked: ProposedChange) -> dict[str, Any]:
         """Return what the router reports of a change; it forgets that if its process is killed."""
         while True:
             page = await stage.policy(asked.router)
@@ -99,8 +101,8 @@
 
 def find_violations(stage: Stage, driver: PlanDriver) -> list[str]:
     """Return a line for each violated invariant."""
-    found = [f"mixed: {old} after {new}" for new, old in stage.mixed()]
-    found += [f"apart: {old} after {new}" for new, old in stage.apart()]
+    found = [f"mixed: {old} after {new}" for new, old in stage.find_mixed()]
+    found += [f"apart: {old} after {new}" for new, old in stage.find_incompatible()]
     alone = {one.versions[0] for one in stage.seen if len(one.versions) == 1}
     for change in driver.changes:
         version, end = change["version"], change.get("end")
@@ -133,7 +135,7 @@
         "faults": [f"{f.at:g}+{f.lasts:g} {f.label()}" for f in driver.faults],
         "changes": driver.changes,
         **driver.row,
-        "mixed": len(stage.mixed()),
+        "mixed": len(stage.find_mixed()),
         "wrong": promises[:5],
         "looks": len(stage.seen),
         "joint_looks": sum(len(one.versions) == 2 for one in stage.seen),
@@ -152,7 +154,7 @@
     began, driver = time.monotonic(), PlanDriver(seed)
     with tempfile.TemporaryDirectory(prefix="accord-") as folder:
         kwargs: dict[str, Any] = {"scenario": driver.scenario, "seed": seed, "times": CONSENSUS_TIMES}
-        stage, result = play(Path(folder), [], 0.0, driver.run, foreseen=driver.faults, **kwargs)
+        stage, result = play(Path(folder), [], 0.0, driver.run, manual_faults=driver.faults, **kwargs)
     row = result_line(seed, stage, result, driver, time.monotonic() - began)
     if logs is not None and (row["wrong"] or row["rules"] or row["crashed"] or row["agreed"] is None):
         logs.mkdir(parents=True, exist_ok=True)
--- a/ironrail/rehearsal/links/accord_launch.py
+++ b/ironrail/rehearsal/links/accord_launch.py
@@ -1,7 +1,7 @@
-"""As `launch`, with other times for a change, which are the first three arguments.
+"""Like `launch`, with other consensus timeouts, which are the first three arguments.
 
-In seconds: until it is given up, until one left behind is taken back, until a voter finishes a step
-that it never heard the end of. The usual ones are too long for a run of seconds. Nothing else differs.
+In seconds: until a proposer gives a change up, until an abandoned change is rolled back, until a voter
+finishes a step whose outcome it has not received. The defaults are too long for a run of seconds.
 """
 
 from __future__ import annotations
@@ -13,11 +13,11 @@
 from ironrail.rehearsal.links import launch
 
 
-def shorten(deadline: float, left_behind: float, unsettled: float) -> None:
-    """Have this process use these."""
+def set_timeouts(deadline: float, left_behind: float, unsettled: float) -> None:
+    """Sets the timeouts, in seconds, for this process."""
     constants = vars(message_handler)
-    usual, *rest = ConsensusNode.propose.__defaults__ or ()
-    assert usual == constants["DEFAULT_DEADLINE_SECONDS"], "the deadline stands elsewhere now"
+    default, *rest = ConsensusNode.propose.__defaults__ or ()
+    assert default == constants["DEFAULT_DEADLINE_SECONDS"], "the deadline stands elsewhere now"
     ConsensusNode.propose.__defaults__ = (deadline, *rest)
     constants["DEFAULT_DEADLINE_SECONDS"], constants["ABANDONED_DEADLINE_FACTOR"] = (
         deadline,
@@ -27,5 +27,5 @@
 
 
 if __name__ == "__main__":
-    shorten(*map(float, sys.argv[1:4]))
+    set_timeouts(*map(float, sys.argv[1:4]))
     sys.exit(launch.main(sys.argv[4:]))
--- a/ironrail/rehearsal/links/consensus_checks.py
+++ b/ironrail/rehearsal/links/consensus_checks.py
@@ -1,4 +1,4 @@
-"""What an observer outside saw routers decide by, and whether the promise of accords held. Pure."""
+"""Checks observed decisions of routers against the consensus guarantees. Does no I/O."""
 
 from __future__ import annotations
 
@@ -18,44 +18,53 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Decides:
-    """What a router decided by at some moment between the two."""
+class ObservedDecision:
+    """The policy versions that a router decided by at some moment between `asked_at` and `answered_at`."""
 
     router: str
-    asked: float  # seconds, by the observer's one clock
-    told: float
+    asked_at: float  # seconds by the observer's clock, the same for all routers
+    answered_at: float
     versions: tuple[int, ...]
 
 
-Pairs = list[tuple[Decides, Decides]]
+DecisionPairs = list[tuple[ObservedDecision, ObservedDecision]]
 
 
-def mixed(seen: Sequence[Decides]) -> Pairs:
-    """Decisions by an old policy surely after one by a newer policy alone: there must be none.
+def find_mixed(seen: Sequence[ObservedDecision]) -> DecisionPairs:
+    """Returns decisions by an old policy that surely came after one by a newer policy alone.
 
-    Versions only grow. What goes together holds all versions of the other.
+    There must be none. Versions only grow.
     """
     return _after(seen, lambda new, old: len(new) == 1 and new[0] > max(old))
 
 
-def apart(seen: Sequence[Decides]) -> Pairs:
-    """Decisions surely after newer ones that they have no common state with: joint states count too."""
+def find_incompatible(seen: Sequence[ObservedDecision]) -> DecisionPairs:
+    """Returns decisions that surely came after a newer one which does not include all their versions.
+
+    Unlike `find_mixed` it also covers newer decisions by a joint state.
+    """
     return _after(seen, lambda new, old: max(new) > max(old) and not (set(old) <= set(new)))
 
 
-def _after(seen: Sequence[Decides], against: Callable[[tuple[int, ...], tuple[int, ...]], bool]) -> Pairs:
-    first: dict[tuple[int, ...], Decides] = {}  # by versions: the earliest such decision that was told
-    for one in sorted(seen, key=lambda d: d.told):
+def _after(
+    seen: Sequence[ObservedDecision], contradicts: Callable[[tuple[int, ...], tuple[int, ...]], bool]
+) -> DecisionPairs:
+    first: dict[tuple[int, ...], ObservedDecision] = {}  # by versions: the decision that was answered first
+    for one in sorted(seen, key=lambda d: d.answered_at):
         first.setdefault(one.versions, one)
-    return [(new, one) for one in seen for new in first.values() if _later(new, one, against)]
+    return [(new, one) for one in seen for new in first.values() if _later(new, one, contradicts)]
 
 
-def _later(new: Decides, one: Decides, against: Callable[[tuple[int, ...], tuple[int, ...]], bool]) -> bool:
-    return new.told <= one.asked and against(new.versions, one.versions)
+def _later(
+    new: ObservedDecision,
+    one: ObservedDecision,
+    contradicts: Callable[[tuple[int, ...], tuple[int, ...]], bool],
+) -> bool:
+    return new.answered_at <= one.asked_at and contradicts(new.versions, one.versions)
 
 
-def spoken(datagram: bytes) -> m.Message | None:
-    """What a datagram says about accords, its MAC not looked at; None for anything else, and for pieces."""
+def decode_consensus_message(datagram: bytes) -> m.Message | None:
+    """Decodes the consensus message of a datagram without checking its MAC; None if it has no whole one."""
     if len(datagram) < MIN_DATAGRAM_BYTES:
         return None
     head = decode_header(datagram)
--- a/ironrail/rehearsal/links/consensus_rehearsal.py
+++ b/ironrail/rehearsal/links/consensus_rehearsal.py
@@ -1,4 +1,4 @@
-"""Seven routers as processes in three halls that have peers, and a run that lasts until it is told to end."""
+"""A rehearsal with seven peer routers in three zones whose load lasts until the caller ends it."""
 
 from __future__ import annotations
 
@@ -12,17 +12,17 @@
 from ironrail.rehearsal.scenario.names import hall_of
 
 ROUTERS = 7
-VOTERS = (0, 1, 2)  # one in each hall
-LEASE = 1.0  # seconds
-LONGEST = 150.0  # seconds of load at the most: whatever was to be seen by then never comes
+VOTERS = (0, 1, 2)  # one in each zone
+LEASE_SECONDS = 1.0
+MAX_LOAD_SECONDS = 150.0  # bound of a run; an event that has not come by then never comes
 
 
-def world(rate: float = 40.0) -> Scenario:
-    """`rate`: requests a second."""
+def consensus_scenario(rate: float = 40.0) -> Scenario:
+    """Returns the scenario of a consensus run; `rate` is in requests per second."""
     return Scenario.model_validate(
         {
             "summary": "accords",
-            "length": f"{LONGEST} s",
+            "length": f"{MAX_LOAD_SECONDS} s",
             "warm_up": "300 ms",
             "load": {"rate": rate},
             "routers": {"count": ROUTERS},
@@ -31,52 +31,52 @@
     )
 
 
-def operator_file(folder: Path, scenario: Scenario, lease: float = LEASE) -> Path:
-    """The same for all routers; voters keep their records below `folder`."""
+def operator_file(folder: Path, scenario: Scenario, lease: float = LEASE_SECONDS) -> Path:
+    """Writes the operator file of all routers and creates the voters' record folders below `folder`."""
     (folder / "key").write_bytes(b"a key of all routers")
-    halls = [hall_of(scenario, n) for n in range(scenario.routers.count)]
+    zones = [hall_of(scenario, n) for n in range(scenario.routers.count)]
     for voter in VOTERS:
         (folder / f"keep-{voter}").mkdir()
     path = folder / "operator.toml"
     path.write_text(
-        f"[peers]\nkeys = {{ '1' = '{folder}/key' }}\nsending = 1\nhalls = {halls}\nvoters = {list(VOTERS)}\n"
+        f"[peers]\nkeys = {{ '1' = '{folder}/key' }}\nsending = 1\nhalls = {zones}\nvoters = {list(VOTERS)}\n"
         f"lease_ms = {lease * 1000:.0f}\nkeep = '{folder}/keep-{{index}}'\nstart = 'floor'\n"
     )
     return path
 
 
-class Staged(LinkedRehearsal):
-    """Tells when its load begins, and ends it once it is told to."""
+class ConsensusRehearsal(LinkedRehearsal):
+    """A rehearsal that sets `load_started`, and ends its load once `load_may_end` is set."""
 
-    def __init__(self, scenario: Scenario, seed: int, *, least: float, **others: Any) -> None:
-        """`least`: seconds of load."""
+    def __init__(self, scenario: Scenario, seed: int, *, min_load_seconds: float, **others: Any) -> None:
+        """Creates the rehearsal; `min_load_seconds` is the minimum duration of its load."""
         super().__init__(scenario, seed, **others)
-        self._least = least
-        self.began, self.over = asyncio.Event(), asyncio.Event()
+        self._min_load_seconds = min_load_seconds
+        self.load_started, self.load_may_end = asyncio.Event(), asyncio.Event()
         self._begun: dict[int, LinkFault] = {}
 
-    def door_of(self, router: str) -> tuple[str, int]:
+    def admin_address_of(self, router: str) -> tuple[str, int]:
         return self._routers[router].door
 
     def log_of(self, router: str) -> str:
-        """What its processes said so far, the end of it if it is long."""
+        """Returns the log of the router's processes so far; only its end if it is long."""
         return self._routers[router].log.decode(errors="replace")
 
     def now(self) -> float:
-        """Seconds since the start of the load that counts."""
+        """Returns the seconds since the start of the measured load."""
         return self._world.now()
 
     async def _carry_out(self) -> None:
-        self.began.set()
+        self.load_started.set()
         await super()._carry_out()
 
     async def _load(self) -> None:
         loading = asyncio.ensure_future(super()._load())
-        over = asyncio.ensure_future(self.over.wait())
+        over = asyncio.ensure_future(self.load_may_end.wait())
         try:
             await asyncio.wait([loading, over], return_when=asyncio.FIRST_COMPLETED)
             if not loading.done():
-                await asyncio.sleep(max(0.0, self._least - self.now()))
+                await asyncio.sleep(max(0.0, self._min_load_seconds - self.now()))
         finally:
             over.cancel()
             if not loading.cancel():
@@ -87,7 +87,7 @@
         self._scenario = self._scenario.model_copy(update={"length": ended})
 
     def begin(self, fault: LinkFault) -> int:
-        """At once; to be ended by the number."""
+        """Begins a fault now; returns the number to end it with."""
         number = len(self._steps) // 2 + len(self._begun)
         self._begun[number] = fault
         self._step(Step(self.now(), True, number, fault))
--- a/ironrail/rehearsal/links/plan.py
+++ b/ironrail/rehearsal/links/plan.py
@@ -1,4 +1,4 @@
-"""The plan of what goes wrong on links, processes, clocks and disks: given in TOML or drawn. Pure."""
+"""Fault plans for links, processes, clocks and disks, read from TOML or generated. Does no I/O."""
 
 from __future__ import annotations
 
@@ -16,13 +16,13 @@
 from ironrail.rehearsal.scenario.reader import parse
 from ironrail.rehearsal.scenario.units import Seconds, write_time
 
-MOST_FAULTS = 500
-MOST_DRIFT = 0.1  # of a second each second: a clock further off is broken, not drifting
-LEAST_TERM = 4.0  # seconds from SIGTERM to the kill: by 3.6 s a router has answered all that it held
+MAX_FAULTS = 500
+MAX_DRIFT_RATIO = 0.1  # seconds per second; a clock further off is broken, not drifting
+MIN_TERM_SECONDS = 4.0  # from SIGTERM to SIGKILL; by 3.6 s a router has answered all its requests
 
 
 class Kind(StrEnum):
-    """What can go wrong. The operator's page describes each."""
+    """Kinds of faults; docs/rehearsal/links.md describes each."""
 
     CUT = "cut"
     DELAY = "delay"
@@ -46,32 +46,32 @@
 LINKS = (Kind.CUT, Kind.DELAY, *CONNECTIONS, *DATAGRAMS)
 PROCESSES = (Kind.KILL, Kind.STOP, Kind.TERM)
 DISKS = (Kind.DISK_FULL, Kind.DISK_READ_ONLY, Kind.DISK_FAILING, Kind.DISK_SLOW)
-HARD = {  # how hard, where a fault does not say, and the most
+DEFAULT_AND_MAX_HARDNESS = {  # default and maximum of `hard`
     Kind.DELAY: (0.02, 10.0),  # seconds
     Kind.LOSS: (0.2, 1.0),  # shares of datagrams
     Kind.DUPLICATE: (0.2, 1.0),
     Kind.REORDER: (0.2, 1.0),
-    Kind.CLOCK: (0.01, MOST_DRIFT),
+    Kind.CLOCK: (0.01, MAX_DRIFT_RATIO),
     Kind.DISK_FAILING: (1.0, 1.0),  # share of reads and writes
     Kind.DISK_SLOW: (0.2, 10.0),  # seconds of each
 }
 
 
 class PlanError(InputError):
-    """A fault that can't be; the message names it."""
+    """A fault is invalid; the message names it."""
 
     advice = "Correct the fault that is named; docs/rehearsal/links.md tells what each takes"
 
 
 class LinkFault(Table):
-    """One thing that goes wrong: what, where, from when, how long, how hard."""
+    """One fault: its kind, where it acts, when it begins, how long it lasts and how hard it is."""
 
     kind: Kind
-    on: str  # a path, or the name of a router
+    on: str  # path, or name of a router
     at: Seconds
     lasts: Annotated[Seconds, Field(gt=0.0)]
     hard: Annotated[float, Field(gt=0.0)] | None = None
-    spread: Seconds = 0.0  # of a delay: up to so much more; of a reordering: how long one is held back
+    spread: Seconds = 0.0  # of a delay: maximum extra delay; of a reordering: how long a datagram is held
 
     @property
     def ends(self) -> float:
@@ -79,7 +79,7 @@
 
     @property
     def hardness(self) -> float:
-        return self.hard if self.hard is not None else HARD.get(self.kind, (1.0, 1.0))[0]
+        return self.hard if self.hard is not None else DEFAULT_AND_MAX_HARDNESS.get(self.kind, (1.0, 1.0))[0]
 
     def label(self) -> str:
         return f"{self.kind} on {self.on}"
@@ -88,36 +88,36 @@
 def link_fault(
     kind: Kind | str, on: str, at: float, lasts: float, hard: float | None = None, spread: float = 0.0
 ) -> LinkFault:
-    """A fault from Python, with times in seconds."""
+    """Creates a fault from times in seconds."""
     times = {"at": write_time(at), "lasts": write_time(lasts), "spread": write_time(spread)}
     return LinkFault.model_validate({"kind": kind, "on": on, "hard": hard, **times})
 
 
 class _File(Table):
-    faults: Annotated[list[LinkFault], Field(alias="fault", max_length=MOST_FAULTS)] = []
+    faults: Annotated[list[LinkFault], Field(alias="fault", max_length=MAX_FAULTS)] = []
 
 
 @dataclass(frozen=True, slots=True)
 class Step:
-    """A fault begins or ends."""
+    """The begin or the end of a fault."""
 
     at: float
     begins: bool
-    number: int  # of the fault, by its place in the plan
+    number: int  # index of the fault in the plan
     fault: LinkFault
 
     def line(self) -> str:
-        """What people read."""
+        """Returns the line that reports show."""
         return f"{self.at:8.3f} s  {'begins' if self.begins else 'ends'}: {self.fault.label()}"
 
 
 def read_plan(text: str, file: str) -> list[LinkFault]:
-    """What a TOML file holds, one `[[fault]]` each; ScenarioError names file, line and mistake."""
+    """Reads the `[[fault]]` tables of a TOML text; ScenarioError names file, line and mistake."""
     return parse(_File, text, file).faults
 
 
 def steps(plan: Sequence[LinkFault]) -> list[Step]:
-    """Begins and ends in order of time; of two at one time an end comes first, then the order of the plan."""
+    """Returns begins and ends in order of time; at one time ends come first, then the order of the plan."""
     both = [
         Step(at, begins, n, f) for n, f in enumerate(plan) for at, begins in ((f.at, True), (f.ends, False))
     ]
@@ -125,12 +125,15 @@
 
 
 def check(plan: Sequence[LinkFault], places: Places, length: float) -> None:
-    """PlanError where a fault can't be, outlasts so many seconds, or meets another on its process."""
+    """Raises PlanError if a fault is invalid, ends after `length` seconds or overlaps one on its process."""
     for number, fault in enumerate(plan):
         where = f"fault {number + 1} ({fault.label()})"
         if fault.ends > length:
             raise PlanError(f"ends at {fault.ends:g} s, after the run's {length:g} s", where)
-        if fault.hard is not None and not 0.0 < fault.hard <= HARD.get(fault.kind, (0.0, -math.inf))[1]:
+        if (
+            fault.hard is not None
+            and not 0.0 < fault.hard <= DEFAULT_AND_MAX_HARDNESS.get(fault.kind, (0.0, -math.inf))[1]
+        ):
             raise PlanError(f"hard = {fault.hard:g} is more than it takes", where)
         if fault.kind in LINKS:
             path = path_of(fault.on, places)
@@ -139,13 +142,13 @@
                 raise PlanError("nothing goes there that it could hit", where)
         elif fault.on not in places.routers:
             raise PlanError(f"no router is called {fault.on!r}", where)
-        if fault.kind is Kind.TERM and fault.lasts < LEAST_TERM:
-            raise PlanError(f"lasts less than {LEAST_TERM:g} s until the kill", where)
+        if fault.kind is Kind.TERM and fault.lasts < MIN_TERM_SECONDS:
+            raise PlanError(f"lasts less than {MIN_TERM_SECONDS:g} s until the kill", where)
     _check_apart([f for f in plan if f.kind not in LINKS])
 
 
 def _check_apart(plan: Iterable[LinkFault]) -> None:
-    """Guards against two plans for one process: the end of one would undo the other."""
+    """Rejects overlapping faults on one process, clock or disk: the end of one would undo the other."""
     ends: dict[tuple[str, str], float] = {}
     for fault in sorted(plan, key=lambda f: f.at):
         key = fault.on, "process" if fault.kind in PROCESSES else fault.kind
--- a/tests/rehearsal/links/test_consensus.py
+++ b/tests/rehearsal/links/test_consensus.py
@@ -1,4 +1,4 @@
-"""A change of policy among seven processes: some are down, stopped, cut off, or have no room on a disk."""
+"""Policy changes among seven router processes: killed, stopped, cut off or with a full disk."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 from ironrail.rehearsal.links.plan import LinkFault, link_fault
 
 ALL = [f"router-{n + 1}" for n in range(ROUTERS)]
-WITHIN = 30.0  # seconds for what takes two or three: only a failing run comes near
+MAX_WAIT_SECONDS = 30.0  # for what takes two or three; only a failing run comes near
 
 
 def fault(kind: str, on: str, hard: float | None = None) -> LinkFault:
-    """To be begun and ended by hand."""
+    """Returns a fault that the test begins and ends itself."""
     return link_fault(kind, on, 0.0, 1.0, hard)
 
 
@@ -25,42 +25,42 @@
 CUT = fault("cut", "router-3 <> routers")
 
 
-async def changed(stage: Stage, router: str, version: int, *there: str) -> float:
+async def change_policy(stage: Stage, router: str, version: int, *there: str) -> float:
     status, said = await stage.propose(router, version)
     assert status == 202, said
-    return await stage.until(version, *there, within=WITHIN)
+    return await stage.wait_until(version, *there, within=MAX_WAIT_SECONDS)
 
 
 @pytest.mark.sockets
 def test_a_change_takes_hold_at_all_while_some_are_down_cut_off_or_have_no_room(tmp_path: Path) -> None:
     took: dict[str, float] = {}
 
-    async def meanwhile(stage: Stage) -> None:
-        await stage.found("router-1")
-        took["none down"] = await changed(stage, "router-2", 2, *ALL)
+    async def during_load(stage: Stage) -> None:
+        await stage.bootstrap("router-1")
+        took["none down"] = await change_policy(stage, "router-2", 2, *ALL)
         stage.begin(LOSS)
         away = [stage.begin(one) for one in AWAY]
-        took["three away"] = await changed(
+        took["three away"] = await change_policy(
             stage, "router-7", 3, "router-1", "router-2", "router-3", "router-7"
         )
         for one in away:
             stage.end(one)
-        took["back"] = await stage.until(3, *ALL, within=WITHIN)
+        took["back"] = await stage.wait_until(3, *ALL, within=MAX_WAIT_SECONDS)
         full = stage.begin(FULL)
-        took["a voter's disk full"] = await changed(stage, "router-1", 4, *ALL)
+        took["a voter's disk full"] = await change_policy(stage, "router-1", 4, *ALL)
         stage.end(full)
         cut = stage.begin(CUT)
-        took["a voter cut off"] = await changed(
+        took["a voter cut off"] = await change_policy(
             stage, "router-2", 5, *(one for one in ALL if one != "router-3")
         )
         stage.end(cut)
-        took["and back"] = await stage.until(5, *ALL, within=WITHIN)
+        took["and back"] = await stage.wait_until(5, *ALL, within=MAX_WAIT_SECONDS)
 
-    stage, result = play(tmp_path, [], 0.0, meanwhile, foreseen=[*AWAY, LOSS, FULL, CUT])
+    stage, result = play(tmp_path, [], 0.0, during_load, manual_faults=[*AWAY, LOSS, FULL, CUT])
     assert len(took) == 6, took
-    assert stage.mixed() == []
+    assert stage.find_mixed() == []
     assert {d.versions for d in stage.seen} >= {(1,), (2,), (3,), (4,), (5,)}
-    assert any(len(d.versions) == 2 for d in stage.seen)  # the joint state, in which the meet holds
+    assert any(len(d.versions) == 2 for d in stage.seen)  # the joint state, in which both policies are obeyed
     assert result.no_verdict or not result.broken
     assert all((tmp_path / f"keep-{voter}" / "accord").stat().st_size > 0 for voter in VOTERS)
 
@@ -73,21 +73,21 @@
     kills = [fault("kill", name) for name in gone]
     took: dict[str, float] = {}
 
-    async def meanwhile(stage: Stage) -> None:
-        await stage.found("router-1")
+    async def during_load(stage: Stage) -> None:
+        await stage.bootstrap("router-1")
         status, said = await stage.call("router-7", "/-/policy", "version = 2\nvoters = [3, 4, 5]\n")
         assert status == 202, said
-        took["other voters"] = await stage.until(2, *ALL, within=WITHIN)
+        took["other voters"] = await stage.wait_until(2, *ALL, within=MAX_WAIT_SECONDS)
         assert (await stage.policy("router-1"))["voters"] == [[3, 4, 5]]
         begun = [stage.begin(one) for one in kills]
-        took["the old ones gone"] = await changed(stage, "router-7", 3, *(set(ALL) - set(gone)))
+        took["the old ones gone"] = await change_policy(stage, "router-7", 3, *(set(ALL) - set(gone)))
         for one in begun:
             stage.end(one)
-        # with files that name themselves, and records of when they were voters
-        took["and back"] = await stage.until(3, *ALL, within=WITHIN)
+        # their operator files still name them as voters, and they have records from that time
+        took["and back"] = await stage.wait_until(3, *ALL, within=MAX_WAIT_SECONDS)
 
-    stage, _ = play(tmp_path, [], 0.0, meanwhile, foreseen=kills)
+    stage, _ = play(tmp_path, [], 0.0, during_load, manual_faults=kills)
     assert len(took) == 3, took
-    assert stage.mixed() == []
+    assert stage.find_mixed() == []
     assert {d.versions for d in stage.seen} >= {(1,), (1, 2), (2,), (3,)}
     assert all((tmp_path / f"keep-{new}" / "accord").stat().st_size > 0 for new in (3, 4, 5))
--- a/tests/rehearsal/links/test_consensus_checks.py
+++ b/tests/rehearsal/links/test_consensus_checks.py
@@ -1,34 +1,34 @@
-"""The observer of accords finds what must not be, and drawn plans can be played."""
+"""The consensus checks find violations, and generated plans are valid."""
 
 from __future__ import annotations
 
-from ironrail.rehearsal.links.consensus_checks import Decides, apart, mixed
+from ironrail.rehearsal.links.consensus_checks import ObservedDecision, find_incompatible, find_mixed
 from ironrail.rehearsal.links.consensus_plan_generator import draw_changes, draw_faults
-from ironrail.rehearsal.links.consensus_rehearsal import VOTERS, world
+from ironrail.rehearsal.links.consensus_rehearsal import VOTERS, consensus_scenario
 from ironrail.rehearsal.links.paths import Places
 from ironrail.rehearsal.links.plan import DISKS, Kind, check
 
 
-def one(asked: float, *versions: int) -> Decides:
-    return Decides("router-1", asked, asked + 0.1, versions)
+def decision(asked_at: float, *versions: int) -> ObservedDecision:
+    return ObservedDecision("router-1", asked_at, asked_at + 0.1, versions)
 
 
 def test_an_old_policy_surely_after_a_new_one_alone_is_found() -> None:
-    new, old = one(1.0, 2), one(1.2, 1)
-    assert mixed([old, new]) == apart([old, new]) == [(new, old)]
-    assert mixed([new, one(1.05, 1)]) == []  # which was first is not known
-    assert mixed([new, one(1.2, 1, 2)]) == []  # they have the new one in common
+    new, old = decision(1.0, 2), decision(1.2, 1)
+    assert find_mixed([old, new]) == find_incompatible([old, new]) == [(new, old)]
+    assert find_mixed([new, decision(1.05, 1)]) == []  # the intervals overlap: which came first is unknown
+    assert find_mixed([new, decision(1.2, 1, 2)]) == []  # both obey the new one
 
 
 def test_a_joint_state_apart_from_an_older_one_is_found() -> None:
-    joint = one(1.0, 2, 3)
-    assert apart([joint, one(1.2, 1)]) == [(joint, one(1.2, 1))]
-    assert apart([joint, one(1.2, 1, 2)]) == [(joint, one(1.2, 1, 2))]
-    assert apart([joint, one(1.2, 2), one(1.3, 3), one(1.4, 3, 4)]) == []
+    joint = decision(1.0, 2, 3)
+    assert find_incompatible([joint, decision(1.2, 1)]) == [(joint, decision(1.2, 1))]
+    assert find_incompatible([joint, decision(1.2, 1, 2)]) == [(joint, decision(1.2, 1, 2))]
+    assert find_incompatible([joint, decision(1.2, 2), decision(1.3, 3), decision(1.4, 3, 4)]) == []
 
 
 def test_drawn_plans_can_be_played_are_the_same_each_time_and_have_all_sorts_of_faults() -> None:
-    scenario, kinds = world(), set()
+    scenario, kinds = consensus_scenario(), set()
     for seed in range(200):
         plan = draw_faults(scenario, seed, 10.0, VOTERS)
         check(plan, Places.of(scenario), 10.0)
--- a/tests/rehearsal/links/test_consensus_faults.py
+++ b/tests/rehearsal/links/test_consensus_faults.py
@@ -1,4 +1,4 @@
-"""A hall is cut off in a change, proposers are killed at each of its steps: one policy, never mixed."""
+"""Zones cut off during a change and proposers killed at each step never lead to mixed policies."""
 
 from __future__ import annotations
 
@@ -9,135 +9,163 @@
 import pytest
 
 from ironrail.peers.consensus import messages as m
-from ironrail.rehearsal.links.consensus_checks import spoken
-from ironrail.rehearsal.links.consensus_rehearsal import world
+from ironrail.rehearsal.links.consensus_checks import decode_consensus_message
+from ironrail.rehearsal.links.consensus_rehearsal import consensus_scenario
 from ironrail.rehearsal.links.consensus_stage import Stage, play
 from ironrail.rehearsal.links.plan import link_fault
 from ironrail.rehearsal.run import Result
 
-TIMES = (8.0, 2.5, 1.5)  # seconds until a change, one left behind, a step left open are ended: 20, 50, 4 else
-LONG = 60.0  # seconds for anything that has to come: a bound, which a busy machine doesn't reach
-LEASE = 3.0  # seconds: so long a change has to wait for a hall that is cut off, which by itself takes about 1
-LOOK = 0.1  # seconds between two looks at a router: what is left of a lease is up to ten of them
-HALL_C = ("router-3", "router-6")
+TIMEOUTS_SECONDS = (8.0, 2.5, 1.5)  # as `accord_launch` takes them; the defaults are 20, 50, 4
+MAX_WAIT_SECONDS = 60.0  # bound for each wait, which a busy machine doesn't reach
+LEASE_SECONDS = 3.0  # a change waits this long for a zone that is cut off; by itself it takes about 1
+POLL_SECONDS = 0.1  # between two polls of a router; what is left of a lease is up to ten of them
+ZONE_C = ("router-3", "router-6")
 OTHERS = ("router-1", "router-2", "router-4", "router-5", "router-7")
 
 
-def held(stage: Stage, result: Result) -> None:
-    """What has to hold whatever happened."""
-    assert stage.mixed() == [] and stage.apart() == []
+def check_invariants(stage: Stage, result: Result) -> None:
+    """Checks what must hold whatever faults there were."""
+    assert stage.find_mixed() == [] and stage.find_incompatible() == []
     assert result.no_verdict or not result.broken
     assert {one.router for one in stage.seen} == set(stage.routers)
 
 
-async def decides(stage: Stage, router: str, versions: list[int]) -> None:
-    """Wait until it does; an empty list: it holds no lease."""
-    async with asyncio.timeout(LONG):
+async def wait_until_decides(stage: Stage, router: str, versions: list[int]) -> None:
+    """Waits until the router decides by `versions`; an empty list means that it holds no lease."""
+    async with asyncio.timeout(MAX_WAIT_SECONDS):
         while (await stage.policy(router)).get("versions") != versions:
-            await asyncio.sleep(LOOK)
+            await asyncio.sleep(POLL_SECONDS)
 
 
-async def taken_up(stage: Stage, router: str, version: int, over: Callable[[], bool] = lambda: False) -> None:
-    """Ask until it takes the change up: one who just came back, or lost its lease for a moment, says no."""
-    async with asyncio.timeout(LONG):
+async def propose_until_accepted(
+    stage: Stage, router: str, version: int, over: Callable[[], bool] = lambda: False
+) -> None:
+    """Proposes until accepted: a router that has just restarted or lost its lease for a moment rejects it."""
+    async with asyncio.timeout(MAX_WAIT_SECONDS):
         while not over() and (await stage.propose(router, version))[0] != 202:
             if (await stage.policy(router)).get("change", {}).get("version") == version:
-                return  # its answer came too late, or not at all
-            await asyncio.sleep(LOOK)
+                return  # accepted, but the response was late or lost
+            await asyncio.sleep(POLL_SECONDS)
 
 
 @pytest.mark.sockets
 def test_a_hall_cut_off_in_a_change_acts_by_no_old_policy_once_the_others_have_the_new(
     tmp_path: Path,
 ) -> None:
-    cuts = [link_fault("cut", f"hall-c <> {other}", 0.0, LONG) for other in ("hall-a", "hall-b")]
-
-    async def meanwhile(stage: Stage) -> None:
-        await stage.found("router-1")
-        await taken_up(stage, "router-1", 2)
-        numbers = [stage.begin(cut) for cut in cuts]  # its voter is cut off with it
-        await stage.until(2, *OTHERS, within=LONG)
-        for router in HALL_C:
-            await decides(stage, router, [])
-        assert not any(one.versions == (2,) for one in stage.seen if one.router in HALL_C)
+    cuts = [link_fault("cut", f"hall-c <> {other}", 0.0, MAX_WAIT_SECONDS) for other in ("hall-a", "hall-b")]
+
+    async def during_load(stage: Stage) -> None:
+        await stage.bootstrap("router-1")
+        await propose_until_accepted(stage, "router-1", 2)
+        numbers = [stage.begin(cut) for cut in cuts]  # the zone's voter is cut off too
+        await stage.wait_until(2, *OTHERS, within=MAX_WAIT_SECONDS)
+        for router in ZONE_C:
+            await wait_until_decides(stage, router, [])
+        assert not any(one.versions == (2,) for one in stage.seen if one.router in ZONE_C)
         for number in numbers:
             stage.end(number)
-        assert await stage.same(*stage.routers, within=LONG) == 2
-
-    held(*play(tmp_path, [], 0.0, meanwhile, foreseen=cuts, scenario=world(10.0), every=LOOK, lease=LEASE))
+        assert await stage.wait_until_same(*stage.routers, within=MAX_WAIT_SECONDS) == 2
+
+    check_invariants(
+        *play(
+            tmp_path,
+            [],
+            0.0,
+            during_load,
+            manual_faults=cuts,
+            scenario=consensus_scenario(10.0),
+            every=POLL_SECONDS,
+            lease=LEASE_SECONDS,
+        )
+    )
 
 
 class Killer:
-    """Kills a proposer when it first asks for a state that is looked for; so many of those messages pass."""
+    """Kills a proposer when it first sends an Accept that matches `when`; `passing` of these get through."""
 
     def __init__(
         self, stage: Stage, router: str, when: Callable[[m.RegisterState, int], bool], passing: int
     ) -> None:
         self._stage, self._router, self._when, self._passing = stage, router, when, passing
         self._killed: int | None = None
-        self.version = 0  # that it was asked for
+        self.version = 0  # of the current proposal
         self.done = asyncio.Event()
         stage.taps[:] = [self]
 
     def __call__(self, source: str, datagram: bytes) -> bool:
-        said = spoken(datagram) if source == self._router else None
+        said = decode_consensus_message(datagram) if source == self._router else None
         if not isinstance(said, m.Accept) or not self._when(said.state, self.version):
             return True
         if self._killed is None:
-            self._killed = self._stage.begin(link_fault("kill", self._router, 0.0, LONG))
+            self._killed = self._stage.begin(link_fault("kill", self._router, 0.0, MAX_WAIT_SECONDS))
             self.done.set()
         self._passing -= 1
         return self._passing >= 0
 
-    async def ask(self, version: int) -> None:
-        """Until it is killed, or says that the change has ended before."""
+    async def propose(self, version: int) -> None:
+        """Proposes a change and waits until the router is killed or reports that the change has ended."""
         self.version = version
-        await taken_up(self._stage, self._router, version, self.done.is_set)
-        async with asyncio.timeout(LONG):
+        await propose_until_accepted(self._stage, self._router, version, self.done.is_set)
+        async with asyncio.timeout(MAX_WAIT_SECONDS):
             while not self.done.is_set():
                 change = (await self._stage.policy(self._router)).get("change")
                 if change and change["version"] == version and change["state"] != "under way":
                     return
-                await asyncio.sleep(LOOK)
+                await asyncio.sleep(POLL_SECONDS)
 
-    def back(self) -> None:
-        """It is started again."""
+    def restart(self) -> None:
+        """Starts the killed router again."""
         assert self._killed is not None
         self._stage.taps.clear()
         self._stage.end(self._killed)
 
 
-def joins(state: m.RegisterState, version: int) -> bool:
+def is_joint_step(state: m.RegisterState, version: int) -> bool:
     return state.new is not None and state.new.version == version
 
 
-def last_step(state: m.RegisterState, version: int) -> bool:
+def is_final_step(state: m.RegisterState, version: int) -> bool:
     return state.new is None and state.old.version == version
 
 
-STEPS = (  # who is killed, at which of his messages, how many of them pass, whether the new one comes of it
-    ("router-7", joins, 0, {False}),  # before anyone heard of the joint state
-    ("router-6", last_step, 0, {False}),  # all are in the joint state
-    ("router-5", last_step, 1, {False, True}),  # one voter has the last step, and it may not take it
-    ("router-4", last_step, 3, {True}),  # all voters have it
+STEPS = (  # router to kill, at which message, how many of these pass, whether the change may succeed
+    ("router-7", is_joint_step, 0, {False}),  # no voter has received the joint state
+    ("router-6", is_final_step, 0, {False}),  # all are in the joint state
+    (
+        "router-5",
+        is_final_step,
+        1,
+        {False, True},
+    ),  # one voter has received the final step and may not have recorded it
+    ("router-4", is_final_step, 3, {True}),  # all voters have received it
 )
 
 
 @pytest.mark.sockets
 def test_a_proposer_killed_at_any_step_leaves_all_on_the_old_or_all_on_the_new(tmp_path: Path) -> None:
-    async def meanwhile(stage: Stage) -> None:
-        await stage.found("router-1")
+    async def during_load(stage: Stage) -> None:
+        await stage.bootstrap("router-1")
         version = old = 1
         for router, when, passing, ends in STEPS:
             killer = Killer(stage, router, when, passing)
-            while not killer.done.is_set():  # a change that a busy machine has given up is no step
+            while not killer.done.is_set():  # a busy machine may give a change up before the step
                 version += 1
-                await killer.ask(version)
+                await killer.propose(version)
             rest = [name for name in stage.routers if name != router]
-            new = await stage.same(*rest, within=LONG)
+            new = await stage.wait_until_same(*rest, within=MAX_WAIT_SECONDS)
             assert new in (old, version) and (new == version) in ends, (router, old, version, new)
-            killer.back()
+            killer.restart()
             old = new
-        assert await stage.same(*stage.routers, within=LONG) == old
-
-    held(*play(tmp_path, [], 0.0, meanwhile, times=TIMES, scenario=world(10.0), every=LOOK))
+        assert await stage.wait_until_same(*stage.routers, within=MAX_WAIT_SECONDS) == old
+
+    check_invariants(
+        *play(
+            tmp_path,
+            [],
+            0.0,
+            during_load,
+            times=TIMEOUTS_SECONDS,
+            scenario=consensus_scenario(10.0),
+            every=POLL_SECONDS,
+        )
+    )
--- a/tests/rehearsal/links/test_plan.py
+++ b/tests/rehearsal/links/test_plan.py
@@ -8,7 +8,7 @@
 
 from ironrail.rehearsal.links.paths import PathError, Places, path_of
 from ironrail.rehearsal.links.plan import Kind, PlanError, check, link_fault, read_plan, steps
-from ironrail.rehearsal.links.plan_generator import QUIET_END, draw_plan
+from ironrail.rehearsal.links.plan_generator import QUIET_END_SECONDS, draw_plan
 from ironrail.rehearsal.scenario.model import Scenario
 from ironrail.rehearsal.scenario.reader import ScenarioError
 
@@ -30,7 +30,7 @@
     plan = draw_plan(world, seed, count)
     assert plan == draw_plan(world, seed, count)
     check(plan, Places.of(world), world.length)
-    assert all(0.0 <= f.at < f.ends <= world.length - QUIET_END + 1e-6 for f in plan)
+    assert all(0.0 <= f.at < f.ends <= world.length - QUIET_END_SECONDS + 1e-6 for f in plan)
     told = steps(plan)
     assert [s.at for s in told] == sorted(s.at for s in told)
     for number, fault in enumerate(plan):
