--- a/ironrail/rehearsal/links/consensus_stage.py
+++ b/ironrail/rehearsal/links/consensus_stage.py
@@ -28,8 +28,8 @@
     operator_file,
 )
 from ironrail.rehearsal.links.environments import RealLinks
-from ironrail.rehearsal.links.linked_rehearsal import judged
-from ironrail.rehearsal.links.paths import Places
+from ironrail.rehearsal.links.linked_rehearsal import without_unobservable_bounds
+from ironrail.rehearsal.links.paths import PathEnds
 from ironrail.rehearsal.links.plan import LinkFault, check, steps
 from ironrail.rehearsal.run import Result
 from ironrail.rehearsal.scenario.model import Scenario
@@ -187,8 +187,8 @@
         StageError: The routers did not start.
     """
     scenario = scenario or consensus_scenario()
-    check(manual_faults, places := Places.of(scenario), MAX_LOAD_SECONDS)
-    scenario = judged(scenario, manual_faults, places)
+    check(manual_faults, places := PathEnds.of(scenario), MAX_LOAD_SECONDS)
+    scenario = without_unobservable_bounds(scenario, manual_faults, places)
     min_load_seconds = max([length, *(fault.ends for fault in plan)])
 
     async def run() -> tuple[Stage, Result]:
--- a/ironrail/rehearsal/links/datagrams.py
+++ b/ironrail/rehearsal/links/datagrams.py
@@ -1,7 +1,7 @@
-"""Real datagrams between routers: a loopback socket for each pair, so that each path can fail by itself.
+"""Relays real datagrams between routers through a loopback socket per pair, so that each path can fail alone.
 
-What router i knows as the address of router j is a socket here. A datagram that i sends there goes on to
-where j listens, from the socket that j knows as the address of i.
+Router i is configured with a socket of the relay as the address of router j. A datagram that i sends there is
+forwarded to the real address of j, from the socket that j knows as the address of i.
 """
 
 from __future__ import annotations
@@ -16,23 +16,22 @@
 from ironrail.rehearsal.links.exchange import Exchange
 from ironrail.rehearsal.standins.listening import LOCAL
 
-MOST_READ = 64 * 1024  # bytes: the longest datagram that there can be
-MOST_AT_ONCE = 200  # datagrams from one socket before others have their turn
-MOST_ROUTERS = 20  # a socket for each pair: more would be hundreds, and one loop carries all
+MAX_DATAGRAM_READ_BYTES = 64 * 1024  # the longest possible datagram
+MAX_DATAGRAMS_PER_WAKEUP = 200  # from one socket, before others are read
+MAX_ROUTERS = 20  # one socket per pair: more routers need hundreds, all on one loop
 
 
-class Relays:
+class DatagramRelays:
     """The sockets between the routers of a run."""
 
     def __init__(self, exchange: Exchange, listens: dict[str, str]) -> None:
-        """`listens`: where each router takes datagrams, as `host:port`, in order."""
-        assert len(listens) <= MOST_ROUTERS, f"datagrams of more than {MOST_ROUTERS} routers"
+        """Opens the sockets; `listens` maps each router, in order, to its datagram address `host:port`."""
+        assert len(listens) <= MAX_ROUTERS, f"datagrams of more than {MAX_ROUTERS} routers"
         self._exchange, self._loop = exchange, asyncio.get_running_loop()
         self._listens = {name: read_address(address) for name, address in listens.items()}
-        self.strays = 0  # from anywhere but the router whose socket it is
-        self.tap: Callable[[str, bytes], bool] = lambda source, data: (
-            True
-        )  # sees each first; False: it is lost
+        self.strays = 0  # datagrams from other senders than the router that a socket is for
+        # Called with each datagram before it is forwarded; False drops it.
+        self.tap: Callable[[str, bytes], bool] = lambda source, data: True
         self._sockets: dict[tuple[str, str | None], socket.socket] = {}
         for name in listens:
             for other in [*(o for o in listens if o != name), None]:
@@ -46,21 +45,25 @@
         return opened
 
     def config_of(self, name: str) -> dict[str, Any]:
-        """What the router of this name is told."""
+        """Returns the peer settings of this router's configuration."""
 
-        def told(other: str | None) -> str:
+        def address_of(other: str | None) -> str:
             address = self._listens[name] if other == name else self._sockets[name, other].getsockname()
             return "{}:{}".format(*address)
 
-        return {"peer_listen": told(name), "peers": [told(o) for o in self._listens], "peers_all": told(None)}
+        return {
+            "peer_listen": address_of(name),
+            "peers": [address_of(o) for o in self._listens],
+            "peers_all": address_of(None),
+        }
 
     def _readable(self, opened: socket.socket, name: str, other: str | None) -> None:
-        for _ in range(MOST_AT_ONCE):
+        for _ in range(MAX_DATAGRAMS_PER_WAKEUP):
             try:
-                data, address = opened.recvfrom(MOST_READ)
+                data, address = opened.recvfrom(MAX_DATAGRAM_READ_BYTES)
             except BlockingIOError:
                 return
-            except OSError:  # what was sent from here met a router that is not there
+            except OSError:  # a datagram forwarded earlier reached a router that is down
                 continue
             if address != self._listens[name]:
                 self.strays += 1
@@ -74,10 +77,11 @@
                     self._hand_over(name, target, data)
 
     def _hand_over(self, source: str, target: str, data: bytes) -> None:
-        way = self._sockets.get((target, source))  # as the receiver knows the sender
-        if way is not None:
-            with contextlib.suppress(OSError):  # nobody listens, or its buffer is full: lost, as it is
-                way.sendto(data, self._listens[target])
+        sender = self._sockets.get((target, source))  # the socket that the receiver knows as the sender
+        if sender is not None:
+            # No listener or a full buffer: the datagram is lost, as on a network.
+            with contextlib.suppress(OSError):
+                sender.sendto(data, self._listens[target])
                 self._exchange.counts[source].arrived += 1
 
     def close(self) -> None:
--- a/ironrail/rehearsal/links/disk.py
+++ b/ironrail/rehearsal/links/disk.py
@@ -1,4 +1,4 @@
-"""A store whose disk fails as the switch has it. The store itself is the daemon's."""
+"""Wraps the daemon's record store with disk faults set by a switch."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from ironrail.rehearsal.links.switch import Slot, Switch
 
 
-def _refuse(number: int) -> OSError:
+def _os_error(number: int) -> OSError:
     return OSError(number, os.strerror(number))
 
 
@@ -27,36 +27,36 @@
         draws: random.Random,
         pause: Callable[[float], None] = time.sleep,
     ) -> None:
-        """`pause`: how a slow disk holds up who uses it, for so many seconds."""
+        """Wraps `store`; `pause` blocks for the given seconds while the disk is slow."""
         self._store, self._switch, self._draws, self._pause = store, switch, draws, pause
 
     def write(self, name: str, data: bytes) -> None:
-        self._trouble()
+        self._delay_or_fail()
         if self._switch[Slot.DISK_READ_ONLY]:
-            raise _refuse(errno.EROFS)
+            raise _os_error(errno.EROFS)
         if self._switch[Slot.DISK_FULL]:
             self._write_half(name, data)
-            raise _refuse(errno.ENOSPC)
+            raise _os_error(errno.ENOSPC)
         self._store.write(name, data)
 
     def read(self, name: str) -> bytes | None:
-        self._trouble()
+        self._delay_or_fail()
         return self._store.read(name)
 
-    def _trouble(self) -> None:
+    def _delay_or_fail(self) -> None:
         if slow := self._switch[Slot.DISK_SLOW]:
             self._pause(slow)
         if self._draws.random() < self._switch[Slot.DISK_FAILING]:
-            raise _refuse(errno.EIO)
+            raise _os_error(errno.EIO)
 
     def _write_half(self, name: str, data: bytes) -> None:
-        """The system takes half of each file: what the store leaves then is what a full disk leaves."""
-        before, most = resource.getrlimit(resource.RLIMIT_FSIZE)
-        resource.setrlimit(resource.RLIMIT_FSIZE, (len(data) // 2, most))
+        """Limits files to half of the data, so that the store leaves what it would on a full disk."""
+        before, hard_limit = resource.getrlimit(resource.RLIMIT_FSIZE)
+        resource.setrlimit(resource.RLIMIT_FSIZE, (len(data) // 2, hard_limit))
         try:
             self._store.write(name, data)
         except OSError as e:
             if e.errno != errno.EFBIG:
                 raise
         finally:
-            resource.setrlimit(resource.RLIMIT_FSIZE, (before, most))
+            resource.setrlimit(resource.RLIMIT_FSIZE, (before, hard_limit))
--- a/ironrail/rehearsal/links/exchange.py
+++ b/ironrail/rehearsal/links/exchange.py
@@ -1,7 +1,7 @@
-"""What becomes of a datagram between two routers: which copies arrive, and after how long. Pure.
+"""Decides which copies of a datagram between two routers arrive, and after which delay. Does no I/O.
 
-Real relays and the virtual world ask the same exchange, so that one plan does the same in both. Each draw is
-of the fault, the path and the datagram's number on it since the fault began: nothing elsewhere moves it.
+The relays of real sockets and the virtual network use the same class, so a plan acts alike in both. Each draw
+depends only on the fault, the path and the datagram's number on it since the fault began.
 """
 
 from __future__ import annotations
@@ -17,18 +17,18 @@
 
 @dataclass(slots=True)
 class Counts:
-    """Datagrams of one sender."""
+    """Counts the datagrams of one sender."""
 
-    sent: int = 0  # as it counts them: one to all is one
-    price: int = 0  # as the platform does: one to all is one for each other router
-    arrived: int = 0  # copies that were handed over to their receivers
-    lost: int = 0  # by a fault
-    too_long: int = 0  # beyond what the protocol has: none of those is carried
+    sent: int = 0  # as the sender counts: a broadcast is one
+    price: int = 0  # as the platform charges: a broadcast is one per other router
+    arrived: int = 0  # copies delivered to receivers
+    lost: int = 0  # dropped by a fault
+    too_long: int = 0  # longer than the protocol allows; not delivered
 
 
 @dataclass(slots=True)
-class Trouble:
-    """A fault on a path that lasts."""
+class ActiveFault:
+    """A fault that acts on a path now."""
 
     number: int
     fault: LinkFault
@@ -36,7 +36,10 @@
     passed: dict[tuple[str, str], int] = field(default_factory=dict)  # datagrams since it began
 
     def draw(self, seed: int, source: str, target: str) -> tuple[float, float]:
-        """Two numbers from [0, 1). A hash, as a stream for each of a million paths would fill the memory."""
+        """Returns two numbers from [0, 1).
+
+        They come from a hash, as a random stream for each of a million paths would take too much memory.
+        """
         count = self.passed[source, target] = self.passed.get((source, target), 0) + 1
         text = f"{seed}:{self.number}:{source}>{target}:{count}".encode()
         digest = hashlib.blake2b(text, digest_size=16).digest()
@@ -44,21 +47,21 @@
 
 
 class Exchange:
-    """All datagrams of a run."""
+    """The datagram network of a run."""
 
     def __init__(self, seed: int, names: list[str]) -> None:
         self._seed, self.names = seed, names
-        self._troubles: dict[int, Trouble] = {}
+        self._active_faults: dict[int, ActiveFault] = {}
         self.counts = {name: Counts() for name in names}
 
     def begin(self, number: int, fault: LinkFault, path: Path) -> None:
-        self._troubles[number] = Trouble(number, fault, path)
+        self._active_faults[number] = ActiveFault(number, fault, path)
 
     def end(self, number: int) -> None:
-        self._troubles.pop(number, None)
+        self._active_faults.pop(number, None)
 
     def sent(self, source: str, target: str | None, size: int) -> Iterator[tuple[str, float]]:
-        """Who gets a copy, in so many seconds. `target` None: it is for all others, at the price of them."""
+        """Yields receiver and delay in seconds of each copy; `target` None means all other routers."""
         counts = self.counts[source]
         targets = [name for name in self.names if name != source] if target is None else [target]
         counts.sent += 1
@@ -74,13 +77,13 @@
 
     def _copies(self, source: str, target: str) -> list[float]:
         delay, copies = 0.0, 1
-        for trouble in self._troubles.values():
-            if not trouble.path.covers(source, target):
+        for active in self._active_faults.values():
+            if not active.path.covers(source, target):
                 continue
-            fault = trouble.fault
+            fault = active.fault
             if fault.kind is Kind.CUT:
                 return []
-            hit, much = trouble.draw(self._seed, source, target)
+            hit, much = active.draw(self._seed, source, target)
             if fault.kind is Kind.DELAY:
                 delay += fault.hardness + much * fault.spread
             elif hit >= fault.hardness:
--- a/ironrail/rehearsal/links/launch.py
+++ b/ironrail/rehearsal/links/launch.py
@@ -1,7 +1,7 @@
-"""A router whose clock and disk can fail: `python -m ironrail.rehearsal.links.launch`, in the daemon's place.
+"""Starts a router whose clock and disk can fail: `python -m ironrail.rehearsal.links.launch`.
 
-The daemon is as it stands: its own seams are given a system with a drifting clock. A store that it is to keep
-things in is wrapped here too, by `disk.FaultyStore`.
+The daemon is unchanged: it is given a system with drifting clocks, and a voter's record store is wrapped in
+`disk.FaultyStore`.
 """
 
 from __future__ import annotations
@@ -20,30 +20,30 @@
 from ironrail.net.system import REAL
 from ironrail.operator_file import OperatorSettings
 from ironrail.rehearsal.links.disk import FaultyStore
-from ironrail.rehearsal.links.switch import Drifting, Switch
+from ironrail.rehearsal.links.switch import DriftingSystem, Switch
 
 
 def switch_path(config: Path) -> Path:
-    """Where the switch of a router with this file lies."""
+    """Returns the path of the switch of a router with this configuration file."""
     return config.with_suffix(".switch")
 
 
 async def serve(config: Config, operator: OperatorSettings) -> None:
-    """Run until told to stop."""
+    """Runs the router until it is told to stop."""
     switch = Switch.at(switch_path(Path(os.environ["NODE_CONFIG"])))
     store = None
-    me = config.settings.router_index
-    if operator.peers is not None and operator.peers.record_folder and me in operator.peers.voters:
+    own_index = config.settings.router_index
+    if operator.peers is not None and operator.peers.record_folder and own_index in operator.peers.voters:
         store = FaultyStore(
-            FolderStore(resolve_record_folder(operator.peers.record_folder, me)),
+            FolderStore(resolve_record_folder(operator.peers.record_folder, own_index)),
             switch,
             random.Random(config.seed),
         )
-    await Node(config, operator, Drifting(REAL, switch), store=store).serve()
+    await Node(config, operator, DriftingSystem(REAL, switch), store=store).serve()
 
 
 def main(arguments: Sequence[str] = ()) -> int:
-    """Run one router; takes and answers with what the daemon does."""
+    """Runs one router; takes the daemon's arguments and returns its exit code."""
     return daemon.main(arguments, serve)
 
 
--- a/ironrail/rehearsal/links/linked_rehearsal.py
+++ b/ironrail/rehearsal/links/linked_rehearsal.py
@@ -1,4 +1,4 @@
-"""A rehearsal with a plan of faults on links, processes, clocks and disks besides its scenario's own."""
+"""A rehearsal with a fault plan for links, processes, clocks and disks beside its scenario's own faults."""
 
 from __future__ import annotations
 
@@ -14,8 +14,16 @@
 from ironrail.rehearsal.draws import stream
 from ironrail.rehearsal.faults import plan as faults
 from ironrail.rehearsal.links.environments import LinkedGround, VirtualLinks
-from ironrail.rehearsal.links.observer import Observer, Seen
-from ironrail.rehearsal.links.paths import ARCHIVE, CLIENTS, DISCOVERY, Path, Places, on_connections, path_of
+from ironrail.rehearsal.links.observer import Observation, Observer
+from ironrail.rehearsal.links.paths import (
+    ARCHIVE,
+    CLIENTS,
+    DISCOVERY,
+    Path,
+    PathEnds,
+    on_connections,
+    path_of,
+)
 from ironrail.rehearsal.links.plan import (
     CONNECTIONS,
     DATAGRAMS,
@@ -50,18 +58,18 @@
 }
 
 
-NOT_JUDGED = 10**9  # answers kept back: a bound that nothing comes up to
+NO_BOUND = 10**9  # bound on answers kept back that no run reaches
 
 
-class RigError(IronrailError):
-    """The rig itself failed, and the run tells nothing."""
+class LinkedRehearsalError(IronrailError):
+    """The fault injection itself failed; the run has no result."""
 
     advice = "Report it with the plan and the seed"
 
 
 @dataclass(slots=True)
-class Spell:
-    """A time in which a router could not be reached by clients as usual."""
+class ClientOutage:
+    """A time in which a fault affected the path from clients to a router."""
 
     router: str
     number: int  # of the fault
@@ -71,7 +79,7 @@
 
 
 class LinkedRehearsal(Rehearsal):
-    """One run. PlanError where the plan does not fit the scenario."""
+    """One run; raises PlanError if the plan does not fit the scenario."""
 
     def __init__(
         self,
@@ -84,22 +92,26 @@
         every: float = 0.25,
         **others: Any,
     ) -> None:
-        """`observe`: a page of the routers' own door that is asked for every so many seconds."""
-        self._places = Places.of(scenario)
+        """Creates the run; `observe` is an admin page of the routers to poll every `every` seconds."""
+        self._places = PathEnds.of(scenario)
         check(plan, self._places, scenario.length)
-        super().__init__(judged(scenario, plan, self._places), seed, ground=ground, **others)
+        super().__init__(
+            without_unobservable_bounds(scenario, plan, self._places), seed, ground=ground, **others
+        )
         self._linked, self._steps = ground, steps(plan)
-        self._spells: list[Spell] = []
+        self._client_outages: list[ClientOutage] = []
         self._failed: Exception | None = None
         self.played: list[Step] = []
         self._page, self._every = observe, every
-        self.seen: list[Seen] = []  # by the observer
+        self.seen: list[Observation] = []
 
     async def run(self) -> Result:
         result = await super().run()
         begun = all(facts.ready for facts in result.record.routers.values())
         if self._failed is not None or begun and len(self.played) < len(self._steps):
-            raise RigError(f"carried out {len(self.played)} of {len(self._steps)} steps") from self._failed
+            raise LinkedRehearsalError(
+                f"carried out {len(self.played)} of {len(self._steps)} steps"
+            ) from self._failed
         return result
 
     async def _clear(self) -> None:
@@ -110,9 +122,9 @@
 
     def _excuse(self, one: Try) -> str:
         now = self._world.now()
-        for spell in self._spells:
-            if spell.router == one.router and spell.began <= now and spell.ended >= one.sent_at:
-                return spell.why
+        for outage in self._client_outages:
+            if outage.router == one.router and outage.began <= now and outage.ended >= one.sent_at:
+                return outage.why
         return super()._excuse(one)
 
     # The plan
@@ -122,10 +134,10 @@
             observer = Observer(self._routers.values, self._page, self._every, self._world.now)
             self.seen = observer.seen
             self._spawn(observer.run())
-        self._spawn(self._carry_links())
+        self._spawn(self._play_link_faults())
         await super()._carry_out()
 
-    async def _carry_links(self) -> None:
+    async def _play_link_faults(self) -> None:
         try:
             for step in self._steps:
                 await asyncio.sleep(max(0.0, step.at - self._world.now()))
@@ -156,7 +168,7 @@
                 continue
             self._door(step, cause, door, way, f"links.{step.number}.{source}>{target}")
             if source == CLIENTS:
-                self._on_clients(step, target)
+                self._excuse_clients(step, target)
             elif target == DISCOVERY and step.fault.kind in (Kind.CUT, Kind.STALL):
                 self._agent(step, cause, source)
 
@@ -174,7 +186,7 @@
             exchange.end(step.number)
 
     def _doors(self) -> Iterator[tuple[str, str, Door]]:
-        """All ways of connections: who opens them, who takes them, and the door between."""
+        """Yields all connection paths: who connects, who accepts, and the door between."""
         for name, cache in self._fleet.caches.items():
             yield from ((router, name, door) for router, door in cache.doors.items())
         yield from ((router, ARCHIVE, door) for router, door in self._archive.doors.items())
@@ -190,45 +202,50 @@
         elif fault.kind in (Kind.CUT, Kind.STALL):
             door.end_silence(cause)
         elif step.begins:
-            # a loopback port can't answer connects late: see `SocketListening`
+            # a loopback port can't delay its answer to a connect: see `SocketListening`
             door.connects_wait = isinstance(self._linked, VirtualLinks)
-            door.begin_delay(cause, way, self._late(fault, draws))
+            door.begin_delay(cause, way, self._delay_source(fault, draws))
         else:
             door.end_delay(cause)
 
-    def _late(self, fault: LinkFault, name: str) -> Callable[[], float]:
+    def _delay_source(self, fault: LinkFault, name: str) -> Callable[[], float]:
         if not fault.spread:
             return lambda: fault.hardness
         draws = stream(self._seed, name)
         return lambda: fault.hardness + draws.random() * fault.spread
 
     def _agent(self, step: Step, cause: object, router: str) -> None:
-        """Guards the account: an agent that is cut off, either way, must not count as having told."""
+        """Keeps an agent that is cut off in either direction from counting as having notified its router."""
         agent = self._registry.agents[router]
         (agent.begin_silence if step.begins else agent.end_silence)(("told", cause))
 
-    def _on_clients(self, step: Step, router: str) -> None:
-        """What a client sees through a door that fails is no router's doing."""
+    def _excuse_clients(self, step: Step, router: str) -> None:
+        """Records the outage, as errors that clients see on a faulty path are not the router's."""
         if step.begins:
-            self._spells.append(Spell(router, step.number, step.fault.label(), self._world.now()))
+            self._client_outages.append(
+                ClientOutage(router, step.number, step.fault.label(), self._world.now())
+            )
             return
         late = step.fault.hardness + step.fault.spread if step.fault.kind is Kind.DELAY else 0.0
-        for spell in self._spells:
-            if spell.router == router and spell.number == step.number:
-                spell.ended = self._world.now() + late
+        for outage in self._client_outages:
+            if outage.router == router and outage.number == step.number:
+                outage.ended = self._world.now() + late
+
 
+def without_unobservable_bounds(scenario: Scenario, plan: Sequence[LinkFault], places: PathEnds) -> Scenario:
+    """Returns the scenario without the bound on answers kept back if a link fault hides traffic.
 
-def judged(scenario: Scenario, plan: Sequence[LinkFault], places: Places) -> Scenario:
-    """Guards against a verdict on what nobody saw: of bytes held on the way a stand-in does not know, and a
-    router that waits for their answer looks as if it kept its own back."""
+    A stand-in does not know of bytes held on a path, and a router that waits for the answer to them looks
+    as if it kept its own answer back.
+    """
     hidden = any(f.kind in LINKS and on_connections(path_of(f.on, places), places) for f in plan)
-    bounds = scenario.bounds.model_copy(update={"kept_back": NOT_JUDGED} if hidden else {})
+    bounds = scenario.bounds.model_copy(update={"kept_back": NO_BOUND} if hidden else {})
     return scenario.model_copy(update={"bounds": bounds})
 
 
 def play_linked(
     scenario: Scenario, seed: int, plan: Sequence[LinkFault], observe: str = "", **others: Any
 ) -> Virtual:
-    """Play a scenario with such a plan in virtual time, as `play_virtual` does."""
+    """Plays a scenario with a fault plan in virtual time, as `play_virtual` does."""
     made = partial(LinkedRehearsal, plan=plan, observe=observe)
     return play_virtual(scenario, seed, ground_of=VirtualLinks, rehearsal_of=made, **others)
--- a/ironrail/rehearsal/links/peer_group.py
+++ b/ironrail/rehearsal/links/peer_group.py
@@ -19,7 +19,7 @@
 from ironrail.rehearsal.draws import stream
 from ironrail.rehearsal.links.exchange import Exchange
 from ironrail.rehearsal.links.linked_rehearsal import SLOTS
-from ironrail.rehearsal.links.paths import Path, Places, path_of
+from ironrail.rehearsal.links.paths import Path, PathEnds, path_of
 from ironrail.rehearsal.links.peer_group_monitor import PeerGroupMonitor
 from ironrail.rehearsal.links.peer_group_router import PeerGroupRouter
 from ironrail.rehearsal.links.plan import LINKS, Kind, LinkFault, steps
@@ -73,7 +73,7 @@
         self.draws: random.Random = stream(seed, "tier.draws")
         table = {"summary": "a tier", "length": f"{MAX_PLAN_SECONDS} s", "routers": {"count": routers}}
         self.scenario = Scenario.model_validate(table)
-        self.places = Places.of(self.scenario)
+        self.places = PathEnds.of(self.scenario)
         self.names = router_names(self.scenario)
         zones = tuple(hall_of(self.scenario, n) for n in range(routers))
         self.operator = OperatorSettings(
--- a/ironrail/rehearsal/links/peer_group_router.py
+++ b/ironrail/rehearsal/links/peer_group_router.py
@@ -20,7 +20,7 @@
 from ironrail.peers.consensus.messages import STEPS_PER_EPOCH, Scope
 from ironrail.rehearsal.draws import stream
 from ironrail.rehearsal.links.peer_group_monitor import PeerGroupMonitor
-from ironrail.rehearsal.links.switch import Drifting, Slot, Switch
+from ironrail.rehearsal.links.switch import DriftingSystem, Slot, Switch
 from ironrail.rehearsal.links.virtual_disk import MemoryDisk, VirtualRecordWriter, make_faulty_store
 from ironrail.rehearsal.virtual.ground import EPOCH
 from ironrail.rehearsal.virtual.loop import START, VirtualLoop
@@ -92,7 +92,7 @@
         self.group, self.number, self.name = group, number, group.names[number]
         self.switch = Switch()
         self.rate = self.switch[Slot.CLOCK] = draws.uniform(-MAX_NORMAL_DRIFT_RATIO, MAX_NORMAL_DRIFT_RATIO)
-        self.system: System = Drifting(
+        self.system: System = DriftingSystem(
             VirtualClockSystem(group.loop, draws.uniform(0.0, MAX_CLOCK_OFFSET_SECONDS)), self.switch
         )
         self.disk = MemoryDisk()
--- a/ironrail/rehearsal/links/plan.py
+++ b/ironrail/rehearsal/links/plan.py
@@ -11,7 +11,7 @@
 from pydantic import Field
 
 from ironrail.errors import InputError
-from ironrail.rehearsal.links.paths import Places, between_routers, on_connections, path_of
+from ironrail.rehearsal.links.paths import PathEnds, between_routers, on_connections, path_of
 from ironrail.rehearsal.scenario.base import Table
 from ironrail.rehearsal.scenario.reader import parse
 from ironrail.rehearsal.scenario.units import Seconds, write_time
@@ -124,7 +124,7 @@
     return sorted(both, key=lambda s: (s.at, s.begins, s.number))
 
 
-def check(plan: Sequence[LinkFault], places: Places, length: float) -> None:
+def check(plan: Sequence[LinkFault], places: PathEnds, length: float) -> None:
     """Raises PlanError if a fault is invalid, ends after `length` seconds or overlaps one on its process."""
     for number, fault in enumerate(plan):
         where = f"fault {number + 1} ({fault.label()})"
--- a/ironrail/rehearsal/links/relay.py
+++ b/ironrail/rehearsal/links/relay.py
@@ -1,7 +1,7 @@
-"""Where clients reach a router: a door before it, so that the way between the two can fail.
+"""Relays client connections to a router, so that the path between the two can fail.
 
-While nobody listens behind it the door is shut, so that clients are refused as they are without it; only the
-first to find a router gone sees its connection come up and end.
+While the router does not listen the relay is closed, so clients are refused as without it; only the first to
+find the router gone sees its connection open and end.
 """
 
 from __future__ import annotations
@@ -14,26 +14,26 @@
 from ironrail.rehearsal.standins.listening import Listen
 
 Address = tuple[str, int]
-LOOK = 0.05  # seconds between looks whether a router listens again
+POLL_SECONDS = 0.05  # between two checks whether a router listens again
 
 
 class Upstream(asyncio.Protocol):
-    """The connection on to the router."""
+    """The connection from the relay to the router."""
 
     def __init__(self, client: RelayConnection) -> None:
         self._client = client
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        self._client.up(cast(asyncio.Transport, transport))
+        self._client.upstream_connected(cast(asyncio.Transport, transport))
 
     def data_received(self, data: bytes) -> None:
         self._client.write(data)
 
     def pause_writing(self) -> None:
-        self._client.read_on(False)
+        self._client.set_reading(False)
 
     def resume_writing(self) -> None:
-        self._client.read_on(True)
+        self._client.set_reading(True)
 
     def connection_lost(self, exc: Exception | None) -> None:
         if exc is None:
@@ -43,13 +43,13 @@
 
 
 class RelayConnection(DoorConnection):
-    """One connection of a client. It comes up before the one to its router, as a full front's does."""
+    """A client's connection; it opens before the one to the router, as with a terminating proxy."""
 
-    def __init__(self, door: Door, before: ClientDoor) -> None:
+    def __init__(self, door: Door, relay: ClientRelay) -> None:
         super().__init__(door)
-        self._before = before
+        self._relay = relay
         self._upstream: asyncio.Transport | None = None
-        self._early = bytearray()  # came before the router was reached
+        self._early = bytearray()  # received before the router was connected
         self._was_reset = False
 
     def opened(self) -> None:
@@ -58,12 +58,12 @@
     async def _open(self) -> None:
         loop = asyncio.get_running_loop()
         try:
-            await loop.create_connection(lambda: Upstream(self), *self._before.address)
+            await loop.create_connection(lambda: Upstream(self), *self._relay.address)
         except OSError:
             self.reset()
-            self._before.look()
+            self._relay.close_until_listening()
 
-    def up(self, transport: asyncio.Transport) -> None:
+    def upstream_connected(self, transport: asyncio.Transport) -> None:
         self._upstream = transport
         if self._early:
             transport.write(bytes(self._early))
@@ -75,8 +75,8 @@
         elif not self._upstream.is_closing():
             self._upstream.write(data)
 
-    def read_on(self, on: bool) -> None:
-        """Whether the router takes more of what the client sends."""
+    def set_reading(self, on: bool) -> None:
+        """Resumes or pauses reading from the client, as the router accepts more data or not."""
         if not self.transport.is_closing() and not self._in.silent:
             (self.transport.resume_reading if on else self.transport.pause_reading)()
 
@@ -103,24 +103,24 @@
             self._upstream.close()
 
 
-class ClientDoor:
-    """The door before the router that listens there."""
+class ClientRelay:
+    """Accepts client connections in place of the router that listens at `address`."""
 
     def __init__(self, router: str, address: Address, listen: Listen) -> None:
         self.address = address
         self.door = Door(router, lambda door: RelayConnection(door, self), listen)
-        self._looking: asyncio.Task[None] | None = None
+        self._poll_task: asyncio.Task[None] | None = None
 
-    def look(self) -> None:
-        """Nobody listens: refuse clients until somebody does."""
-        if self._looking is None or self._looking.done():
+    def close_until_listening(self) -> None:
+        """Refuses clients until the router listens again."""
+        if self._poll_task is None or self._poll_task.done():
             self.door.shut()
-            self._looking = asyncio.get_running_loop().create_task(self._look())
+            self._poll_task = asyncio.get_running_loop().create_task(self._poll())
 
-    async def _look(self) -> None:
+    async def _poll(self) -> None:
         loop = asyncio.get_running_loop()
         while True:
-            await asyncio.sleep(LOOK)
+            await asyncio.sleep(POLL_SECONDS)
             try:
                 probe, _ = await loop.create_connection(asyncio.Protocol, *self.address)
             except OSError:
@@ -130,8 +130,8 @@
             return
 
     def close(self) -> None:
-        """The end of the run."""
-        if self._looking is not None:
-            self._looking.cancel()
+        """Stops listening and resets all connections."""
+        if self._poll_task is not None:
+            self._poll_task.cancel()
         self.door.shut()
         self.door.reset_all()
--- a/ironrail/rehearsal/links/switch.py
+++ b/ironrail/rehearsal/links/switch.py
@@ -1,7 +1,7 @@
-"""What a router's process is told from outside while it runs: how fast its clock goes, how its disk fails.
+"""Sets clock drift and disk faults of a running router process from outside.
 
-A few numbers in memory that both processes have mapped: no signal, no socket, no thread in the router, and a
-process that was started again finds them as they stand.
+The settings are a few numbers in memory mapped by both processes: the router needs no signal, socket or
+thread for them, and a restarted process finds the current values.
 """
 
 from __future__ import annotations
@@ -15,71 +15,72 @@
 
 from ironrail.net.system import System
 
-NUMBER = struct.Struct("=d")
+SLOT_FORMAT = struct.Struct("=d")
 
 
 class Slot(IntEnum):
-    """A number; 0 is as usual."""
+    """Index of a setting; 0 means no fault."""
 
-    CLOCK = 0  # seconds more each second
+    CLOCK = 0  # drift in seconds per second
     DISK_FULL = 1
     DISK_READ_ONLY = 2
     DISK_FAILING = 3  # share of reads and writes
-    DISK_SLOW = 4  # seconds of each
+    DISK_SLOW = 4  # seconds added to each read and write
 
 
-SIZE = NUMBER.size * len(Slot)
+MEMORY_BYTES = SLOT_FORMAT.size * len(Slot)
 
 
 class Switch:
-    """The numbers. In virtual time a `bytearray` holds them."""
+    """The settings of one router. In virtual time a `bytearray` holds them."""
 
     def __init__(self, memory: Any = None) -> None:
-        self._memory = memory if memory is not None else bytearray(SIZE)
+        self._memory = memory if memory is not None else bytearray(MEMORY_BYTES)
 
     @classmethod
     def at(cls, path: Path) -> Switch:
-        """Those of a file, which is made if it is not there. OSError if it can't be."""
+        """Maps the settings of a file, which is created if missing; raises OSError if that fails."""
         with path.open("a+b") as file:
-            file.truncate(SIZE)
-            return cls(mmap.mmap(file.fileno(), SIZE))  # eight bytes on their boundary: read whole or not
+            file.truncate(MEMORY_BYTES)
+            # Aligned 8-byte values are read and written atomically.
+            return cls(mmap.mmap(file.fileno(), MEMORY_BYTES))
 
     def close(self) -> None:
-        """Leave no descriptor of the file."""
+        """Unmaps the file."""
         if isinstance(self._memory, mmap.mmap):
             self._memory.close()
 
     def __getitem__(self, slot: Slot) -> float:
-        number: float = NUMBER.unpack_from(self._memory, slot * NUMBER.size)[0]
+        number: float = SLOT_FORMAT.unpack_from(self._memory, slot * SLOT_FORMAT.size)[0]
         return number
 
     def __setitem__(self, slot: Slot, value: float) -> None:
-        NUMBER.pack_into(self._memory, slot * NUMBER.size, value)
+        SLOT_FORMAT.pack_into(self._memory, slot * SLOT_FORMAT.size, value)
 
 
-class Pace:
-    """A clock that goes as fast as the switch has it, and never back."""
+class DriftingClock:
+    """A clock that drifts as the switch says and never goes back."""
 
     def __init__(self, clock: Callable[[], float], switch: Switch) -> None:
         self._clock, self._switch = clock, switch
-        self._from = self._shown = clock()
-        self._more = 0.0
+        self._last_true = self._last_shown = clock()
+        self._drift = 0.0
 
     def __call__(self) -> float:
         true = self._clock()
-        shown = self._shown + (true - self._from) * (1.0 + self._more)
-        more = self._switch[Slot.CLOCK]
-        if more != self._more:  # from this look on
-            self._from, self._shown, self._more = true, shown, more
+        shown = self._last_shown + (true - self._last_true) * (1.0 + self._drift)
+        drift = self._switch[Slot.CLOCK]
+        if drift != self._drift:  # a new drift counts from this reading on
+            self._last_true, self._last_shown, self._drift = true, shown, drift
         return shown
 
 
-class Drifting:
-    """A system whose clocks drift. Timers keep the true pace: a daemon's loop has a clock of its own."""
+class DriftingSystem:
+    """A system whose clocks drift. Timers don't: the daemon's event loop has a clock of its own."""
 
     def __init__(self, system: System, switch: Switch) -> None:
-        self.now: Callable[[], float] = Pace(system.now, switch)
-        self.wall: Callable[[], float] = Pace(system.wall, switch)
+        self.now: Callable[[], float] = DriftingClock(system.now, switch)
+        self.wall: Callable[[], float] = DriftingClock(system.wall, switch)
         self.listen, self.is_served, self.unread_check = system.listen, system.is_served, system.unread_check
         self.has_hung_up = system.has_hung_up
         self.round_trip, self.startup_complete = system.round_trip, system.startup_complete
--- a/tests/rehearsal/links/test_consensus_checks.py
+++ b/tests/rehearsal/links/test_consensus_checks.py
@@ -5,7 +5,7 @@
 from ironrail.rehearsal.links.consensus_checks import ObservedDecision, find_incompatible, find_mixed
 from ironrail.rehearsal.links.consensus_plan_generator import draw_changes, draw_faults
 from ironrail.rehearsal.links.consensus_rehearsal import VOTERS, consensus_scenario
-from ironrail.rehearsal.links.paths import Places
+from ironrail.rehearsal.links.paths import PathEnds
 from ironrail.rehearsal.links.plan import DISKS, Kind, check
 
 
@@ -31,7 +31,7 @@
     scenario, kinds = consensus_scenario(), set()
     for seed in range(200):
         plan = draw_faults(scenario, seed, 10.0, VOTERS)
-        check(plan, Places.of(scenario), 10.0)
+        check(plan, PathEnds.of(scenario), 10.0)
         assert plan == draw_faults(scenario, seed, 10.0, VOTERS)
         changes = draw_changes(scenario, seed, 9.0)
         assert [c.version for c in changes] == list(range(2, 2 + len(changes)))
--- a/tests/rehearsal/links/test_exchange.py
+++ b/tests/rehearsal/links/test_exchange.py
@@ -13,9 +13,9 @@
 from ironrail.peers.messages import MAX_DATAGRAM_BYTES
 from ironrail.rehearsal.account.record import RouterFacts
 from ironrail.rehearsal.ground import RealGround
-from ironrail.rehearsal.links.datagrams import Relays
+from ironrail.rehearsal.links.datagrams import DatagramRelays
 from ironrail.rehearsal.links.exchange import Exchange
-from ironrail.rehearsal.links.paths import Places, path_of
+from ironrail.rehearsal.links.paths import PathEnds, path_of
 from ironrail.rehearsal.links.plan import link_fault
 from ironrail.rehearsal.virtual.datagrams import MOST_WAITING, Datagrams
 from ironrail.rehearsal.virtual.loop import VirtualLoop
@@ -25,7 +25,7 @@
 
 NAMES = [f"router-{n + 1}" for n in range(7)]
 ONE, TWO = NAMES[:2]
-PLACES = Places.of(scenario())
+PLACES = PathEnds.of(scenario())
 
 
 def begin(
@@ -104,7 +104,7 @@
 async def test_processes_hear_each_other_as_their_configuration_has_them(tmp_path: Path) -> None:
     ground, names = RealGround((sys.executable, "-B", str(Path(__file__).parent / "echo.py"))), NAMES[:3]
     exchange, loop = Exchange(1, names), asyncio.get_running_loop()
-    relays = Relays(exchange, {n: f"{ground.address_of(i)}:11311" for i, n in enumerate(names)})
+    relays = DatagramRelays(exchange, {n: f"{ground.address_of(i)}:11311" for i, n in enumerate(names)})
     ends, routers = [], []
     try:
         for i, name in enumerate(names):
--- a/tests/rehearsal/links/test_linked_rehearsal.py
+++ b/tests/rehearsal/links/test_linked_rehearsal.py
@@ -16,7 +16,7 @@
 from ironrail.rehearsal.account.rules import LATE_GRANTED, OWN_SLACK
 from ironrail.rehearsal.ground import Router
 from ironrail.rehearsal.links.environments import RealLinks, VirtualLinks
-from ironrail.rehearsal.links.linked_rehearsal import LinkedRehearsal, RigError, play_linked
+from ironrail.rehearsal.links.linked_rehearsal import LinkedRehearsal, LinkedRehearsalError, play_linked
 from ironrail.rehearsal.links.plan import Kind, LinkFault, PlanError, link_fault, steps
 from ironrail.rehearsal.links.plan_generator import draw_plan
 from ironrail.rehearsal.run import Result
@@ -147,7 +147,7 @@
 
     monkeypatch.setattr(LinkedRehearsal, "_door", fails)
     rig = Rig([link_fault("cut", "router-1 > cache-1", 0.1, 0.2)], world(1.0, routers=2))
-    with pytest.raises(RigError, match="0 of 2 steps") as caught:
+    with pytest.raises(LinkedRehearsalError, match="0 of 2 steps") as caught:
         rig.play()
     assert str(caught.value.__cause__) == "no such door"
     assert len(rig.pids) == 2 and rig.left == []
@@ -223,8 +223,8 @@
     shown: list[tuple[float, float]] = []
 
     class Watch(LinkedRehearsal):
-        async def _carry_links(self) -> None:
-            await super()._carry_links()
+        async def _play_link_faults(self) -> None:
+            await super()._play_link_faults()
             system = self._routers["router-1"].node._system  # type: ignore[attr-defined]
             shown.append((system.now(), self._linked.system.now()))  # type: ignore[attr-defined]
 
--- a/tests/rehearsal/links/test_plan.py
+++ b/tests/rehearsal/links/test_plan.py
@@ -6,7 +6,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from ironrail.rehearsal.links.paths import PathError, Places, path_of
+from ironrail.rehearsal.links.paths import PathEnds, PathError, path_of
 from ironrail.rehearsal.links.plan import Kind, PlanError, check, link_fault, read_plan, steps
 from ironrail.rehearsal.links.plan_generator import QUIET_END_SECONDS, draw_plan
 from ironrail.rehearsal.scenario.model import Scenario
@@ -19,7 +19,7 @@
     )
 
 
-PLACES = Places.of(scenario())
+PLACES = PathEnds.of(scenario())
 
 
 @given(st.integers(0, 10_000), st.integers(0, 60), st.integers(1, 20), st.floats(1.0, 30.0))
@@ -29,7 +29,7 @@
     world = scenario(routers, round(length, 3))
     plan = draw_plan(world, seed, count)
     assert plan == draw_plan(world, seed, count)
-    check(plan, Places.of(world), world.length)
+    check(plan, PathEnds.of(world), world.length)
     assert all(0.0 <= f.at < f.ends <= world.length - QUIET_END_SECONDS + 1e-6 for f in plan)
     told = steps(plan)
     assert [s.at for s in told] == sorted(s.at for s in told)
--- a/tests/rehearsal/links/test_readers.py
+++ b/tests/rehearsal/links/test_readers.py
@@ -26,7 +26,7 @@
 
 def older_after_newer(played: Played) -> list[tuple[str, int]]:
     """Who told of an old version alone when another had told of a newer one alone before."""
-    alone = [(s.at, s.at + s.took, s.router, s.body["versions"][0]) for s in played.rehearsal.seen
+    alone = [(s.at, s.at + s.duration, s.router, s.body["versions"][0]) for s in played.rehearsal.seen
              if s.status in (200, 503) and len(s.body["versions"]) == 1]  # fmt: skip
     return [(who, v) for asked, _, who, v in alone if any(told < asked and w > v for _, told, _, w in alone)]
 
--- a/tests/rehearsal/links/test_relay.py
+++ b/tests/rehearsal/links/test_relay.py
@@ -10,7 +10,7 @@
 import pytest
 
 from ironrail.net.discovery.endpoint_list import read_address
-from ironrail.rehearsal.links.relay import ClientDoor
+from ironrail.rehearsal.links.relay import ClientRelay
 from ironrail.rehearsal.standins.lanes import Way
 from ironrail.rehearsal.standins.listening import LOCAL, SocketListening
 from tests.peers import scenario
@@ -22,7 +22,7 @@
 class Place:
     """A door, and who listens behind it: a test reads and writes at both ends."""
 
-    before: ClientDoor
+    before: ClientRelay
     server: asyncio.Server
     arrived: asyncio.Queue[Stream]
 
@@ -43,7 +43,7 @@
 
     server = await asyncio.start_server(take, LOCAL, 0)
     address = server.sockets[0].getsockname()
-    before = ClientDoor("router-1", address, SocketListening)
+    before = ClientRelay("router-1", address, SocketListening)
     try:
         yield Place(before, server, arrived)
     finally:
--- a/tests/rehearsal/links/test_switch.py
+++ b/tests/rehearsal/links/test_switch.py
@@ -10,7 +10,7 @@
 
 from ironrail.net.system import REAL
 from ironrail.rehearsal.links.disk import FaultyStore
-from ironrail.rehearsal.links.switch import Drifting, Pace, Slot, Switch
+from ironrail.rehearsal.links.switch import DriftingClock, DriftingSystem, Slot, Switch
 
 
 class Files:
@@ -76,7 +76,7 @@
 
 def test_a_clock_drifts_only_while_it_is_told_to_and_never_goes_back() -> None:
     true, switch = [100.0], Switch()
-    clock = Pace(lambda: true[0], switch)
+    clock = DriftingClock(lambda: true[0], switch)
     shown = []
     for more, seconds in ((0.0, 10.0), (0.05, 10.0), (0.0, 10.0)):
         switch[Slot.CLOCK] = more
@@ -95,7 +95,7 @@
 
 
 def test_a_drifting_system_is_the_machine_else() -> None:
-    system = Drifting(REAL, Switch())
+    system = DriftingSystem(REAL, Switch())
     assert abs(system.now() - REAL.now()) < 1.0 and abs(system.wall() - REAL.wall()) < 1.0
     listener = system.listen(("127.0.0.1", 0), 1)
     assert system.is_served(listener.getsockname())
