--- a/benchmarks/regions_worlds.py
+++ b/benchmarks/regions_worlds.py
@@ -24,8 +24,8 @@
 
 from ironrail.rehearsal.account.record import Outcome
 from ironrail.rehearsal.links.plan import link_fault
-from tests.rehearsal.links.readers_stage import play
-from tests.rehearsal.links.readers_world import World
+from tests.rehearsal.links.region_rehearsal import play
+from tests.rehearsal.links.region_world import World
 
 ZONES = ("hall-a", "hall-b", "hall-c")
 HOME = {"north": "hall-a", "west": "hall-a", "east": "hall-b", "south": "hall-c"}
--- a/tests/rehearsal/links/readers_stage.py
+++ b/tests/rehearsal/links/region_rehearsal.py
@@ -18,7 +18,7 @@
 from ironrail.rehearsal.standins.clientpool import ClientPool
 from ironrail.rehearsal.standins.front import Front
 from ironrail.rehearsal.virtual.play import Virtual, play_virtual
-from tests.rehearsal.links.readers_world import CLIENTS, STRAYS, World
+from tests.rehearsal.links.region_world import CLIENTS, STRAYS, World
 
 
 class RegionFront(Front):
--- a/tests/rehearsal/links/test_readers.py
+++ b/tests/rehearsal/links/test_region_clients.py
@@ -6,8 +6,8 @@
 from pathlib import Path
 
 from ironrail.rehearsal.account.record import Outcome
-from tests.rehearsal.links.readers_stage import Played, play
-from tests.rehearsal.links.readers_world import World
+from tests.rehearsal.links.region_rehearsal import Played, play
+from tests.rehearsal.links.region_world import World
 
 HALLS = ("hall-a", "hall-b", "hall-c")
 HOME = dict(zip(("north", "east", "south"), HALLS, strict=True))
