--- a/tests/rehearsal/links/echo.py
+++ b/tests/rehearsal/links/echo.py
@@ -1,7 +1,8 @@
-"""A process that stands where a router does: it says what it is told to, and tells what it heard from whom.
+"""A process in place of a router that sends datagrams on command and reports those it receives.
 
-It reads the configuration that a router reads. At the operators' address it takes `NUMBER BODY`, to be sent
-to the router of that number, or `all BODY`; what comes from there it answers to whoever spoke last.
+It reads a router's configuration. Commands come to the `operator` address: `NUMBER BODY` sends the body to
+the router of that index, `all BODY` broadcasts it. Received datagrams are reported to the sender of the last
+command, with the index of their sender in front.
 """
 
 import json
--- a/tests/rehearsal/links/region_rehearsal.py
+++ b/tests/rehearsal/links/region_rehearsal.py
@@ -1,4 +1,4 @@
-"""Routers in several halls in virtual time, and readers of regions who follow rows when they connect."""
+"""Virtual routers in several zones; clients of regions connect to a zone by the published weights."""
 
 from __future__ import annotations
 
@@ -21,8 +21,8 @@
 from tests.rehearsal.links.region_world import CLIENTS, STRAYS, World
 
 
-class RegionFront(Front):
-    """A client keeps to its router while it has a connection; a new one goes where rows or its front say."""
+class RegionLoadBalancer(Front):
+    """Keeps a client at its router while connected; new connections follow the rows or the default zone."""
 
     regions: Regions
 
@@ -30,7 +30,9 @@
         region, _, number = hall.partition(" ")
         world, client = self.regions.world, int(number)
         kept = self.regions.kept(hall)
-        told = world.choose(world, region) if world.choose else None  # by fronts that know, at once
+        told = (
+            world.choose(world, region) if world.choose else None
+        )  # by load balancers with rows of their own
         if kept is not None and (client < STRAYS or told is None or self.routers[kept].hall in told):
             return kept
         if client < STRAYS:
@@ -42,8 +44,8 @@
         return super().choose(to or world.home[region], now, draws)
 
 
-class Pools:
-    """The connections of all clients to one router, each from its own address."""
+class ClientPools:
+    """The connection pools of all clients to one router, each client with its own address."""
 
     def __init__(self, regions: Regions, router: str, address: tuple[str, int]) -> None:
         self.regions, self._router, self._address = regions, router, address
@@ -54,7 +56,7 @@
         return [one for pool in self.by_client.values() for one in pool.all]
 
     def send(self, one: Try, data: bytes, own: bool) -> None:
-        self.regions.crossed += own  # the connection was closed as this was sent, and it is sent again
+        self.regions.crossed += own  # a request that crossed the close of its connection and is sent again
         who = one.planned.hall
         pool = self.by_client.get(who)
         if pool is None:
@@ -70,7 +72,7 @@
 
 
 class Regions(LinkedRehearsal):
-    """A run with readers of regions."""
+    """A run with clients in regions."""
 
     def __init__(self, scenario: Scenario, seed: int, world: World, **others: Any) -> None:
         super().__init__(scenario, seed, plan=world.plan, observe="/-/regions", every=world.every, **others)
@@ -80,17 +82,17 @@
 
     def _build(self, folder: Path) -> None:
         super()._build(folder)
-        front = RegionFront(self._front.notice, self._front.routers, self._front.told, self._front.hot)
+        front = RegionLoadBalancer(self._front.notice, self._front.routers, self._front.told, self._front.hot)
         front.regions = self
         self._front = self._clients._front = self._carrier.front = front
         self.at_router = {
-            name: Pools(self, name, door.address) for name, door in self._linked.links.doors.items()
+            name: ClientPools(self, name, door.address) for name, door in self._linked.links.doors.items()
         }
         self._clients.pools = self.at_router  # type: ignore[assignment]
-        self.put_ways()
+        self.set_latencies()
 
-    def put_ways(self) -> None:
-        """The world's ways, on the network."""
+    def set_latencies(self) -> None:
+        """Sets the latencies of the world on the virtual network."""
         names = router_names(self._scenario)
         ways = self._ground.network.ways  # type: ignore[attr-defined]
         for region, by_hall in self.world.ways.items():
@@ -102,7 +104,7 @@
                     ways[reader, router] = ways[router, reader] = seconds
 
     def kept(self, who: str) -> str | None:
-        """The router to which this client has a connection that is open."""
+        """Returns the router to which this client has an open connection."""
         for router, pools in self.at_router.items():
             pool = pools.by_client.get(who)
             if pool is not None and any(not one.transport.is_closing() for one in pool.all):
@@ -115,17 +117,17 @@
         await super()._carry_out()
 
     async def _follow(self) -> None:
-        """Found the first policy, again while the offer is lost, and have fronts read the rows."""
+        """Bootstraps the first policy, again if the offer is lost, and reads the rows of routers' pages."""
         while True:
             versions = [s.body["versions"] for s in self.seen[-6:] if s.status in (200, 503)]
             if not any(versions) and len(self.seen) < 20 * len(self._routers):
-                await self._found()
+                await self._bootstrap()
             await asyncio.sleep(1.0)
             said = next((s for s in reversed(self.seen) if s.status == 200), None)
             if said is not None:
                 self.rows = said.body["rows"]
 
-    async def _found(self) -> None:
+    async def _bootstrap(self) -> None:
         reader, writer = await asyncio.open_connection(*self._routers["router-1"].door)
         body = b"epoch = 1\nversion = 1\n"
         writer.write(
@@ -138,18 +140,21 @@
         for at, change in sorted(self.world.changes.items()):
             await asyncio.sleep(max(0.0, at - self._world.now()))
             change(self.world)
-            self.put_ways()
+            self.set_latencies()
 
 
 @dataclass
 class Played:
-    """What came of it."""
+    """Results of a run."""
 
     virtual: Virtual
     rehearsal: Regions
 
     def served(self, since: float = 0.0, until: float = 1e9, region: str = "") -> list[float]:
-        """Seconds at the reader from the first try on; of who got nothing infinite. `region`: of these."""
+        """Returns sorted latencies in seconds from the first try on; infinite if a request was not served.
+
+        `region` limits them to the clients of one region.
+        """
         found: dict[int, float] = {}
         for one in self.virtual.result.record.tries.values():
             at = one.planned.at
@@ -163,7 +168,7 @@
         return sum(last.values())
 
     def rows(self) -> list[tuple[float, tuple[int, ...], dict[str, dict[str, float]]]]:
-        """When fronts could read new rows first, and which."""
+        """Returns when each version's rows were first seen, with the versions and the rows."""
         found: list[Any] = []
         for s in self.rehearsal.seen:
             alone = s.status == 200 and len(s.body["versions"]) == 1
--- a/tests/rehearsal/links/region_world.py
+++ b/tests/rehearsal/links/region_world.py
@@ -1,4 +1,4 @@
-"""A world of regions: where readers are, how far the halls are from them, and what changes when."""
+"""A world of regions: its clients, their latencies to the zones, and changes over time."""
 
 from __future__ import annotations
 
@@ -14,19 +14,21 @@
 from ironrail.rehearsal.scenario.names import hall_of
 
 CLIENTS = 24  # of each region
-STRAYS = 6  # of these, who keep to a router of another hall whatever rows say: they are the evidence
-STRAYING = 0.1  # of a region's requests come from them
-Ways = dict[str, dict[str, float]]  # seconds one way, by region and hall
+STRAYS = (
+    6  # of these: stay at a router of another zone whatever the rows say, so that its latency is measured
+)
+STRAY_REQUESTS_FRACTION = 0.1  # fraction of a region's requests that they send
+Ways = dict[str, dict[str, float]]  # one-way seconds by region and zone
 Change = Callable[["World"], None]
 
 
 @dataclass
 class World:
-    """What is asked for, from where, and what changes when. Times in seconds."""
+    """Load, latencies and their changes. Times in seconds."""
 
     halls: tuple[str, ...]
     ways: Ways
-    home: dict[str, str]  # the hall that a region's fronts send to by themselves
+    home: dict[str, str]  # the zone that a region's load balancers use by default
     share: dict[str, float]  # of requests by region
     rate: float = 40.0
     length: float = 70.0
@@ -34,11 +36,13 @@
     caches: int = 6
     changes: dict[float, Change] = field(default_factory=dict)
     shares_later: dict[float, dict[str, float]] = field(default_factory=dict)
-    choose: Callable[[World, str], Mapping[str, float]] | None = None  # rows that fronts have by themselves
+    choose: Callable[[World, str], Mapping[str, float]] | None = (
+        None  # rows that load balancers have of their own
+    )
     steer_every: int = 6
     per_weight: float = 40.0
     plan: list[LinkFault] = field(default_factory=list)
-    every: float = 1.0  # seconds between two looks at each router
+    every: float = 1.0  # seconds between two polls of each router
 
     def scenario(self) -> Scenario:
         return Scenario.model_validate(
@@ -68,13 +72,13 @@
         return OperatorSettings(peers=peers, regions=ranges)
 
     def schedule(self, seed: int) -> list[Planned]:
-        """Each request's `hall` names its region and client."""
+        """Returns the schedule; each request's `hall` names its region and client."""
         draws, found = random.Random(seed), []
         for planned in make_schedule(self.scenario(), seed):
             later = [shares for at, shares in sorted(self.shares_later.items()) if planned.at >= at]
             share = later[-1] if later else self.share
             region = draws.choices(list(share), list(share.values()))[0]
-            stray = draws.random() < STRAYING
+            stray = draws.random() < STRAY_REQUESTS_FRACTION
             client = draws.randrange(STRAYS) if stray else draws.randrange(STRAYS, CLIENTS)
             found.append(replace(planned, hall=f"{region} {client}", own_connection=False))
         return found
--- a/tests/rehearsal/links/test_exchange.py
+++ b/tests/rehearsal/links/test_exchange.py
@@ -1,4 +1,4 @@
-"""Datagrams between routers: what a fault makes of them, on real sockets and in virtual time."""
+"""Faults on datagrams between routers, on real sockets and in virtual time."""
 
 from __future__ import annotations
 
@@ -25,13 +25,13 @@
 
 NAMES = [f"router-{n + 1}" for n in range(7)]
 ONE, TWO = NAMES[:2]
-PLACES = PathEnds.of(scenario())
+PATH_ENDS = PathEnds.of(scenario())
 
 
 def begin(
     exchange: Exchange, number: int, kind: str, path: str, hard: float | None = None, **more: float
 ) -> None:
-    exchange.begin(number, link_fault(kind, path, 0, 1, hard, **more), path_of(path, PLACES))
+    exchange.begin(number, link_fault(kind, path, 0, 1, hard, **more), path_of(path, PATH_ENDS))
 
 
 def sent(
@@ -87,17 +87,17 @@
     assert (counts.sent, counts.price, counts.lost, counts.too_long) == (2, 12, 1, 1)
 
 
-class Told(asyncio.DatagramProtocol):
-    """The test's own end at a process that stands for a router."""
+class CommandClient(asyncio.DatagramProtocol):
+    """The test's connection to a process in place of a router."""
 
     def __init__(self) -> None:
-        self.heard: asyncio.Queue[str] = asyncio.Queue()
+        self.received: asyncio.Queue[str] = asyncio.Queue()
 
     def datagram_received(self, data: bytes, addr: Any) -> None:
-        self.heard.put_nowait(data.decode())
+        self.received.put_nowait(data.decode())
 
     def error_received(self, exc: Exception) -> None:
-        """It does not listen yet."""
+        """Ignored: the process does not listen yet."""
 
 
 @bounded
@@ -113,9 +113,11 @@
             router = ground.make_router(name, config, tmp_path, RouterFacts(), lambda router, end: None)
             routers.append(router)
             await router.start()
-            transport, told = await loop.create_datagram_endpoint(Told, remote_addr=read_address(own))
-            ends.append((transport, told))
-            while told.heard.empty():
+            transport, client = await loop.create_datagram_endpoint(
+                CommandClient, remote_addr=read_address(own)
+            )
+            ends.append((transport, client))
+            while client.received.empty():
                 transport.sendto(b"hello")
                 await asyncio.sleep(0.01)
 
@@ -123,7 +125,7 @@
             ends[i][0].sendto(text.encode())
 
         async def heard(i: int) -> str:
-            while (got := await ends[i][1].heard.get()) == "hello":
+            while (got := await ends[i][1].received.get()) == "hello":
                 pass
             return got
 
@@ -132,7 +134,7 @@
         begin(exchange, 0, "cut", f"{ONE} > {TWO}")
         await say(0, "1 never")
         await say(0, "2 comes")
-        assert await heard(2) == "0 comes"  # behind it, through the same relay
+        assert await heard(2) == "0 comes"  # sent after the lost one, through the same relay
         await say(1, "0 back")
         assert await heard(0) == "1 back"
         exchange.end(0)
@@ -144,7 +146,7 @@
         await say(0, "1 twice")
         assert [await heard(1), await heard(1)] == ["0 twice", "0 twice"]
         assert loop.time() - began >= 0.05 - 0.002
-        assert ends[1][1].heard.empty() and relays.strays == 0
+        assert ends[1][1].received.empty() and relays.strays == 0
         assert exchange.counts[ONE].price == 6 and exchange.counts[ONE].arrived == 6
     finally:
         await asyncio.gather(*(router.kill() for router in routers))
@@ -154,20 +156,20 @@
     assert not any(router.running for router in routers)
 
 
-class Chatty(asyncio.DatagramProtocol):
-    """Keeps what it hears."""
+class RecordingProtocol(asyncio.DatagramProtocol):
+    """Keeps the datagrams that it receives."""
 
     def __init__(self) -> None:
-        self.heard: list[tuple[bytes, Any]] = []
+        self.received: list[tuple[bytes, Any]] = []
 
     def connection_made(self, transport: Any) -> None:
         self.transport = transport
 
     def datagram_received(self, data: bytes, addr: Any) -> None:
-        self.heard.append((data, addr))
+        self.received.append((data, addr))
 
 
-def crowd(count: int) -> tuple[VirtualLoop, Exchange, list[Chatty], list[Process]]:
+def open_virtual_routers(count: int) -> tuple[VirtualLoop, Exchange, list[RecordingProtocol], list[Process]]:
     loop = VirtualLoop(1)
     loop.network = None  # type: ignore[assignment]
     names = [f"router-{n + 1}" for n in range(count)]
@@ -175,11 +177,11 @@
     addresses = {n: (f"127.64.{i // 200}.{i % 200 + 1}", 1) for i, n in enumerate(names)}
     loop.datagrams = Datagrams(loop, exchange, addresses, ("127.63.0.1", 1))
     processes = [Process(name, loop, lambda code: None) for name in names]
-    ends: list[Chatty] = []
+    ends: list[RecordingProtocol] = []
 
     async def open_all() -> None:
         for process, address in zip(processes, addresses.values(), strict=True):
-            opening = loop.create_datagram_endpoint(Chatty, local_addr=address)
+            opening = loop.create_datagram_endpoint(RecordingProtocol, local_addr=address)
             ends.append((await loop.start(opening, process))[1])
 
     loop.run_until_complete(open_all())
@@ -191,18 +193,18 @@
 
 
 def test_a_thousand_virtual_routers_hear_each_other() -> None:
-    loop, exchange, ends, _ = crowd(1000)
+    loop, exchange, ends, _ = open_virtual_routers(1000)
     for end in ends[:50]:
         end.transport.sendto(b"to all", ("127.63.0.1", 1))
     settle(loop)
-    assert [len(end.heard) for end in ends] == [49] * 50 + [50] * 950
+    assert [len(end.received) for end in ends] == [49] * 50 + [50] * 950
     assert exchange.counts[ONE].price == exchange.counts[ONE].arrived == 999
-    assert ends[-1].heard[0][1] in [("127.64.0.1", 1), *[(f"127.64.0.{n}", 1) for n in range(2, 51)]]
+    assert ends[-1].received[0][1] in [("127.64.0.1", 1), *[(f"127.64.0.{n}", 1) for n in range(2, 51)]]
     loop.close()
 
 
 def test_virtual_faults_freezes_and_ends() -> None:
-    loop, exchange, ends, processes = crowd(7)
+    loop, exchange, ends, processes = open_virtual_routers(7)
     one, two = ends[:2]
     there = two.transport.get_extra_info("sockname")
     begin(exchange, 0, "cut", f"{ONE} > {TWO}")
@@ -213,17 +215,20 @@
     for n in range(MOST_WAITING + 5):
         one.transport.sendto(b"%d" % n, there)
     settle(loop)
-    assert two.heard == []
+    assert two.received == []
     processes[1]._thaw()
     settle(loop)
-    assert len(two.heard) == MOST_WAITING
+    assert len(two.received) == MOST_WAITING
     processes[1].end(0)
     one.transport.sendto(b"gone", there)
     one.transport.sendto(b"nowhere", ("127.0.0.1", 7))
     settle(loop)
-    assert len(two.heard) == MOST_WAITING and two.transport.is_closing()
+    assert len(two.received) == MOST_WAITING and two.transport.is_closing()
     with pytest.raises(OSError, match="in use"):
         loop.run_until_complete(
-            loop.start(loop.create_datagram_endpoint(Chatty, local_addr=one.transport._address), processes[0])
+            loop.start(
+                loop.create_datagram_endpoint(RecordingProtocol, local_addr=one.transport._address),
+                processes[0],
+            )
         )
     loop.close()
--- a/tests/rehearsal/links/test_halls.py
+++ b/tests/rehearsal/links/test_halls.py
@@ -1,4 +1,4 @@
-"""Six routers in three halls in virtual time: with the map they know of a link that fails and go round it."""
+"""Six virtual routers in three zones detect a failing link through the latency map and avoid it."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 from ironrail.rehearsal.virtual.play import play_virtual
 
 ROUTERS, SEED = 6, 1
-BEGINS = 2.0
+FAULT_BEGINS_SECONDS = 2.0
 
 
 def world(length: float, rate: float = 30.0) -> Scenario:
@@ -34,7 +34,7 @@
 
 
 class Observed(LinkedRehearsal):
-    """Keeps its latest self: the observer's answers stand in it."""
+    """Keeps the latest instance, for the observer's responses."""
 
     latest: Observed
 
@@ -59,7 +59,7 @@
 
 
 def states(began: float, ended: float) -> Iterator[tuple[str, str, str]]:
-    """Of each link as each router's door told it in a time."""
+    """Yields zone, other zone and link state as routers' pages reported them in a time."""
     for seen in Observed.latest.seen:
         if seen.status == 200 and began <= seen.at < ended:
             for link in seen.body["links"]:
@@ -67,26 +67,35 @@
 
 
 def over(result: Result, began: float, ended: float) -> int:
-    """Attempts of routers in hall-a that caches in hall-b read in a time."""
+    """Returns how many attempts from routers in hall-a reached caches in hall-b in a time."""
     there = [a for one in result.record.tries.values() for a in one.attempts if not a.archive]
     a_s, b_s = ("router-1", "router-4"), ("cache-2", "cache-5")
     return sum(a.router in a_s and a.server in b_s and began <= a.first_at < ended for a in there)
 
 
-# a cut is seen by what clients ask for, a slower link by the messages of the map themselves
+# a cut is detected by client requests, a slower link by the map's own messages
 @pytest.mark.parametrize(("kind", "rate", "known_in"), [("cut", 60.0, 5.0), ("delay", 30.0, 6.0)])
 def test_routers_know_of_a_link_that_is_cut_or_much_slower_and_send_nothing_new_over_it(
     kind: str, rate: float, known_in: float, tmp_path: Path
 ) -> None:
-    ends = BEGINS + known_in + 1.5
-    fault = link_fault(kind, "hall-a <> hall-b", BEGINS, ends - BEGINS, 0.5 if kind == "delay" else None)
+    ends = FAULT_BEGINS_SECONDS + known_in + 1.5
+    fault = link_fault(
+        kind,
+        "hall-a <> hall-b",
+        FAULT_BEGINS_SECONDS,
+        ends - FAULT_BEGINS_SECONDS,
+        0.5 if kind == "delay" else None,
+    )
     result = play(tmp_path, [fault], world(ends, rate), True)
-    assert {state for _, _, state in states(0.0, BEGINS)} == {"good"}
+    assert {state for _, _, state in states(0.0, FAULT_BEGINS_SECONDS)} == {"good"}
     ill = {"cut", "slow"}
-    known = {(hall + to, state in ill) for hall, to, state in states(BEGINS + known_in, ends)}
+    known = {(hall + to, state in ill) for hall, to, state in states(FAULT_BEGINS_SECONDS + known_in, ends)}
     assert {path for path, failed in known if failed} == {"hall-ahall-b", "hall-bhall-a"}
     assert len(known) == 9  # each link is one or the other at all routers
-    assert over(result, 0.0, BEGINS) > 3 and over(result, BEGINS + known_in, ends) == 0
+    assert (
+        over(result, 0.0, FAULT_BEGINS_SECONDS) > 3
+        and over(result, FAULT_BEGINS_SECONDS + known_in, ends) == 0
+    )
 
 
 def test_without_a_map_nobody_knows(tmp_path: Path) -> None:
--- a/tests/rehearsal/links/test_linked_rehearsal.py
+++ b/tests/rehearsal/links/test_linked_rehearsal.py
@@ -1,4 +1,4 @@
-"""Real routers with a plan of faults, the same plan in virtual time, and nothing left of either."""
+"""Fault plans on real routers and in virtual time; no process or socket is left over."""
 
 from __future__ import annotations
 
@@ -24,10 +24,10 @@
 from ironrail.rehearsal.virtual.play import play_virtual
 from tests.machine_lock import play_until_verdict
 
-PATIENCE = 60.0  # seconds of all tries: the rig bounds itself well within
+RUN_TIMEOUT_SECONDS = 60.0  # seconds for a run, which by itself ends well before
 KINDS = (Kind.CUT, Kind.KILL, Kind.STOP, Kind.RESET, Kind.DELAY, Kind.STALL, Kind.CLOCK)
 SEED = 1
-PLAN_SEED = 4  # one of those whose plan has all of these kinds
+PLAN_SEED = 4  # its plan has all of these kinds
 
 
 def world(length: float = 6.0, routers: int = 7, rate: float = 80.0) -> Scenario:
@@ -44,16 +44,16 @@
 
 
 def descriptors() -> set[str]:
-    """Sockets and files that this process has open; loops have pipes of their own."""
+    """Returns the open sockets and files of this process; pipes belong to event loops."""
     found = set()
     for name in os.listdir("/proc/self/fd"):
-        with contextlib.suppress(OSError):  # what is open as it is looked at
+        with contextlib.suppress(OSError):  # the descriptor of the listing itself
             found.add(os.readlink(f"/proc/self/fd/{name}"))
     return {name for name in found if not name.startswith("pipe:")}
 
 
-class Rig:
-    """A rehearsal on real sockets, and all processes and ports that it had."""
+class RealRun:
+    """A rehearsal on real sockets, which records all its processes."""
 
     def __init__(self, plan: list[LinkFault], scenario: Scenario) -> None:
         self._plan, self._scenario = plan, scenario
@@ -62,7 +62,7 @@
 
     def play(self, meanwhile: Any = None) -> tuple[Result, LinkedRehearsal]:
         async def run() -> tuple[Result, LinkedRehearsal]:
-            async with asyncio.timeout(PATIENCE):
+            async with asyncio.timeout(RUN_TIMEOUT_SECONDS):
                 ground = RealLinks(self._scenario, SEED)
                 made = ground.make_router
 
@@ -104,9 +104,9 @@
     assert {fault.kind for fault in plan} == set(KINDS)
 
     def play() -> tuple[Result, LinkedRehearsal]:
-        rig = Rig(plan, scenario)
-        played = rig.play()
-        assert rig.left == [] and len(rig.pids) > 7  # one was started again
+        real_run = RealRun(plan, scenario)
+        played = real_run.play()
+        assert real_run.left == [] and len(real_run.pids) > 7  # a killed router was started again
         return played
 
     result, rehearsal = play_until_verdict(play, lambda played: played[0].no_verdict)
@@ -127,15 +127,15 @@
 @pytest.mark.sockets
 def test_a_run_that_is_broken_off_leaves_no_process_and_no_socket() -> None:
     plan = [link_fault("stop", "router-1", 0.1, 3.0), link_fault("cut", "all <> all", 0.1, 3.0)]
-    rig = Rig(plan, world(routers=3))
+    real_run = RealRun(plan, world(routers=3))
 
     async def until_stopped(rehearsal: LinkedRehearsal) -> None:
         while len(rehearsal.played) < 2:
             await asyncio.sleep(0.01)
 
     with pytest.raises(asyncio.CancelledError):
-        rig.play(until_stopped)
-    assert len(rig.pids) == 3 and rig.left == []
+        real_run.play(until_stopped)
+    assert len(real_run.pids) == 3 and real_run.left == []
 
 
 @pytest.mark.sockets
@@ -146,11 +146,11 @@
         raise RuntimeError("no such door")
 
     monkeypatch.setattr(LinkedRehearsal, "_door", fails)
-    rig = Rig([link_fault("cut", "router-1 > cache-1", 0.1, 0.2)], world(1.0, routers=2))
+    real_run = RealRun([link_fault("cut", "router-1 > cache-1", 0.1, 0.2)], world(1.0, routers=2))
     with pytest.raises(LinkedRehearsalError, match="0 of 2 steps") as caught:
-        rig.play()
+        real_run.play()
     assert str(caught.value.__cause__) == "no such door"
-    assert len(rig.pids) == 2 and rig.left == []
+    assert len(real_run.pids) == 2 and real_run.left == []
 
 
 def test_a_plan_that_outlasts_the_run_is_refused() -> None:
@@ -170,7 +170,7 @@
 
 
 def attempts(result: Result, router: str, server: str, began: float, ended: float) -> int:
-    """Requests of a router that a server read in a time."""
+    """Returns how many requests of a router a server read in a time."""
     there = [a for one in result.record.tries.values() for a in one.attempts]
     return sum(a.router == router and a.server == server and began < a.last_at < ended for a in there)
 
@@ -192,10 +192,10 @@
 def test_answers_that_are_cut_are_read_and_never_come() -> None:
     scenario = world(5.0, routers=2, rate=200.0)
     result = play_linked(scenario, SEED, [link_fault("cut", "archive > router-1", 1.0, 2.0)]).result
-    assert attempts(result, "router-1", "archive", 1.1, 2.9) > 0  # the way there is open
+    assert attempts(result, "router-1", "archive", 1.1, 2.9) > 0  # requests still reach it
 
     def filled(began: float, ended: float) -> int:
-        """Reads that router-1 answered with what the archive had."""
+        """Returns how many reads router-1 answered with values of the origin."""
         there = [
             o for o in result.record.tries.values() if o.router == "router-1" and o.outcome is Outcome.SERVED
         ]
@@ -211,7 +211,7 @@
     result = play_linked(world(4.0, 2), SEED, [link_fault(kind, "clients > router-1", 1.0, 2.0)]).result
     tries = [
         o
-        for o in result.record.tries.values()  # those that nobody listens to any more when the fault ends
+        for o in result.record.tries.values()  # whose client has given up when the fault ends
         if o.router == "router-1" and o.sent_at > 1.0 and o.due + LATE_GRANTED + OWN_SLACK < 3.0
     ]
     assert any(o.outcome is Outcome.UNCONNECTED for o in tries) is (kind == "cut")
--- a/tests/rehearsal/links/test_plan.py
+++ b/tests/rehearsal/links/test_plan.py
@@ -1,4 +1,4 @@
-"""The plan: what it takes, what it refuses, and that whatever begins ends."""
+"""Fault plans: what is valid, what is rejected, and that each fault that begins also ends."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
     )
 
 
-PLACES = PathEnds.of(scenario())
+PATH_ENDS = PathEnds.of(scenario())
 
 
 @given(st.integers(0, 10_000), st.integers(0, 60), st.integers(1, 20), st.floats(1.0, 30.0))
@@ -46,7 +46,7 @@
 
 def test_of_two_at_one_time_an_end_comes_first() -> None:
     plan = [link_fault("stop", "router-1", 1.0, 1.0), link_fault("stop", "router-1", 0.5, 0.5)]
-    check(plan, PLACES, 8.0)
+    check(plan, PATH_ENDS, 8.0)
     assert [(s.number, s.begins) for s in steps(plan)] == [(1, True), (1, False), (0, True), (0, False)]
     assert steps(plan)[1].line() == "   1.000 s  ends: stop on router-1"
 
@@ -77,24 +77,24 @@
 )
 def test_a_fault_that_cannot_be_is_named(fault: object, message: str) -> None:
     with pytest.raises((PlanError, PathError), match=message):
-        check([fault], PLACES, 8.0)  # type: ignore[list-item]
+        check([fault], PATH_ENDS, 8.0)  # type: ignore[list-item]
 
 
 def test_two_faults_of_one_process_may_not_meet() -> None:
     stop, kill = link_fault("stop", "router-1", 1.0, 2.0), link_fault("kill", "router-1", 2.0, 1.0)
     with pytest.raises(PlanError, match="begins before another"):
-        check([kill, stop], PLACES, 8.0)
+        check([kill, stop], PATH_ENDS, 8.0)
     check(
         [stop, link_fault("kill", "router-2", 2.0, 1.0), link_fault("clock", "router-1", 2.0, 1.0)],
-        PLACES,
+        PATH_ENDS,
         8.0,
     )
 
 
 def test_paths_cover_what_they_say() -> None:
-    one, both = path_of("hall-a > hall-b", PLACES), path_of("hall-a<>hall-b", PLACES)
+    one, both = path_of("hall-a > hall-b", PATH_ENDS), path_of("hall-a<>hall-b", PATH_ENDS)
     for source, target, there in (
-        ("router-1", "router-2", True),  # routers and caches are dealt out over the halls in turn
+        ("router-1", "router-2", True),  # routers and caches are assigned to zones in turn
         ("router-4", "cache-5", True),
         ("cache-1", "router-5", True),
         ("router-1", "router-4", False),
--- a/tests/rehearsal/links/test_region_clients.py
+++ b/tests/rehearsal/links/test_region_clients.py
@@ -1,4 +1,4 @@
-"""Six routers in virtual time: a region's way becomes slow, and its readers are brought elsewhere."""
+"""Six virtual routers: clients of a region whose latency to its zone grows are moved to another zone."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 HALLS = ("hall-a", "hall-b", "hall-c")
 HOME = dict(zip(("north", "east", "south"), HALLS, strict=True))
-AT, LENGTH = 6.0, 46.0  # seconds: when the way becomes slow, and until when it is looked at
+AT, LENGTH = 6.0, 46.0  # seconds: when the latency grows, and the end of the run
 WANTED = 0.15
 
 
@@ -25,7 +25,7 @@
 
 
 def older_after_newer(played: Played) -> list[tuple[str, int]]:
-    """Who told of an old version alone when another had told of a newer one alone before."""
+    """Returns routers that reported an old version alone after another had reported a newer one alone."""
     alone = [(s.at, s.at + s.duration, s.router, s.body["versions"][0]) for s in played.rehearsal.seen
              if s.status in (200, 503) and len(s.body["versions"]) == 1]  # fmt: skip
     return [(who, v) for asked, _, who, v in alone if any(told < asked and w > v for _, told, _, w in alone)]
@@ -35,13 +35,13 @@
     played = play(world(), 1, tmp_path)
     result = played.virtual.result
     assert not result.no_verdict and result.broken == [] and played.virtual.faults == []
-    # rows came of it, one version after another, the same at all
+    # rows were published, one version after another, the same at all routers
     rows = played.rows()
     assert len(rows) >= 2 and all(b[1][0] == a[1][0] + 1 for a, b in pairwise(rows))
     assert rows[-1][2]["north"].get("hall-a", 0.0) < 0.5 and older_after_newer(played) == []
     last = {s.router: s.body for s in played.rehearsal.seen if s.status == 200}
     assert len(last) == 6 and len({str((b["versions"], b["rows"])) for b in last.values()}) == 1
-    # clients followed, and got what they asked for
+    # clients moved and were served
     assert played.let_go() >= 5 and played.rehearsal.crossed == 0
     tries = list(result.record.tries.values())
     assert {one.outcome for one in tries} <= {Outcome.SERVED, Outcome.REFUSED}
--- a/tests/rehearsal/links/test_relay.py
+++ b/tests/rehearsal/links/test_relay.py
@@ -1,4 +1,4 @@
-"""Doors on the way: one way silent, late, standing still, reset, and shut while nobody is behind."""
+"""Client relays: silence, delay, stall and reset by direction, and refusal while no router listens."""
 
 from __future__ import annotations
 
@@ -19,15 +19,15 @@
 
 
 @dataclass
-class Place:
-    """A door, and who listens behind it: a test reads and writes at both ends."""
+class RelayFixture:
+    """A relay and the server behind it; a test reads and writes at both ends."""
 
-    before: ClientRelay
+    relay: ClientRelay
     server: asyncio.Server
     arrived: asyncio.Queue[Stream]
 
     async def connect(self) -> Stream:
-        return await asyncio.open_connection(*read_address(self.before.door.address))
+        return await asyncio.open_connection(*read_address(self.relay.door.address))
 
     async def pair(self) -> tuple[Stream, Stream]:
         near = await self.connect()
@@ -35,7 +35,7 @@
 
 
 @asynccontextmanager
-async def place() -> AsyncIterator[Place]:
+async def relay_fixture() -> AsyncIterator[RelayFixture]:
     arrived: asyncio.Queue[Stream] = asyncio.Queue()
 
     async def take(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -43,11 +43,11 @@
 
     server = await asyncio.start_server(take, LOCAL, 0)
     address = server.sockets[0].getsockname()
-    before = ClientRelay("router-1", address, SocketListening)
+    relay = ClientRelay("router-1", address, SocketListening)
     try:
-        yield Place(before, server, arrived)
+        yield RelayFixture(relay, server, arrived)
     finally:
-        before.close()
+        relay.close()
         server.close()
 
 
@@ -58,13 +58,13 @@
 
 @scenario
 async def test_bytes_and_the_end_go_through_both_ways() -> None:
-    async with place() as there:
-        near, far = await there.pair()
+    async with relay_fixture() as fixture:
+        near, far = await fixture.pair()
         await says(near, far, b"question" * 50_000)
         far[1].write(b"answer")
         far[1].close()
         assert await near[0].read() == b"answer"
-        near, far = await there.pair()
+        near, far = await fixture.pair()
         near[1].close()
         assert await far[0].read() == b""
 
@@ -72,44 +72,44 @@
 @scenario
 @pytest.mark.parametrize("way", [Way.IN, Way.OUT])
 async def test_silence_of_one_way_holds_that_way_alone(way: Way) -> None:
-    async with place() as there:
-        near, far = await there.pair()
+    async with relay_fixture() as fixture:
+        near, far = await fixture.pair()
         await says(near, far, b"up")
         held, free = ((near, far), (far, near)) if way is Way.IN else ((far, near), (near, far))
-        there.before.door.begin_silence("a", way)
-        there.before.door.begin_silence("b", way)
+        fixture.relay.door.begin_silence("a", way)
+        fixture.relay.door.begin_silence("b", way)
         held[0][1].write(b"held")
         for n in range(20):
             await says(*free, b"%d" % n)
-        connect = asyncio.ensure_future(there.connect())
-        there.before.door.end_silence("a")
+        connect = asyncio.ensure_future(fixture.connect())
+        fixture.relay.door.end_silence("a")
         await says(*free, b"still")
         assert not held[1][0]._buffer and not connect.done()  # type: ignore[attr-defined]
-        there.before.door.end_silence("b")
+        fixture.relay.door.end_silence("b")
         assert await held[1][0].readexactly(4) == b"held"
         (await connect)[1].close()
 
 
 @scenario
 async def test_where_it_stands_still_connects_come_up() -> None:
-    async with place() as there:
-        there.before.door.begin_silence("a", Way.BOTH, hang=False)
-        near, far = await there.pair()
+    async with relay_fixture() as fixture:
+        fixture.relay.door.begin_silence("a", Way.BOTH, hang=False)
+        near, far = await fixture.pair()
         near[1].write(b"held")
         far[1].write(b"too")
-        other = await there.connect()
+        other = await fixture.connect()
         other[1].close()
         assert not near[0]._buffer and not far[0]._buffer  # type: ignore[attr-defined]
-        there.before.door.end_silence("a")
+        fixture.relay.door.end_silence("a")
         assert await far[0].readexactly(4) == b"held" and await near[0].readexactly(3) == b"too"
 
 
 @scenario
 async def test_late_bytes_keep_their_order_and_the_other_way_is_not_late() -> None:
-    async with place() as there:
-        near, far = await there.pair()
+    async with relay_fixture() as fixture:
+        near, far = await fixture.pair()
         delays = iter([0.6, 0.1])
-        there.before.door.begin_delay("a", Way.IN, lambda: next(delays, 0.0))
+        fixture.relay.door.begin_delay("a", Way.IN, lambda: next(delays, 0.0))
         loop, began = asyncio.get_running_loop(), asyncio.get_running_loop().time()
         near[1].write(b"first ")
         await says(far, near, b"at once")
@@ -117,16 +117,16 @@
         near[1].write(b"second")
         assert await far[0].readexactly(12) == b"first second"
         assert loop.time() - began >= 0.598
-        there.before.door.end_delay("a")
+        fixture.relay.door.end_delay("a")
         await says(near, far, b"as usual")
 
 
 @scenario
 async def test_a_reset_ends_both_sides() -> None:
-    async with place() as there:
-        near, far = await there.pair()
+    async with relay_fixture() as fixture:
+        near, far = await fixture.pair()
         await says(near, far, b"up")
-        there.before.door.reset_all()
+        fixture.relay.door.reset_all()
         for reader, _ in (near, far):
             with pytest.raises(ConnectionResetError):
                 await reader.read()
@@ -134,22 +134,22 @@
 
 @scenario
 async def test_clients_are_refused_while_nobody_listens_behind() -> None:
-    async with place() as there:
-        address = there.server.sockets[0].getsockname()
-        there.server.close()
-        near = await there.connect()
+    async with relay_fixture() as fixture:
+        address = fixture.server.sockets[0].getsockname()
+        fixture.server.close()
+        near = await fixture.connect()
         with pytest.raises(ConnectionResetError):
             await near[0].read()
         with pytest.raises(ConnectionRefusedError):
-            await there.connect()
-        server = await asyncio.start_server(lambda r, w: there.arrived.put_nowait((r, w)), *address)
+            await fixture.connect()
+        server = await asyncio.start_server(lambda r, w: fixture.arrived.put_nowait((r, w)), *address)
         while True:
             try:
-                near = await there.connect()
+                near = await fixture.connect()
             except ConnectionRefusedError:
-                await asyncio.sleep(0.01)  # nothing tells of a listener but a connection
+                await asyncio.sleep(0.01)  # only a connection shows that the relay listens again
             else:
                 break
-        await there.arrived.get()  # the look
-        await says(near, await there.arrived.get(), b"up again")
+        await fixture.arrived.get()  # the relay's own check
+        await says(near, await fixture.arrived.get(), b"up again")
         server.close()
--- a/tests/rehearsal/links/test_switch.py
+++ b/tests/rehearsal/links/test_switch.py
@@ -1,4 +1,4 @@
-"""Clocks that drift and disks that fail, switched from outside while they run."""
+"""Clock drift and disk faults that are set from outside at run time."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class Files:
-    """A store as plain as can be: a half-written file is never read."""
+    """A minimal store; a half-written file is never read."""
 
     def __init__(self, folder: Path) -> None:
         self._folder = folder
@@ -32,7 +32,7 @@
 
 
 def faulty(folder: Path) -> tuple[FaultyStore, Switch, list[float]]:
-    """The store as a router's process has it, the switch as the rig has it."""
+    """Returns the store as the router process has it, the switch as the rehearsal has it, and the pauses."""
     path, pauses = folder / "r.switch", list[float]()
     store = FaultyStore(Files(folder), Switch.at(path), random.Random(1), pauses.append)
     return store, Switch.at(path), pauses
@@ -50,7 +50,7 @@
         store.write("policy", b"n" * 1000)
     assert caught.value.errno == number
     assert (tmp_path / "policy").read_bytes() == b"old"
-    if slot is Slot.DISK_FULL:  # the system took a part, as it does
+    if slot is Slot.DISK_FULL:  # as on a full disk, a part was written
         assert (tmp_path / "policy.half").stat().st_size == 500
     if slot is not Slot.DISK_FAILING:
         assert store.read("policy") == b"old"
@@ -80,7 +80,7 @@
     shown = []
     for more, seconds in ((0.0, 10.0), (0.05, 10.0), (0.0, 10.0)):
         switch[Slot.CLOCK] = more
-        shown.append(clock())  # it notices
+        shown.append(clock())  # the clock reads the new drift
         true[0] += seconds
         shown.append(clock())
     assert shown == pytest.approx([100.0, 110.0, 110.0, 120.5, 120.5, 130.5])
